--- a/bench/gateway_subrequest.py
+++ b/bench/gateway_subrequest.py
@@ -24,7 +24,7 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
 from yokesill.serving.driver import GatewayDriver
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.upstreams.server_client import ServerClient
 
 FAN_OUTS = (8, 16, 64, 130)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -22,7 +22,6 @@
 from results_file import write_results
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.budget import BudgetTerms
 from yokesill.gateway.documents import (
     Configuration,
     Gather,
@@ -32,6 +31,7 @@
     Split,
     WeightedService,
 )
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.messages import Attempt, GatewayRequest, Load, ServerReply
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
@@ -40,7 +40,7 @@
 NODES, SHARDS, SERVERS_A_SHARD, SLOTS, QUEUE, CONNECTIONS = 9, 10, 3, 3, 18, 31
 WAY_S, TURN_S = 0.001, 0.5
 WORK_SPREAD = 0.35
-BUDGET = BudgetTerms(ratio=0.2, allowance=58.0, window=10.0)
+BUDGET = BudgetLimits(ratio=0.2, allowance=58.0, window_s=10.0)
 TROUBLE_FROM_S, TROUBLE_FOR_S, CALM_S = 5.0, 5.0, 5.0
 
 
@@ -208,7 +208,7 @@
                     self._cancel.pop(number, lambda: None)()
                 case ev.PassOn(key) | ev.Gathered(key) | ev.Refuse(key):
                     self._finals.pop(key)(action)
-                case ev.Note():
+                case ev.LogEvent():
                     self._play.counts[action.name] += 1
 
     def ask(self, request: GatewayRequest, done: Callable[[ev.FinalAnswer], None]) -> None:
@@ -240,7 +240,7 @@
                 self.feed(ev.AttemptFailed(attempt.number, failure))
 
         link.waiting.append(turn)
-        self._world.at(min(self._world.now + TURN_S, attempt.deadline), too_long)
+        self._world.at(min(self._world.now + TURN_S, attempt.deadline_at_s), too_long)
 
     def _exchange(self, attempt: Attempt, link: Link) -> None:
         play, sent_at = self._play, self._world.now
@@ -260,7 +260,7 @@
         def done(ran: bool) -> None:
             if ran:
                 reply = ServerReply(200, (), b"", b"s", play.load_of(attempt))
-                answer = ev.AttemptAnswered(attempt.number, reply, sent_at=sent_at)
+                answer = ev.AttemptAnswered(attempt.number, reply, sent_at_s=sent_at)
                 self._world.at(self._world.now + WAY_S, lambda: end(answer))
             else:
                 play.counts["rejected"] += 1
@@ -283,7 +283,7 @@
         play.count_arrival(attempt)
         server = play.servers[attempt.server.instance]
         self._world.at(self._world.now + WAY_S, lambda: server.arrive(arrival))
-        self._world.at(attempt.deadline, expire)
+        self._world.at(attempt.deadline_at_s, expire)
 
 
 def _drain(waiting: deque[Callable[[], bool]]) -> "itertools.chain[Callable[[], bool]]":
@@ -371,7 +371,7 @@
 
     def _call(self, kind: CallerClass, first_at: float, tries_left: int) -> None:
         now = self.world.now
-        patience = kind.route.timeout - (now - first_at)
+        patience = kind.route.timeout_s - (now - first_at)
         key = f"k{next(self._keys)}"
         request = GatewayRequest(key, key, b"GET", kind.name, "/", b"/", (), b"", now, patience, False)
 
@@ -379,11 +379,11 @@
             took = self.world.now - first_at
             if not isinstance(final, ev.Refuse):
                 summary = final.summary
-                outcome = "in time" if took <= kind.route.target else "late"
+                outcome = "in time" if took <= kind.route.objective_s else "late"
                 self._count(kind, first_at, outcome, (summary.covered / summary.asked) ** 2)
                 return
             again_at = self.world.now + final.failure.retry_after_ms / 1000
-            if tries_left and again_at - first_at < kind.route.timeout:
+            if tries_left and again_at - first_at < kind.route.timeout_s:
                 self.world.at(again_at, lambda: self._call(kind, first_at, tries_left - 1))
             else:
                 self._count(kind, first_at, "never", 0.0)
--- a/bench/quarantine_cost.py
+++ b/bench/quarantine_cost.py
@@ -11,12 +11,12 @@
 
 from results_file import revision, write_results
 
-from yokesill.gateway.fingerprints import fingerprint
 from yokesill.gateway.messages import GatewayRequest
+from yokesill.gateway.requests.fingerprints import fingerprint
 from yokesill.outliers.spreading import Peer
 from yokesill.quarantine.exchange import QuarantineExchange
-from yokesill.quarantine.judge import MOST_RECORDS, CrashJudge, Loss, Standing
-from yokesill.quarantine.messages import ToldLoss, ToldStanding
+from yokesill.quarantine.judge import MOST_RECORDS, CrashDetector, Loss, QuarantineStatus
+from yokesill.quarantine.messages import LossReport, QuarantineFinding
 
 NODES, ZONES, SHARDS = 770, 7, 130
 ROUNDS, CALLS = 7, 20_000
@@ -24,7 +24,7 @@
 
 def record_bytes() -> float:
     """Return what one record of three lost servers takes, in bytes, with as many as are kept."""
-    judge = CrashJudge()
+    judge = CrashDetector()
     names = [f"{number:024x}" for number in range(MOST_RECORDS)]
     losses = [Loss(f"i-{number:010x}", f"shard-{number:03d}") for number in range(3)]
     tracemalloc.start()
@@ -36,7 +36,7 @@
     return taken / MOST_RECORDS
 
 
-def sent(standing: Standing | None) -> tuple[int, int]:
+def sent(standing: QuarantineStatus | None) -> tuple[int, int]:
     """Return datagrams and bytes that one node sends: of a finding, or of the losses of one wide request."""
     peers = [Peer(f"node-{n}", f"10.0.{n % 256}.{n // 256}:7003", f"zone-{n % ZONES}") for n in range(NODES)]
     exchange = QuarantineExchange(peers[0], random.Random(1))
@@ -44,9 +44,9 @@
     name = "0123456789abcdef01234567"
     if standing is None:
         for number in range(SHARDS):
-            exchange.lost(ToldLoss(name, Loss(f"i-{number:010x}", f"shard-{number:03d}")))
+            exchange.lost(LossReport(name, Loss(f"i-{number:010x}", f"shard-{number:03d}")))
     else:
-        exchange.found(ToldStanding(name, standing))
+        exchange.found(QuarantineFinding(name, standing))
     datagrams = exchange.flush()
     return len(datagrams), sum(len(each.data) for each in datagrams)
 
@@ -73,8 +73,8 @@
         "shards": SHARDS,
         "record_bytes": round(record_bytes()),
         "most_records": MOST_RECORDS,
-        "quarantine_datagrams_and_bytes": sent(Standing.QUARANTINED),
-        "suspicion_datagrams_and_bytes": sent(Standing.SUSPECTED),
+        "quarantine_datagrams_and_bytes": sent(QuarantineStatus.QUARANTINED),
+        "suspicion_datagrams_and_bytes": sent(QuarantineStatus.SUSPECTED),
         "losses_datagrams_and_bytes": sent(None),
         "fingerprint_us": round(fingerprint_us(), 2),
     }
--- a/bench/rollout_fleet.py
+++ b/bench/rollout_fleet.py
@@ -11,8 +11,8 @@
 from rollout_world import NEW, OLD, Registry, Server
 
 from yokesill.rollouts.decider import RolloutDecider
-from yokesill.rollouts.messages import OrderReport, OrderWord, RolloutReport, RolloutWord, Sample
-from yokesill.rollouts.orders import OrderId, RolloutOrder, RolloutState, RolloutTerms
+from yokesill.rollouts.messages import OrderDecision, OrderReport, RolloutDecisions, RolloutReport, Sample
+from yokesill.rollouts.orders import OrderId, RolloutLimits, RolloutOrder, RolloutState
 
 STEP_S = 0.05
 
@@ -27,7 +27,7 @@
     alive: bool = True
     paused: bool = False
     records: dict[str, RolloutOrder] = field(default_factory=dict)
-    words: dict[str, dict[str, tuple[OrderWord, float]]] = field(default_factory=dict)
+    words: dict[str, dict[str, tuple[OrderDecision, float]]] = field(default_factory=dict)
     said: dict[OrderId, set[RolloutState]] = field(default_factory=dict)
     sent: dict[OrderId, list[int]] = field(default_factory=dict)
     samples: dict[str, list[Sample]] = field(default_factory=dict)
@@ -90,7 +90,7 @@
         self._fed: dict[str, RolloutOrder] = {}
 
     def _start(self, name: str, incarnation: int) -> Node:
-        decider = RolloutDecider(name, incarnation, RolloutTerms(), random.Random(1), self.now)
+        decider = RolloutDecider(name, incarnation, RolloutLimits(), random.Random(1), self.now)
         decider.set_services(self.services)
         return Node(name, decider, incarnation)
 
@@ -230,7 +230,7 @@
             orders.append(OrderReport(record.id, node.obeys(service), old, new, in_flight, samples))
         return RolloutReport(node.name, node.incarnation, tuple(orders))
 
-    def _send(self, sender: str, to: str, message: RolloutReport | RolloutWord) -> None:
+    def _send(self, sender: str, to: str, message: RolloutReport | RolloutDecisions) -> None:
         node = self.nodes[to]
         lost = (sender, to) in self.cut or (to, sender) in self.cut
         if not node.running or lost or (sender != to and self.source.random() < self.loss):
--- a/bench/rollout_verdicts.py
+++ b/bench/rollout_verdicts.py
@@ -15,10 +15,10 @@
 from rollout_fleet import Fleet
 from rollout_world import NEW, OLD, Server
 
-from yokesill.rollouts.orders import RolloutState, RolloutTerms
+from yokesill.rollouts.orders import RolloutLimits, RolloutState
 
 DURATION_S, ORDERED_AT_S, RATE, ROUTES = 12.0, 1.0, 20.0, ("a", "b", "c")
-TERMS = RolloutTerms()
+TERMS = RolloutLimits()
 Setting = Callable[[Fleet], None]
 
 
--- a/src/yokesill/backends/http_backend.py
+++ b/src/yokesill/backends/http_backend.py
@@ -57,7 +57,7 @@
         connection = await connections.take()
         if connection is None:
             return self._failure(attempt, "connecting", Reason.CONNECT_FAILED, "all connections are busy")
-        body = encode_attempt(attempt, attempt.deadline - anyio.current_time())
+        body = encode_attempt(attempt, attempt.deadline_at_s - anyio.current_time())
         try:
             status, content = await exchange(connection, connections, b"POST", QUERY_PATH, body)
             outcome = decode_reply(attempt, status, content)
--- a/src/yokesill/callers/answers.py
+++ b/src/yokesill/callers/answers.py
@@ -5,7 +5,7 @@
 from yokesill.callers.headers import end_to_end_headers
 from yokesill.gateway.events import FinalAnswer, Gathered, PassOn, Refuse
 from yokesill.gateway.messages import Headers
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.verdict import Reason, Verdict
 
 NOT_FOUND, BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 404, 502, 503, 504
--- a/src/yokesill/callers/application.py
+++ b/src/yokesill/callers/application.py
@@ -15,7 +15,7 @@
 from yokesill.gateway.documents import RequestLimits
 from yokesill.gateway.messages import GatewayRequest, Headers
 from yokesill.serving.driver import GatewayDriver
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.telemetry.observer import Observer
 
 FRESH_CONNECTION = "yokesill.fresh_connection"
@@ -121,8 +121,8 @@
             target=scope["raw_path"] + (b"?" + query if query else b""),
             headers=end_to_end_headers(headers),
             body=body,
-            arrived_at=arrived_at,
-            patience=_patience(values.get(self._names.deadline)),
+            arrived_at_s=arrived_at,
+            caller_timeout_s=_patience(values.get(self._names.deadline)),
             fresh_connection=scope.get(FRESH_CONNECTION, True),
         )
 
--- a/src/yokesill/cli/demo.py
+++ b/src/yokesill/cli/demo.py
@@ -18,7 +18,7 @@
 from yokesill.comm.http_client import HttpClient, HttpReply
 from yokesill.emulator.record_server import RecordServer
 from yokesill.emulator.running import start_record_servers
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.verdict import Failure
 
 FIRST_PORT, NODES = 7900, 2
--- a/src/yokesill/cli/gateway.py
+++ b/src/yokesill/cli/gateway.py
@@ -12,9 +12,9 @@
 from yokesill.cli.gateway_file import GatewayFile, read_gateway_file
 from yokesill.gateway.events import ConfigurationLearnt, Event, ServersReplaced
 from yokesill.registry.feeds import Batch, Feed, NodeContact, NodeDirectory, NodeEntry
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.dependencies import Dependencies
+from yokesill.serving.header_names import HeaderNames
 from yokesill.serving.process import GatewayProcess
-from yokesill.serving.surroundings import Surroundings
 from yokesill.verdict import Failure
 
 READY_PATH = "/ready"
@@ -70,7 +70,7 @@
         settings = described.settings()
         self._configuration = FileFeed("configuration", ConfigurationLearnt(described.configuration()))
         self._servers = FileFeed("servers", ServersReplaced(described.records()))
-        around = Surroundings(
+        around = Dependencies(
             self._configuration, self._servers, OneNode(settings.node), HeaderNames(), READY_PATH
         )
         self.process = GatewayProcess(settings, around, random.Random(), output)
--- a/src/yokesill/cli/gateway_file.py
+++ b/src/yokesill/cli/gateway_file.py
@@ -6,7 +6,6 @@
 
 from pydantic import BaseModel, ConfigDict, Field, StringConstraints, ValidationError
 
-from yokesill.gateway.budget import BudgetTerms
 from yokesill.gateway.documents import (
     Configuration,
     Gather,
@@ -16,6 +15,7 @@
     Split,
     WeightedService,
 )
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.serving.settings import Address, GatewaySettings, SettingsProblem
 
 IpAndPort = Annotated[str, StringConstraints(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
@@ -116,8 +116,8 @@
             callers=_address(self.node.callers),
             probes=_address(self.node.probes),
             registry=NOWHERE,
-            budget=BudgetTerms(self.budget.ratio, self.budget.allowance, self.budget.window_seconds),
-            stop_grace=self.node.stop_grace_seconds,
+            budget=BudgetLimits(self.budget.ratio, self.budget.allowance, self.budget.window_seconds),
+            stop_grace_s=self.node.stop_grace_seconds,
         )
 
     def configuration(self) -> Configuration:
--- a/src/yokesill/coordinators/wanting.py
+++ b/src/yokesill/coordinators/fallback.py
@@ -16,7 +16,7 @@
 LEAST_TIME_SHARE = 0.5
 
 
-def wants_servers(answer: HttpAnswer, route: Route, left_s: float) -> Verdict | None:
+def should_retry_elsewhere(answer: HttpAnswer, route: Route, left_s: float) -> Verdict | None:
     """Return whether a refused request may have run, if another node should try it; else ``None``.
 
     Parameters
@@ -28,11 +28,11 @@
     left_s
         How long its caller still waits, in seconds.
     """
-    if left_s < LEAST_TIME_SHARE * route.target:
+    if left_s < LEAST_TIME_SHARE * route.objective_s:
         return None
     if answer.status == UNAVAILABLE and answer.outcome in OWN_VIEW:
         return Verdict.NOT_RUN
-    may_repeat = route.repeatable and route.attempts > 1
+    may_repeat = route.repeatable and route.max_attempts > 1
     if answer.status == BAD_GATEWAY and answer.outcome == Reason.NO_REPLICA.value and may_repeat:
         return Verdict.MAY_HAVE_RUN
     return None
--- a/src/yokesill/coordinators/handing.py
+++ b/src/yokesill/coordinators/forwarding.py
@@ -8,12 +8,12 @@
 
 from yokesill.callers.answers import HttpAnswer
 from yokesill.coordinators.client import CoordinatorClient
+from yokesill.coordinators.fallback import should_retry_elsewhere
 from yokesill.coordinators.messages import GatheredAnswer, HandedRequest, encode_handed
-from yokesill.coordinators.near_servers import NearServers
-from yokesill.coordinators.wanting import wants_servers
-from yokesill.gateway.coordination import Coordinator, CoordinatorChoice, is_wide
+from yokesill.coordinators.remote_coordinators import RemoteCoordinators
 from yokesill.gateway.documents import Configuration, Route
-from yokesill.gateway.events import Note
+from yokesill.gateway.events import LogEvent
+from yokesill.gateway.forwarding import Coordinator, CoordinatorChoice, is_wide
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.telemetry.observer import CoordinatedEnding, Observer
 from yokesill.verdict import Failure, Reason, Verdict
@@ -35,7 +35,7 @@
     choice: CoordinatorChoice
 
 
-class HandOver:
+class Forwarder:
     """Runs a request at a coordinator if one should and does take it.
 
     Parameters
@@ -64,7 +64,7 @@
         coordinators: Callable[[], Mapping[str, Coordinator]],
         configuration: Callable[[], Configuration | None],
         observer: Observer,
-        near_servers: NearServers | None = None,
+        near_servers: RemoteCoordinators | None = None,
         runs_here: Callable[[GatewayRequest], bool] = lambda _request: False,
     ) -> None:
         self._choice = choice
@@ -83,7 +83,7 @@
             return request
         for number in range(MOST_COORDINATORS):
             now = anyio.current_time()
-            if number and now - request.arrived_at > ACKNOWLEDGE_SHARE * route.target:
+            if number and now - request.arrived_at_s > ACKNOWLEDGE_SHARE * route.objective_s:
                 return request
             chosen = self._choose(route, number == 0, now)
             if chosen is None:
@@ -123,7 +123,7 @@
         now = anyio.current_time()
         chosen.choice.took(now - asked_at - gathered.gathering_s, chosen.node)
         answer = gathered.answer
-        verdict = wants_servers(answer, route, _until(request, route) - now)
+        verdict = should_retry_elsewhere(answer, route, _until(request, route) - now)
         if verdict is not None:
             return Failure(Reason(answer.outcome), verdict, f"{answer.status}: {answer.outcome}")
         self._tell(request, route, chosen.node, gathered, now)
@@ -132,13 +132,13 @@
     async def _ask(
         self, chosen: _Chosen, request: GatewayRequest, route: Route, version: int, now: float
     ) -> GatheredAnswer | Failure:
-        patience = request.patience if request.patience is not None else route.timeout
-        waited_s = now - request.arrived_at + chosen.choice.hop_s
+        patience = request.caller_timeout_s if request.caller_timeout_s is not None else route.timeout_s
+        waited_s = now - request.arrived_at_s + chosen.choice.hop_s
         until = _until(request, route)
         if waited_s >= patience or now >= until:
             return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "no time is left")
-        message = encode_handed(HandedRequest(version, waited_s, replace(request, patience=patience)))
-        acknowledge_s = ACKNOWLEDGE_SHARE * route.target
+        message = encode_handed(HandedRequest(version, waited_s, replace(request, caller_timeout_s=patience)))
+        acknowledge_s = ACKNOWLEDGE_SHARE * route.objective_s
         address = chosen.coordinator.address
         return await self._client.ask(address, request.request_id, message, acknowledge_s, until)
 
@@ -151,7 +151,7 @@
             status=answer.status,
             outcome=answer.outcome,
             coordinator=node,
-            elapsed_s=now - request.arrived_at,
+            elapsed_s=now - request.arrived_at_s,
             gathering_s=gathered.gathering_s,
         )
         self._observer.coordinated(request, ending)
@@ -172,11 +172,11 @@
             "verdict": failure.verdict.label,
             "detail": failure.detail,
         }
-        self._observer.note(Note("coordinator_missed", details))
+        self._observer.note(LogEvent("coordinator_missed", details))
         return request if failure.verdict is Verdict.NOT_RUN else replace(request, asked_before=True)
 
 
 def _until(request: GatewayRequest, route: Route) -> float:
     """Return when a request's caller must have its answer, in seconds of the node's clock."""
-    patience = request.patience if request.patience is not None else route.timeout
-    return request.arrived_at + min(route.timeout, patience) - LAST_MOMENT_S
+    patience = request.caller_timeout_s if request.caller_timeout_s is not None else route.timeout_s
+    return request.arrived_at_s + min(route.timeout_s, patience) - LAST_MOMENT_S
--- a/src/yokesill/coordinators/messages.py
+++ b/src/yokesill/coordinators/messages.py
@@ -33,7 +33,7 @@
     """Return a request's message."""
     request = handed.request
     what = [request.method, request.host, request.path, request.target, request.headers, request.body]
-    times = [handed.waited_s, request.patience, request.fresh_connection]
+    times = [handed.waited_s, request.caller_timeout_s, request.fresh_connection]
     return cbor2.dumps([FORMAT, handed.version, request.request_id, *what, *times])
 
 
@@ -59,8 +59,8 @@
             target=target,
             headers=_pairs(headers),
             body=body,
-            arrived_at=now - waited_s,
-            patience=patience,
+            arrived_at_s=now - waited_s,
+            caller_timeout_s=patience,
             fresh_connection=bool(fresh),
         )
     except (TypeError, ValueError, cbor2.CBORDecodeError) as error:
--- a/src/yokesill/coordinators/near_servers.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -6,13 +6,13 @@
 
 from collections.abc import Iterable, Mapping
 
-from yokesill.gateway.coordination import Coordinator, CoordinatorChoice
 from yokesill.gateway.documents import Route
+from yokesill.gateway.forwarding import Coordinator, CoordinatorChoice
 from yokesill.gateway.options import GatewayOptions
-from yokesill.gateway.placement import ServerPlaces
-from yokesill.gateway.server_table import ServerTable
+from yokesill.gateway.servers.server_table import ServerTable
+from yokesill.gateway.servers.server_zones import ServerZones
 from yokesill.registry.feeds import NodeContact
-from yokesill.watchers.strength import gathering_nodes, strong_nodes
+from yokesill.watchers.capacity_rank import gathering_nodes, strong_nodes
 
 # Nobody says that a coordinator elsewhere lives again: it is tried after so long.
 LOST_PAUSE_S = 2.0
@@ -22,14 +22,14 @@
 MOST_HOP_SHARE, MEASURE_AGAIN_S = 0.35, 5.0
 
 
-class NearServers:
+class RemoteCoordinators:
     """Chooses among the strong nodes of the zones that have the servers."""
 
     def __init__(self, options: GatewayOptions, servers: ServerTable) -> None:
         self.choice = CoordinatorChoice(options.node, FIRST_HOP_S)
         self._options = options
         self._servers = servers
-        self._places = ServerPlaces(options, servers)
+        self._places = ServerZones(options, servers)
         self._strong: dict[str, list[NodeContact]] = {}
         self._hosts: frozenset[str] = frozenset()
         self._tried_at_s = float("-inf")
@@ -76,7 +76,10 @@
         }
 
     def _quick_enough(self, route: Route, now: float) -> bool:
-        if self.choice.hop_s > MOST_HOP_SHARE * route.target and now - self._tried_at_s < MEASURE_AGAIN_S:
+        if (
+            self.choice.hop_s > MOST_HOP_SHARE * route.objective_s
+            and now - self._tried_at_s < MEASURE_AGAIN_S
+        ):
             return False
         self._tried_at_s = now
         return True
--- a/src/yokesill/emulator/record_server.py
+++ b/src/yokesill/emulator/record_server.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 
 Scope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -6,18 +6,18 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from yokesill.gateway.budget import BudgetTerms, ExtraAttemptBudget
-from yokesill.gateway.cold_starts import ColdStarts
-from yokesill.gateway.crashes import RequestCrashes
+from yokesill.gateway.crash_tracker import CrashTracker
 from yokesill.gateway.documents import Configuration, Route, ServiceLimits
-from yokesill.gateway.estimates import TypicalLatency
+from yokesill.gateway.limits.budget import BudgetLimits, ExtraAttemptBudget
+from yokesill.gateway.limits.node_shares import NodeShares
 from yokesill.gateway.options import GatewayOptions
+from yokesill.gateway.requests.pacing_queue import PacingQueue
 from yokesill.gateway.rollouts import Rollouts
-from yokesill.gateway.selection import Choice
-from yokesill.gateway.server_table import ServerTable
-from yokesill.gateway.servers import ServerState
-from yokesill.gateway.sharing import Sharing
-from yokesill.gateway.waiting import WaitingRoom
+from yokesill.gateway.servers.cold_starts import ColdStarts
+from yokesill.gateway.servers.selection import Choice
+from yokesill.gateway.servers.server_state import ServerState
+from yokesill.gateway.servers.server_table import ServerTable
+from yokesill.gateway.servers.typical_latency import TypicalLatency
 from yokesill.rendezvous import name_hash, weight
 
 LATENESS_WEIGHT, LATENESS_CEILING = 0.2, 0.05
@@ -37,7 +37,7 @@
     number: int
     request_id: str
     server: ServerState
-    sent_at: float
+    sent_at_s: float
     extra: bool
     told: bool = False
     trial: bool = False
@@ -59,13 +59,13 @@
     lateness: float = 0.0
     live: dict[int, LiveAttempt] = field(default_factory=dict)
     numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
-    waiting: WaitingRoom[Any] = field(default_factory=WaitingRoom)
-    crashes: RequestCrashes = field(default_factory=RequestCrashes)
+    waiting: PacingQueue[Any] = field(default_factory=PacingQueue)
+    crashes: CrashTracker = field(default_factory=CrashTracker)
     cold_starts: ColdStarts = field(init=False)
-    sharing: Sharing = field(init=False)
+    node_shares: NodeShares = field(init=False)
     rollouts: Rollouts = field(init=False)
     _node_hash: int = field(init=False, default=0)
-    _terms: BudgetTerms | None = None
+    _terms: BudgetLimits | None = None
     _budgets: dict[str, ExtraAttemptBudget] = field(default_factory=dict)
     _typical: dict[str, TypicalLatency] = field(default_factory=dict)
     _longest_patience: dict[str, float] = field(default_factory=dict)
@@ -73,7 +73,7 @@
     def __post_init__(self) -> None:
         """Hash this node's name once, and share nothing yet with nodes that aren't known."""
         self._node_hash = name_hash(self.options.node)
-        self.sharing = Sharing(self.options.node, self.options.assumed_nodes)
+        self.node_shares = NodeShares(self.options.node, self.options.assumed_nodes)
         self.rollouts = Rollouts(self.servers.versions)
         self.cold_starts = ColdStarts(self.options.node, self.options.cold_starts)
 
@@ -85,10 +85,10 @@
             budget = self._budgets[service] = ExtraAttemptBudget(terms, self.started_at)
         return budget
 
-    def set_budget(self, terms: BudgetTerms) -> None:
+    def set_budget(self, terms: BudgetLimits) -> None:
         """Keep every service to other terms; windows of another length are counted anew."""
         for service, budget in list(self._budgets.items()):
-            if budget.terms.window == terms.window:
+            if budget.terms.window_s == terms.window_s:
                 budget.terms = terms
             else:
                 self._budgets[service] = ExtraAttemptBudget(terms, self.started_at)
@@ -98,7 +98,7 @@
         """Return what the route's attempts usually take."""
         typical = self._typical.get(route.name)
         if typical is None:
-            typical = self._typical[route.name] = TypicalLatency(route.target)
+            typical = self._typical[route.name] = TypicalLatency(route.objective_s)
         return typical
 
     def known_typical(self, route: Route) -> TypicalLatency | None:
@@ -161,7 +161,7 @@
 
     def sent(self, server: ServerState, now: float) -> None:
         """Count a request that is sent to a server, which may be cold or of a new version."""
-        if self.rollouts.obeyed:
+        if self.rollouts.effective:
             self.rollouts.sent(server)
         if self._cold_bound(server.record.service) is not None and server.cold(now):
             self.cold_starts.sent(server.record, now)
@@ -176,7 +176,10 @@
         limits = self.limits(service)
         if limits is None:
             return 1
-        return max(1, int(self.options.connection_share * limits.connections / self.sharing.sharers(service)))
+        return max(
+            1,
+            int(self.options.connection_share * limits.connections / self.node_shares.active_nodes(service)),
+        )
 
     def subset(self, service: str, now: float, new: bool = False) -> Collection[str]:
         """Return the servers of a service that this node connects to as long as they are sound.
@@ -190,7 +193,7 @@
         if limits is None or not servers:
             return [each.record.instance for each in servers]
         bearable = self.options.connection_share * limits.connections * len(servers)
-        size = max(LEAST_SUBSET, int(bearable / self.sharing.sharers(service)))
+        size = max(LEAST_SUBSET, int(bearable / self.node_shares.active_nodes(service)))
         if size < len(servers):
             servers = sorted(servers, key=self._preference)[:size]
         return [each.record.instance for each in servers]
--- a/src/yokesill/gateway/crash_events.py
+++ b/src/yokesill/gateway/crash_events.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from yokesill.quarantine.judge import Loss, Standing
+from yokesill.quarantine.judge import Loss, QuarantineStatus
 
 # --- events ---
 
@@ -22,11 +22,11 @@
     trial: bool
 
 
-class StandingHeard(NamedTuple):
+class QuarantineStatusReceived(NamedTuple):
     """Another node found that a request is to be suspected or quarantined."""
 
     fingerprint: str
-    standing: Standing
+    standing: QuarantineStatus
 
 
 class RequestQuarantined(NamedTuple):
@@ -69,4 +69,4 @@
     """This node found that a request is to be suspected or quarantined: tell all nodes."""
 
     fingerprint: str
-    standing: Standing
+    standing: QuarantineStatus
--- a/src/yokesill/gateway/crashes.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -1,16 +1,16 @@
 """What a node knows of requests under which servers ended, and what it tells the others of them."""
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.fingerprints import fingerprint
 from yokesill.gateway.messages import GatewayRequest
-from yokesill.quarantine.judge import CrashJudge, Loss, Standing
+from yokesill.gateway.requests.fingerprints import fingerprint
+from yokesill.quarantine.judge import CrashDetector, Loss, QuarantineStatus
 from yokesill.verdict import Failure, Reason, Verdict
 
 # Nothing is gained by coming back before somebody has looked at the request or at the servers' software.
 QUARANTINED_RETRY_AFTER_MS = 60_000
 
 
-class RequestCrashes:
+class CrashTracker:
     """One node's judge of requests, and the actions that follow from what it finds.
 
     ``told`` once the registry or a peer told which requests are quarantined. ``newly_quarantined`` are those
@@ -19,13 +19,13 @@
     """
 
     def __init__(self) -> None:
-        self.judge = CrashJudge()
+        self.judge = CrashDetector()
         self.told = False
         self.newly_quarantined: set[str] = set()
 
-    def standing(self, request: GatewayRequest, now: float) -> Standing:
+    def standing(self, request: GatewayRequest, now: float) -> QuarantineStatus:
         """Return what holds for a request."""
-        return self.judge.standing(fingerprint(request), now) if len(self.judge) else Standing.CLEAR
+        return self.judge.standing(fingerprint(request), now) if len(self.judge) else QuarantineStatus.CLEAR
 
     # --- what this node saw ---
 
@@ -38,7 +38,7 @@
         standing = self.judge.lost(name, loss, now)
         if standing is not None:
             self._changed(name, standing, "found", actions)
-        if standing is Standing.QUARANTINED:
+        if standing is QuarantineStatus.QUARANTINED:
             actions.append(ev.RequestJudged(name, standing))
 
     def tell(self, name: str, loss: Loss, actions: list[ev.Action]) -> None:
@@ -53,7 +53,7 @@
             if shared:
                 actions.append(ev.AnswerObserved(name, service, trial))
             if trial:
-                self._changed(name, Standing.CLEAR, "answered", actions)
+                self._changed(name, QuarantineStatus.CLEAR, "answered", actions)
 
     # --- what other nodes and the registry tell ---
 
@@ -65,7 +65,9 @@
             self._changed(event.fingerprint, standing, "found", actions)
             actions.append(ev.RequestJudged(event.fingerprint, standing))
 
-    def standing_heard(self, event: ev.StandingHeard, now: float, actions: list[ev.Action]) -> None:
+    def status_received(
+        self, event: ev.QuarantineStatusReceived, now: float, actions: list[ev.Action]
+    ) -> None:
         """Take what another node found."""
         if self.judge.told(event.fingerprint, event.standing, now):
             self._changed(event.fingerprint, event.standing, "told", actions)
@@ -75,20 +77,20 @@
         before, self.told = self.judge.recorded, True
         self.judge.record(fingerprints)
         for each in sorted(fingerprints - before):
-            self._changed(each, Standing.QUARANTINED, "recorded", actions)
+            self._changed(each, QuarantineStatus.QUARANTINED, "recorded", actions)
         for each in sorted(before - fingerprints):
-            self._changed(each, Standing.CLEAR, "lifted", actions)
+            self._changed(each, QuarantineStatus.CLEAR, "lifted", actions)
 
     def take_new(self) -> frozenset[str]:
         """Return the requests that were quarantined since this was last asked."""
         taken, self.newly_quarantined = frozenset(self.newly_quarantined), set()
         return taken
 
-    def _changed(self, name: str, standing: Standing, why: str, actions: list[ev.Action]) -> None:
-        if standing is Standing.QUARANTINED:
+    def _changed(self, name: str, standing: QuarantineStatus, why: str, actions: list[ev.Action]) -> None:
+        if standing is QuarantineStatus.QUARANTINED:
             self.newly_quarantined.add(name)
         details: dict[str, object] = {"fingerprint": name, "standing": standing.name.lower(), "why": why}
-        actions.append(ev.Note("request_judged", details))
+        actions.append(ev.LogEvent("request_judged", details))
 
 
 def quarantined(name: str, verdict: Verdict) -> Failure:
--- a/src/yokesill/gateway/documents.py
+++ b/src/yokesill/gateway/documents.py
@@ -34,9 +34,9 @@
 class Route:
     """How one class of requests is answered.
 
-    Only servers in ``regions`` may get its requests; any may when there are none. ``timeout`` is the
-    longest that a request is held and ``target`` the latency that it should have, both in seconds.
-    ``attempts`` bounds the servers that one request may run on (for each service of a gather).
+    Only servers in ``regions`` may get its requests; any may when there are none. ``timeout_s`` is the
+    longest that a request is held and ``objective_s`` the latency that it should have, both in seconds.
+    ``max_attempts`` bounds the servers that one request may run on (for each service of a gather).
     ``priority`` 0 is the most urgent.
     """
 
@@ -44,9 +44,9 @@
     host: str
     prefix: str
     repeatable: bool
-    timeout: float
-    target: float
-    attempts: int
+    timeout_s: float
+    objective_s: float
+    max_attempts: int
     priority: int
     destination: Gather | Split
     regions: tuple[str, ...] = ()
@@ -64,8 +64,8 @@
 
     header_bytes: int = 16_384
     body_bytes: int = 1_048_576
-    header_timeout: float = 3.0
-    idle_timeout: float = 15.0
+    header_timeout_s: float = 3.0
+    idle_timeout_s: float = 15.0
 
 
 class ServiceLimits(NamedTuple):
@@ -125,7 +125,7 @@
 class ServerRecord:
     """One incarnation of a server, as the registry lists it.
 
-    ``warmup`` is how much longer it is slow after its start, in seconds. ``version`` is that of its
+    ``warmup_left_s`` is how much longer it is slow after its start, in seconds. ``version`` is that of its
     software; empty where it doesn't say.
     """
 
@@ -136,7 +136,7 @@
     zone: str
     slots: int
     leaving: bool = False
-    warmup: float = 0.0
+    warmup_left_s: float = 0.0
     version: str = ""
 
     @property
--- a/src/yokesill/gateway/events.py
+++ b/src/yokesill/gateway/events.py
@@ -11,13 +11,13 @@
     LossReported as LossReported,
     QuarantineLifted as QuarantineLifted,
     QuarantineReplaced as QuarantineReplaced,
+    QuarantineStatusReceived as QuarantineStatusReceived,
     RequestJudged as RequestJudged,
     RequestQuarantined as RequestQuarantined,
-    StandingHeard as StandingHeard,
 )
 from yokesill.gateway.documents import Configuration, ServerRecord
 from yokesill.gateway.messages import Attempt, GatewayRequest, RequestSummary, ServerReply
-from yokesill.rollouts.messages import RolloutWord
+from yokesill.rollouts.messages import RolloutDecisions
 from yokesill.rollouts.orders import RolloutOrder
 from yokesill.verdict import Failure
 
@@ -26,9 +26,9 @@
     """The decision points of a request; ``ROOM`` is one of a service, whose name is the timer's key."""
 
     HEDGE = 1
-    SOFT = 2
-    HARD = 3
-    ROOM = 4
+    OBJECTIVE = 2
+    DEADLINE = 3
+    PACING = 4
 
 
 # --- events ---
@@ -43,14 +43,14 @@
 class AttemptAnswered(NamedTuple):
     """A server's whole answer came in.
 
-    ``connected_in`` is how long connecting took (s), if it did; ``sent_at`` when the request went
+    ``connected_in_s`` is how long connecting took (s), if it did; ``sent_at_s`` when the request went
     out to the server, in seconds of the node's clock, if that was later than the decision.
     """
 
     number: int
     reply: ServerReply
-    connected_in: float | None = None
-    sent_at: float | None = None
+    connected_in_s: float | None = None
+    sent_at_s: float | None = None
 
 
 class AttemptFailed(NamedTuple):
@@ -140,10 +140,10 @@
     orders: tuple[RolloutOrder, ...]
 
 
-class RolloutWordHeard(NamedTuple):
+class RolloutDecisionsReceived(NamedTuple):
     """A decider told what holds for some orders."""
 
-    word: RolloutWord
+    word: RolloutDecisions
 
 
 class VersionsEstablished(NamedTuple):
@@ -189,12 +189,12 @@
     | RolloutOrdered
     | RolloutWithdrawn
     | RolloutsReplaced
-    | RolloutWordHeard
+    | RolloutDecisionsReceived
     | VersionsEstablished
     | ServerSuspected
     | LossReported
     | AnswerReported
-    | StandingHeard
+    | QuarantineStatusReceived
     | RequestQuarantined
     | QuarantineLifted
     | QuarantineReplaced
@@ -219,11 +219,11 @@
 
 
 class SetTimer(NamedTuple):
-    """Feed ``TimerFired`` back at ``at`` (seconds); timers of ended requests are ignored."""
+    """Feed ``TimerFired`` back at ``at_s`` (seconds); timers of ended requests are ignored."""
 
     key: str
     kind: TimerKind
-    at: float
+    at_s: float
 
 
 class PassOn(NamedTuple):
@@ -268,7 +268,7 @@
     good_answers: int
 
 
-class Note(NamedTuple):
+class LogEvent(NamedTuple):
     """A decision worth a line in the log: its name and its inputs."""
 
     name: str
@@ -287,6 +287,6 @@
     | LossObserved
     | AnswerObserved
     | RequestJudged
-    | Note
+    | LogEvent
 )
 FinalAnswer = PassOn | Gathered | Refuse
--- a/src/yokesill/gateway/budget.py
+++ b/src/yokesill/gateway/limits/budget.py
@@ -14,12 +14,12 @@
 WINDOWS_TO_FULL_ALLOWANCE = 2.0
 
 
-class BudgetTerms(NamedTuple):
-    """The contract's figures; ``window`` in seconds."""
+class BudgetLimits(NamedTuple):
+    """The contract's figures; ``window_s`` in seconds."""
 
     ratio: float
     allowance: float
-    window: float
+    window_s: float
 
 
 class SlidingCount:
@@ -54,11 +54,11 @@
     nothing over the first two windows.
     """
 
-    def __init__(self, terms: BudgetTerms, started_at: float) -> None:
+    def __init__(self, terms: BudgetLimits, started_at: float) -> None:
         self.terms = terms
         self._started_at = started_at
-        self._requests = SlidingCount(terms.window)
-        self._extras = SlidingCount(terms.window)
+        self._requests = SlidingCount(terms.window_s)
+        self._extras = SlidingCount(terms.window_s)
 
     def count_request(self, now: float) -> None:
         """Count a request for the service."""
@@ -66,7 +66,7 @@
 
     def left(self, nodes: float, now: float) -> float:
         """Return how many extra attempts this node may make now."""
-        windows = (now - self._started_at) / self.terms.window
+        windows = (now - self._started_at) / self.terms.window_s
         age = min(1.0, windows / WINDOWS_TO_FULL_ALLOWANCE)
         allowance = ALLOWANCE_MARGIN * self.terms.allowance * age / max(1, nodes)
         earned = RATIO_MARGIN * self.terms.ratio * self._requests.total(now)
--- a/src/yokesill/gateway/sharing.py
+++ b/src/yokesill/gateway/limits/node_shares.py
@@ -9,14 +9,14 @@
 half of all servers rejecting 0.45 of their requests, 9 of 168 wide requests refused in place of 21.
 """
 
-from yokesill.gateway.coordination import is_wide
 from yokesill.gateway.documents import Configuration
+from yokesill.gateway.forwarding import is_wide
 
 # The coordinators' part of the whole; the rest is everybody's.
 COORDINATORS_SHARE = 0.75
 
 
-class Sharing:
+class NodeShares:
     """One node's view of who shares; ``nodes`` is how many nodes there are."""
 
     def __init__(self, own: str, assumed_nodes: int) -> None:
@@ -35,7 +35,7 @@
         others = {name for each in configuration.routes if not is_wide(each) for name in each.services}
         self._gathered_only = frozenset(gathered - others)
 
-    def sharers(self, service: str) -> float:
+    def active_nodes(self, service: str) -> float:
         """Return the number by which what a service's servers bear is divided for this node."""
         if not self._coordinators or service not in self._gathered_only:
             return self.nodes
--- a/src/yokesill/gateway/notes.py
+++ b/src/yokesill/gateway/log_events.py
@@ -1,14 +1,14 @@
 """The router's decisions as notes for the log; ``docs/OPERATIONS.md`` tells what each means."""
 
 from yokesill.gateway.context import LiveAttempt
-from yokesill.gateway.events import Note
-from yokesill.gateway.fingerprints import fingerprint
+from yokesill.gateway.events import LogEvent
 from yokesill.gateway.messages import GatewayRequest
+from yokesill.gateway.requests.fingerprints import fingerprint
 from yokesill.rollouts.node_orders import OrderChange
 from yokesill.verdict import Failure, Reason
 
 
-def attempt_failed(attempt: LiveAttempt, request: GatewayRequest, failure: Failure, now: float) -> Note:
+def attempt_failed(attempt: LiveAttempt, request: GatewayRequest, failure: Failure, now: float) -> LogEvent:
     """Return the note of an attempt without a usable answer; a lost one tells its request apart."""
     details: dict[str, object] = {
         "request": attempt.request_id,
@@ -16,37 +16,37 @@
         "reason": failure.reason.value,
         "verdict": failure.verdict.label,
         "detail": failure.detail,
-        "after_ms": round((now - attempt.sent_at) * 1000, 1),
+        "after_ms": round((now - attempt.sent_at_s) * 1000, 1),
     }
     if failure.reason is Reason.CONNECTION_LOST:
         details["fingerprint"] = fingerprint(request)
-    return Note("attempt_failed", details)
+    return LogEvent("attempt_failed", details)
 
 
-def server_state(attempt: LiveAttempt, state: str, why: object, now: float) -> Note:
+def server_state(attempt: LiveAttempt, state: str, why: object, now: float) -> LogEvent:
     """Return the note of a server's new state, and of the attempt that showed it."""
     details: dict[str, object] = {
         "instance": attempt.server.record.instance,
         "service": attempt.server.record.service,
         "state": state,
         "why": why,
-        "latency_ms": round((now - attempt.sent_at) * 1000, 1),
+        "latency_ms": round((now - attempt.sent_at_s) * 1000, 1),
     }
-    return Note("server_state", details)
+    return LogEvent("server_state", details)
 
 
-def server_suspected(instance: str, for_s: float) -> Note:
+def server_suspected(instance: str, for_s: float) -> LogEvent:
     """Return the note of a server that the nodes together found slow or failing."""
     details: dict[str, object] = {"instance": instance, "state": "suspected", "why": "peers", "for_s": for_s}
-    return Note("server_state", details)
+    return LogEvent("server_state", details)
 
 
-def server_entry(instance: str, change: str) -> Note:
+def server_entry(instance: str, change: str) -> LogEvent:
     """Return the note of a changed entry in the registry."""
-    return Note("server_entry", {"instance": instance, "change": change})
+    return LogEvent("server_entry", {"instance": instance, "change": change})
 
 
-def rollout(change: OrderChange) -> Note:
+def rollout(change: OrderChange) -> LogEvent:
     """Return the note of an order whose record, or what this node obeys of it, has changed."""
     details: dict[str, object] = {
         "service": change.order.service,
@@ -56,4 +56,4 @@
         "state": change.state or "withdrawn",
         "why": change.why,
     }
-    return Note("rollout_learnt" if change.recorded else "rollout_obeyed", details)
+    return LogEvent("rollout_learnt" if change.recorded else "rollout_obeyed", details)
--- a/src/yokesill/gateway/messages.py
+++ b/src/yokesill/gateway/messages.py
@@ -14,7 +14,7 @@
     """A caller's request as it was read whole.
 
     ``key`` names it within this node; ``request_id`` is the caller's own name for it.
-    ``arrived_at`` is in seconds of the node's clock; ``patience`` is how long the caller will wait
+    ``arrived_at_s`` is in seconds of the node's clock; ``caller_timeout_s`` is how long the caller will wait
     from then on, in seconds (``None``: it did not say). ``fresh_connection``: it connected for this
     request, so that its way here took longer. ``asked_before``: another node may have asked servers
     for it, so that whatever is sent now may be a second time.
@@ -28,8 +28,8 @@
     target: bytes
     headers: Headers
     body: bytes
-    arrived_at: float
-    patience: float | None
+    arrived_at_s: float
+    caller_timeout_s: float | None
     fresh_connection: bool = True
     asked_before: bool = False
 
@@ -65,7 +65,7 @@
 
 
 class Attempt(NamedTuple):
-    """One sending of a request to one server; ``deadline`` in seconds of the node's clock.
+    """One sending of a request to one server; ``deadline_at_s`` in seconds of the node's clock.
 
     ``repeatable`` requests may run more than once.
     """
@@ -74,7 +74,7 @@
     request: GatewayRequest
     server: ServerRecord
     connection_limit: int
-    deadline: float
+    deadline_at_s: float
     repeatable: bool = True
 
 
@@ -89,7 +89,7 @@
     route: str
     version: int
     verdict: Verdict
-    elapsed: float
+    elapsed_s: float
     covered: int = 1
     asked: int = 1
     attempts: int = 0
--- a/src/yokesill/gateway/options.py
+++ b/src/yokesill/gateway/options.py
@@ -4,21 +4,21 @@
 from dataclasses import dataclass, field, fields, replace
 from typing import Any
 
-from yokesill.gateway.budget import BudgetTerms
-from yokesill.gateway.cold_starts import ColdStartTerms
-from yokesill.rollouts.orders import RolloutTerms
+from yokesill.gateway.limits.budget import BudgetLimits
+from yokesill.gateway.servers.cold_starts import ColdStartLimits
+from yokesill.rollouts.orders import RolloutLimits
 
-DEFAULT_BUDGET = BudgetTerms(ratio=0.1, allowance=10.0, window=10.0)
+DEFAULT_BUDGET = BudgetLimits(ratio=0.1, allowance=10.0, window_s=10.0)
 
 
 @dataclass(frozen=True, slots=True)
 class GatewayOptions:
     """Options of one node's router; times in seconds.
 
-    ``fresh_margin`` is what of a caller's latency this node cannot see: connecting, the request's way
-    here and the answer's way back; ``kept_margin`` the same without connecting. The hedge factors say
+    ``fresh_margin_s`` is what of a caller's latency this node cannot see: connecting, the request's way
+    here and the answer's way back; ``kept_margin_s`` the same without connecting. The hedge factors say
     after how many typical latencies an attempt counts as stalled. ``assumed_nodes`` stands in until
-    the nodes were counted. ``removed_grace`` is how long a server whose entry is gone may still be a
+    the nodes were counted. ``removed_grace_s`` is how long a server whose entry is gone may still be a
     last resort: entries also vanish when the registry was down. ``rollouts`` are the figures of roll-outs;
     without them servers' versions don't count.
 
@@ -35,19 +35,19 @@
     zone: str
     node: str = ""
     regions: dict[str, str] = field(default_factory=dict)
-    budget: BudgetTerms = DEFAULT_BUDGET
-    cold_starts: ColdStartTerms = ColdStartTerms()  # noqa: RUF009 (immutable)
-    rollouts: RolloutTerms | None = None
-    fresh_margin: float = 0.0145
-    kept_margin: float = 0.0115
+    budget: BudgetLimits = DEFAULT_BUDGET
+    cold_starts: ColdStartLimits = ColdStartLimits()  # noqa: RUF009 (immutable)
+    rollouts: RolloutLimits | None = None
+    fresh_margin_s: float = 0.0145
+    kept_margin_s: float = 0.0115
     gather_hedge_factor: float = 2.0
     single_hedge_factor: float = 2.5
-    minimum_hedge_delay: float = 0.004
+    minimum_hedge_delay_s: float = 0.004
     assumed_nodes: int = 16
-    removed_grace: float = 1.5
+    removed_grace_s: float = 1.5
     connection_share: float = 0.9
-    zone_round_trip: float = 0.002
-    region_round_trip: float = 0.025
+    zone_round_trip_s: float = 0.002
+    region_round_trip_s: float = 0.025
     leaves_out: bool = True
     paces: bool = True
     heeds_refusals: bool = True
@@ -78,5 +78,5 @@
         if zone == self.zone:
             return 0.0
         if self.regions.get(zone) == self.regions.get(self.zone):
-            return self.zone_round_trip
-        return self.region_round_trip
+            return self.zone_round_trip_s
+        return self.region_round_trip_s
--- a/src/yokesill/gateway/cut_off.py
+++ b/src/yokesill/gateway/partition.py
@@ -23,7 +23,7 @@
 ROUNDING = 1e-9
 
 
-class CutOff:
+class PartitionDetector:
     """One node's judgement; times in seconds of its clock."""
 
     def __init__(self) -> None:
--- /dev/null
+++ b/src/yokesill/gateway/requests/__init__.py
@@ -0,0 +1,1 @@
+"""One request from its arrival to its final answer: fan-out, hedges, retries, refusals."""
--- a/src/yokesill/gateway/parts.py
+++ b/src/yokesill/gateway/requests/fan_out.py
@@ -3,14 +3,14 @@
 import math
 import weakref
 
-from yokesill.gateway.calls import NEVER, ServiceCall
-from yokesill.gateway.caution import Caution, SuspectRequest
-from yokesill.gateway.come_back import come_back_ms
 from yokesill.gateway.context import GatewayContext
 from yokesill.gateway.documents import Gather, Route
 from yokesill.gateway.events import Action, SetTimer, TimerKind
 from yokesill.gateway.messages import GatewayRequest
-from yokesill.gateway.selection import Choice
+from yokesill.gateway.requests.isolation import Isolation, SuspectRequest
+from yokesill.gateway.requests.retry_after import retry_after_ms_of
+from yokesill.gateway.requests.service_call import NEVER, ServiceCall
+from yokesill.gateway.servers.selection import Choice
 
 # So many usual latencies before an answer would be late another server is asked, even if the attempt is not
 # late by its usual time yet: without it searches lose 0.003 of their credit and checks 0.002, most where two
@@ -19,7 +19,7 @@
 ROUNDING = 1e-9
 
 
-class RequestParts:
+class FanOut:
     """The calls of one request, ``required`` of which must bring a part.
 
     Services that have a sound server are asked at once. Where all servers are slow, a call is
@@ -48,7 +48,7 @@
         self._route = route
         self._context = context
         self._by_service = {call.service: call for call in self.calls}
-        self.caution = Caution()
+        self.isolation = Isolation()
         self._unsettled = len(self.calls)
         self._deferred = 0
         self._gathers = isinstance(route.destination, Gather)
@@ -58,21 +58,21 @@
     # --- what is known of them ---
 
     @property
-    def enough(self) -> bool:
+    def coverage_met(self) -> bool:
         """Whether as many parts are in as the answer needs."""
         return self.covered >= self.required
 
     @property
-    def under_way(self) -> int:
+    def pending(self) -> int:
         """How many calls were asked and may still bring a part."""
         return self._unsettled - self._deferred
 
     @property
-    def hopeless(self) -> bool:
+    def coverage_unreachable(self) -> bool:
         """Whether too few parts can still come."""
         return self.covered + self._unsettled < self.required
 
-    def wants_room(self, service: str) -> bool:
+    def awaits_slot(self, service: str) -> bool:
         """Whether a service should be asked as soon as one of its slow servers has room."""
         call = self._by_service[service]
         return bool(call.deferred) and self._wanted() > 0
@@ -92,10 +92,10 @@
         Nobody is asked if too few can be: the request is then refused as one that surely has not run.
         """
         delay = self.hedge_delay(now)
-        if self._context.rollouts.obeyed:
+        if self._context.rollouts.effective:
             self._choose_canaries(now)
-        looks = [(call, call.look(now)) for call in self.calls]
-        if sum(call.askable(choice, now) for call, choice in looks) < self.required:
+        looks = [(call, call.select(now)) for call in self.calls]
+        if sum(call.can_send_first(choice, now) for call, choice in looks) < self.required:
             self._ask_nobody(looks, now, actions)
             return
         if not self._counted_before:
@@ -103,7 +103,7 @@
             for call in self.calls:
                 self._context.budget(call.service).count_request(now)
         if self._heed_suspicion(now):
-            self.caution.held = self._owner.likely_first(self.calls)
+            self.isolation.held = self._owner.suspects_first(self.calls)
             self._try_next(now, actions)
             return
         for call, choice in looks:
@@ -114,7 +114,7 @@
         self, call: ServiceCall, choice: Choice | None, delay: float, now: float, actions: list[Action]
     ) -> None:
         if choice is None or choice.sound:
-            call.begin(choice, self._owner.hard, delay, now, actions)
+            call.begin(choice, self._owner.deadline_at_s, delay, now, actions)
             self._took(call)
         else:
             self._defer(call, "first", now)
@@ -123,32 +123,32 @@
 
     def _heed_suspicion(self, now: float) -> bool:
         """Whether calls are held at this moment; what waits for room is held with them."""
-        needed = self.caution.heed(self._owner.suspected(now))
+        needed = self.isolation.update(self._owner.suspected(now))
         if needed and self._deferred:
-            self.caution.hold_waiting(self.calls)
+            self.isolation.hold_waiting(self.calls)
             self._deferred = 0
         return needed
 
     def ended(self, number: int, now: float, actions: list[Action], answered: bool, lost: str) -> None:
-        """Take how an attempt ended (see ``Caution.ended``): a trial may begin, or what is held may go."""
-        was_needed = self.caution.needed
-        self.caution.ended(number, answered, lost)
+        """Take how an attempt ended (see ``Isolation.ended``): a trial may begin, or what is held may go."""
+        was_needed = self.isolation.needed
+        self.isolation.ended(number, answered, lost)
         if not was_needed:
             return
         if self._heed_suspicion(now):
             self._try_next(now, actions)
             return
-        for call in self.caution.let_go():
+        for call in self.isolation.release():
             if call.sent:
                 self.retry(call, now, actions)
             else:
-                self._begin_call(call, call.look(now), self.hedge_delay(now), now, actions)
+                self._begin_call(call, call.select(now), self.hedge_delay(now), now, actions)
         self.fill(now, actions)
 
     def _try_next(self, now: float, actions: list[Action]) -> None:
-        while (call := self.caution.next(bool(self.by_number))) is not None:
-            attempt = call.ask_alone(self._owner.hard, NEVER, now, actions)
-            self.caution.trial = None if attempt is None else attempt.number
+        while (call := self.isolation.next(bool(self.by_number))) is not None:
+            attempt = call.probe(self._owner.deadline_at_s, NEVER, now, actions)
+            self.isolation.trial = None if attempt is None else attempt.number
             self._took(call)
 
     def _choose_canaries(self, now: float) -> None:
@@ -162,22 +162,24 @@
         self, looks: list[tuple[ServiceCall, Choice | None]], now: float, actions: list[Action]
     ) -> None:
         for call, choice in looks:
-            if call.askable(choice, now):
-                call.leave_out()
+            if call.can_send_first(choice, now):
+                call.skip()
             else:
-                call.begin(None, self._owner.hard, NEVER, now, actions)
+                call.begin(None, self._owner.deadline_at_s, NEVER, now, actions)
             self.count(call)
 
-    def come_back_ms(self, now: float) -> int:
+    def retry_after_ms_of(self, now: float) -> int:
         """Return after how long the caller may come back, in milliseconds; the request has not run."""
-        times = (call.askable_at_s(now) for call in self.calls)
-        return come_back_ms(times, self.required, now, self._owner.hard, self._context.random_source)
+        times = (call.available_at_s(now) for call in self.calls)
+        return retry_after_ms_of(
+            times, self.required, now, self._owner.deadline_at_s, self._context.random_source
+        )
 
     def fill(self, now: float, actions: list[Action]) -> None:
         """Ask deferred services that are needed and have room; the owner waits for the rest."""
         if not self._deferred or self._heed_suspicion(now):
             return
-        looks = [(call, call.look(now)) for call in self.calls if call.deferred]
+        looks = [(call, call.select(now)) for call in self.calls if call.deferred]
         looks.sort(key=lambda each: NEVER if each[1] is None else each[1].expected_s)
         for call, choice in looks:
             if choice is None or self._may_go(choice, now):
@@ -197,7 +199,7 @@
         """
         has_room = self._context.has_room(choice, now)
         if self._wanted() > 0:
-            return has_room or choice.too_late(self._owner.hard, now)
+            return has_room or choice.too_late(self._owner.deadline_at_s, now)
         return has_room and choice.idle(now)
 
     def _wait(self, call: ServiceCall, choice: Choice, now: float, actions: list[Action]) -> None:
@@ -206,12 +208,12 @@
         if owner is not None:
             waiting.enter(call.service, owner, choice.expected_s)
         if waiting.look_again(call.service, choice.room_at_s):
-            actions.append(SetTimer(call.service, TimerKind.ROOM, choice.room_at_s))
+            actions.append(SetTimer(call.service, TimerKind.PACING, choice.room_at_s))
 
-    def take_room(self, service: str, now: float, actions: list[Action]) -> float | None:
+    def dispatch_deferred(self, service: str, now: float, actions: list[Action]) -> float | None:
         """Ask a service that has room; return ``None``, or from when on it has room (seconds)."""
         call = self._by_service[service]
-        choice = call.look(now)
+        choice = call.select(now)
         if choice is not None and not self._context.has_room(choice, now):
             return choice.room_at_s
         self._go(call, choice, now, actions)
@@ -225,7 +227,7 @@
         actions: list[Action],
     ) -> None:
         self._deferred -= 1
-        call.take_room(choice, self._owner.hard, self.hedge_delay(now), now, actions)
+        call.dispatch_deferred(choice, self._owner.deadline_at_s, self.hedge_delay(now), now, actions)
         self._took(call)
 
     def _defer(self, call: ServiceCall, cause: str, now: float) -> None:
@@ -242,11 +244,11 @@
         options = self._context.options
         factor = options.gather_hedge_factor if self._gathers else options.single_hedge_factor
         typical = self._context.typical(self._route).median
-        latest = self._owner.soft - now - LATEST_HEDGE_SHARE * typical
+        latest = self._owner.objective_at_s - now - LATEST_HEDGE_SHARE * typical
         delay = typical * factor
         if typical < latest < delay:
             delay = latest
-        return max(delay, options.minimum_hedge_delay)
+        return max(delay, options.minimum_hedge_delay_s)
 
     def late_calls(self, now: float) -> list[ServiceCall]:
         """Return the calls whose attempts are late."""
@@ -264,7 +266,7 @@
             return
         delay = self.hedge_delay(now)
         for call in late:
-            call.hedge(self._owner.hard, delay, now, actions)
+            call.hedge(self._owner.deadline_at_s, delay, now, actions)
             self._took(call)
         self.fill(now, actions)
 
@@ -272,11 +274,11 @@
         """Ask a service again after an attempt that brought no success."""
         if self._heed_suspicion(now) and call.open and not call.live_numbers and call.repeatable(now):
             call.hedge_at = NEVER
-            self.caution.held.append(call)
+            self.isolation.held.append(call)
             self._try_next(now, actions)
             return
         was_deferred = bool(call.deferred)
-        call.retry(self._owner.hard, self.hedge_delay(now), now, actions)
+        call.retry(self._owner.deadline_at_s, self.hedge_delay(now), now, actions)
         self._deferred += bool(call.deferred) - was_deferred
         self._took(call)
         self.fill(now, actions)
--- a/src/yokesill/gateway/caution.py
+++ b/src/yokesill/gateway/requests/isolation.py
@@ -2,25 +2,25 @@
 
 from typing import Protocol
 
-from yokesill.gateway.calls import ServiceCall
-from yokesill.gateway.waiting import Waiting
+from yokesill.gateway.requests.pacing_queue import QueuedRequest
+from yokesill.gateway.requests.service_call import ServiceCall
 from yokesill.quarantine.judge import Loss
 
 # Lost attempts at one service are an everyday matter, and repeating them at once is worth a caller's time.
 SERVICES_LOST_TO_HOLD = 2
 
 
-class SuspectRequest(Waiting, Protocol):
+class SuspectRequest(QueuedRequest, Protocol):
     """A request as its parts see it: how long it may last, and whether servers are feared to end by it."""
 
     def suspected(self, now: float) -> bool:
         """Whether it may be at one server at a time only."""
 
-    def likely_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
+    def suspects_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
         """Return calls in the order in which to try them: services first whose servers ended."""
 
 
-class Caution:
+class Isolation:
     """The calls of one request that are held, and the one that is tried.
 
     What is lost at one service is repeated at once, and so is all as soon as some server has answered: then
@@ -41,7 +41,7 @@
         self._uncounted: dict[str, Loss] = {}
         self._answered = False
 
-    def heed(self, suspected: bool) -> bool:
+    def update(self, suspected: bool) -> bool:
         """Take whether the request is suspected now; return whether calls are to be held."""
         self.suspected = suspected
         self.needed = suspected or (len(self._lost) >= SERVICES_LOST_TO_HOLD and not self._answered)
@@ -88,7 +88,7 @@
                 call.deferred = ""
                 self.held.append(call)
 
-    def let_go(self) -> list[ServiceCall]:
+    def release(self) -> list[ServiceCall]:
         """Return all that was held: the request has proved harmless."""
         held, self.held = self.held, []
         return held
--- a/src/yokesill/gateway/request_evidence.py
+++ b/src/yokesill/gateway/requests/losses.py
@@ -2,20 +2,20 @@
 
 from collections.abc import Collection
 
-from yokesill.gateway.calls import ServiceCall
-from yokesill.gateway.crashes import RequestCrashes
+from yokesill.gateway.crash_tracker import CrashTracker
 from yokesill.gateway.events import Action
-from yokesill.gateway.fingerprints import fingerprint
 from yokesill.gateway.messages import GatewayRequest
-from yokesill.quarantine.judge import Loss, Standing
+from yokesill.gateway.requests.fingerprints import fingerprint
+from yokesill.gateway.requests.service_call import ServiceCall
+from yokesill.quarantine.judge import Loss, QuarantineStatus
 
 
-class RequestEvidence:
+class RequestLosses:
     """One request's losses; ``crashes`` is what its node knows of it and of others like it."""
 
     __slots__ = ("_crashes", "_fingerprint", "_request", "_untold")
 
-    def __init__(self, request: GatewayRequest, crashes: RequestCrashes) -> None:
+    def __init__(self, request: GatewayRequest, crashes: CrashTracker) -> None:
         self._request = request
         self._crashes = crashes
         self._fingerprint = ""
@@ -30,9 +30,9 @@
     def suspected(self, now: float) -> bool:
         """Whether servers are suspected to end by it."""
         judge = self._crashes.judge
-        return len(judge) > 0 and judge.standing(self.fingerprint, now) is Standing.SUSPECTED
+        return len(judge) > 0 and judge.standing(self.fingerprint, now) is QuarantineStatus.SUSPECTED
 
-    def likely_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
+    def suspects_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
         """Return calls in the order in which to try them: services first whose servers ended."""
         lost = self._crashes.judge.suspected_services(self.fingerprint)
         return sorted(calls, key=lambda call: call.service not in lost)
--- a/src/yokesill/gateway/waiting.py
+++ b/src/yokesill/gateway/requests/pacing_queue.py
@@ -8,21 +8,21 @@
 from typing import Generic, Protocol, TypeVar
 
 
-class Waiting(Protocol):
+class QueuedRequest(Protocol):
     """A request that may wait.
 
-    ``soft`` is until when its answer is in time, ``hard`` when it is given up, both in seconds;
-    ``priority`` 0 is the most urgent.
+    ``objective_at_s`` is until when its answer is in time, ``deadline_at_s`` when it is given up, both in
+    seconds; ``priority`` 0 is the most urgent.
     """
 
-    soft: float
-    hard: float
+    objective_at_s: float
+    deadline_at_s: float
 
     @property
     def priority(self) -> int:
         """How urgent it is."""
 
-    def wants_room(self, service: str) -> bool:
+    def awaits_slot(self, service: str) -> bool:
         """Whether it still waits for room at a service."""
 
 
@@ -31,10 +31,10 @@
 # the load, or all slow or dark; with it 4 and 7 (at 5: 2 and 7, but fewer are in time). `bench/overload.py`.
 LAST_CHANCE_FACTOR = 2.5
 
-Request = TypeVar("Request", bound=Waiting)
+Request = TypeVar("Request", bound=QueuedRequest)
 
 
-class WaitingRoom(Generic[Request]):
+class PacingQueue(Generic[Request]):
     """Who waits for room at each service, and when to look again."""
 
     def __init__(self) -> None:
@@ -61,22 +61,22 @@
         be given up. Then come those that can be in time, the newest first: first in, first out would
         serve each one just after its time was over.
         """
-        waiting = [each for each in self._requests.get(service, ()) if each.wants_room(service)]
+        waiting = [each for each in self._requests.get(service, ()) if each.awaits_slot(service)]
         if not waiting:
             self._requests.pop(service, None)
             self._expected_s.pop(service, None)
             return None
         self._requests[service] = waiting
         least_s = LAST_CHANCE_FACTOR * self._expected_s.get(service, 0.0)
-        last_chance = [each for each in waiting if each.hard - now < least_s]
+        last_chance = [each for each in waiting if each.deadline_at_s - now < least_s]
         if last_chance:
             return _most_urgent(last_chance)[0]
-        in_time = [each for each in waiting if each.soft > now]
+        in_time = [each for each in waiting if each.objective_at_s > now]
         return _most_urgent(in_time)[-1] if in_time else _most_urgent(waiting)[0]
 
     def anybody(self, service: str) -> bool:
         """Whether somebody waits for room at a service."""
-        return any(each.wants_room(service) for each in self._requests.get(service, ()))
+        return any(each.awaits_slot(service) for each in self._requests.get(service, ()))
 
     def look_again(self, service: str, at: float) -> bool:
         """Note that there is room at ``at``; whether a timer is needed for it."""
--- a/src/yokesill/gateway/request.py
+++ b/src/yokesill/gateway/requests/request.py
@@ -1,9 +1,7 @@
 """One request from its arrival to its final answer."""
 
-from yokesill.gateway.calls import NEVER, ServiceCall
-from yokesill.gateway.come_back import FAILED_RETRY_AFTER_MS
 from yokesill.gateway.context import GatewayContext, LiveAttempt
-from yokesill.gateway.crashes import quarantined
+from yokesill.gateway.crash_tracker import quarantined
 from yokesill.gateway.documents import Gather, Route
 from yokesill.gateway.events import (
     Action,
@@ -14,11 +12,13 @@
     SetTimer,
     TimerKind,
 )
-from yokesill.gateway.merge import greatest_records
 from yokesill.gateway.messages import GatewayRequest, RequestSummary, ServerReply
-from yokesill.gateway.parts import RequestParts
-from yokesill.gateway.refusals import shared_reason
-from yokesill.gateway.request_evidence import RequestEvidence
+from yokesill.gateway.requests.fan_out import FanOut
+from yokesill.gateway.requests.losses import RequestLosses
+from yokesill.gateway.requests.merge import greatest_records
+from yokesill.gateway.requests.refusals import shared_reason
+from yokesill.gateway.requests.retry_after import FAILED_RETRY_AFTER_MS
+from yokesill.gateway.requests.service_call import NEVER, ServiceCall
 from yokesill.quarantine.judge import Loss
 from yokesill.verdict import Failure, Reason, Verdict, join
 
@@ -32,8 +32,8 @@
 class RequestMachine:
     """Decides for one request under the configuration that was in force when it arrived.
 
-    ``soft`` is when an answer that covers enough is given although parts are missing: the latest
-    moment at which it is still in time for the caller. ``hard`` is when it is given up.
+    ``objective_at_s`` is when an answer that covers enough is given although parts are missing: the latest
+    moment at which it is still in time for the caller. ``deadline_at_s`` is when it is given up.
     """
 
     def __init__(
@@ -52,18 +52,18 @@
         self._timer_at = NEVER
         self._postponed = False
         options = context.options
-        margin = options.fresh_margin if request.fresh_connection else options.kept_margin
+        margin = options.fresh_margin_s if request.fresh_connection else options.kept_margin_s
         margin += context.lateness
         self._margin = margin
-        patience = request.patience if request.patience is not None else route.timeout
-        self.hard = request.arrived_at + min(route.timeout, patience - margin)
+        patience = request.caller_timeout_s if request.caller_timeout_s is not None else route.timeout_s
+        self.deadline_at_s = request.arrived_at_s + min(route.timeout_s, patience - margin)
         waited = context.waited_before(route, patience)
-        if waited >= route.target:
+        if waited >= route.objective_s:
             # Late whatever is done; or this caller is merely less patient than the most patient one.
             waited = 0.0
-        self.soft = request.arrived_at + max(0.0, route.target - waited - margin)
-        self._evidence = RequestEvidence(request, context.crashes)
-        self._parts = RequestParts(self, request, route, services, context)
+        self.objective_at_s = request.arrived_at_s + max(0.0, route.objective_s - waited - margin)
+        self._evidence = RequestLosses(request, context.crashes)
+        self._parts = FanOut(self, request, route, services, context)
 
     # --- events ---
 
@@ -71,8 +71,8 @@
         """Send the first attempts and set the timers."""
         self._parts.begin(now, actions)
         if isinstance(self.route.destination, Gather):
-            actions.append(SetTimer(self.request.key, TimerKind.SOFT, self.soft))
-        actions.append(SetTimer(self.request.key, TimerKind.HARD, self.hard))
+            actions.append(SetTimer(self.request.key, TimerKind.OBJECTIVE, self.objective_at_s))
+        actions.append(SetTimer(self.request.key, TimerKind.DEADLINE, self.deadline_at_s))
         self._conclude(now, actions)
         self._set_hedge_timer(actions)
 
@@ -108,14 +108,14 @@
         self._context.observe_lateness(max(0.0, now - due))
         if kind is TimerKind.HEDGE:
             self._hedge_due(now, actions)
-        elif kind is TimerKind.HARD:
+        elif kind is TimerKind.DEADLINE:
             self._give_up(now, actions)
         self._conclude(now, actions)
 
     def _due(self, kind: TimerKind) -> float:
         if kind is TimerKind.HEDGE:
             return self._timer_at
-        return self.soft if kind is TimerKind.SOFT else self.hard
+        return self.objective_at_s if kind is TimerKind.OBJECTIVE else self.deadline_at_s
 
     def caller_left(self, actions: list[Action]) -> None:
         """Break everything off: nobody waits for it."""
@@ -140,9 +140,9 @@
         """Whether servers are suspected to end by it."""
         return self._evidence.suspected(now)
 
-    def likely_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
+    def suspects_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
         """Return calls in the order in which to try them: services first whose servers ended."""
-        return self._evidence.likely_first(calls)
+        return self._evidence.suspects_first(calls)
 
     def lost(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
         """Take that a server ended under an attempt.
@@ -152,7 +152,7 @@
         record = attempt.server.record
         alone = attempt.trial and self._parts.by_number.keys() <= {attempt.number}
         loss = Loss(record.instance, record.service, alone)
-        self._evidence.add(self._parts.caution.evidence(loss), now, actions)
+        self._evidence.add(self._parts.isolation.evidence(loss), now, actions)
         if self.done:
             self._tell_losses(actions)
 
@@ -177,13 +177,13 @@
         """How urgent its route is; 0 is the most urgent."""
         return self.route.priority
 
-    def wants_room(self, service: str) -> bool:
+    def awaits_slot(self, service: str) -> bool:
         """Whether a service should be asked as soon as one of its slow servers has room."""
-        return not self.done and self._parts.wants_room(service)
+        return not self.done and self._parts.awaits_slot(service)
 
-    def take_room(self, service: str, now: float, actions: list[Action]) -> float | None:
+    def dispatch_deferred(self, service: str, now: float, actions: list[Action]) -> float | None:
         """Ask a service that has room; return ``None``, or from when on it has room (seconds)."""
-        room_at_s = self._parts.take_room(service, now, actions)
+        room_at_s = self._parts.dispatch_deferred(service, now, actions)
         if room_at_s is None:
             self._conclude(now, actions)
             self._set_hedge_timer(actions)
@@ -246,14 +246,14 @@
 
     def _conclude_gather(self, gather: Gather, now: float, actions: list[Action]) -> None:
         parts = self._parts
-        if parts.enough:
-            if parts.under_way and now < self.soft:
+        if parts.coverage_met:
+            if parts.pending and now < self.objective_at_s:
                 return
-        elif not parts.hopeless:
+        elif not parts.coverage_unreachable:
             return
         self.done = True
         self._tell_losses(actions)
-        if not parts.enough:
+        if not parts.coverage_met:
             self._refuse(now, actions)
             return
         replies = [call.reply for call in parts.calls if call.reply is not None]
@@ -277,7 +277,7 @@
         verdict = join(call.verdict for call in self._parts.calls)
         reason, detail = shared_reason(failures)
         refused = verdict is Verdict.NOT_RUN
-        come_back = self._parts.come_back_ms(now) if refused else FAILED_RETRY_AFTER_MS
+        come_back = self._parts.retry_after_ms_of(now) if refused else FAILED_RETRY_AFTER_MS
         failure = Failure(reason, verdict, detail, come_back)
         actions.append(Refuse(self.request.key, failure, self._summary(now)))
 
@@ -287,7 +287,7 @@
             route=self.route.name,
             version=self._version,
             verdict=join(call.verdict for call in self._parts.calls),
-            elapsed=now - self.request.arrived_at,
+            elapsed_s=now - self.request.arrived_at_s,
             covered=covered,
             asked=len(self._parts.calls),
             attempts=sum(call.sent for call in self._parts.calls),
@@ -295,5 +295,5 @@
             missing=tuple(call.service for call in self._parts.calls if call.reply is None),
             left_out=tuple(call.service for call in self._parts.calls if not call.sent),
             waited_s=max(call.waited_s for call in self._parts.calls),
-            late=now > self.soft + self._margin,
+            late=now > self.objective_at_s + self._margin,
         )
--- a/src/yokesill/gateway/come_back.py
+++ b/src/yokesill/gateway/requests/retry_after.py
@@ -16,14 +16,14 @@
 SPREAD_SHARE = 0.25
 
 
-def come_back_ms(
-    askable_at_s: Iterable[float], required: int, now: float, until: float, source: random.Random
+def retry_after_ms_of(
+    available_at_s: Iterable[float], required: int, now: float, until: float, source: random.Random
 ) -> int:
     """Return after how long a caller may come back, in milliseconds.
 
     Parameters
     ----------
-    askable_at_s
+    available_at_s
         Of each service of the request, when one of its servers may be asked again, in seconds of the
         node's clock; infinite where nobody knows.
     required
@@ -35,7 +35,7 @@
     source
         Spreads callers.
     """
-    times = sorted(askable_at_s)
+    times = sorted(available_at_s)
     at = times[required - 1] if required <= len(times) else float("inf")
     if not now < at < until:
         return SHED_RETRY_AFTER_MS
--- a/src/yokesill/gateway/calls.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -4,10 +4,10 @@
 
 from yokesill.gateway.context import GatewayContext, LiveAttempt
 from yokesill.gateway.documents import Route
-from yokesill.gateway.events import Action, Note, SendAttempt
+from yokesill.gateway.events import Action, LogEvent, SendAttempt
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
-from yokesill.gateway.selection import Choice, Wanted, choose_server
-from yokesill.gateway.servers import ServerState
+from yokesill.gateway.servers.selection import Choice, Wanted, choose_server
+from yokesill.gateway.servers.server_state import ServerState
 from yokesill.rollouts.orders import RolloutState
 from yokesill.verdict import Failure, Reason, Verdict
 
@@ -47,7 +47,7 @@
         self._tried: set[str] = set()
         self._deferred_at = 0.0
         # Whoever asked before may have sent all but the last attempt.
-        self._ran = max(1, route.attempts - 1) if request.asked_before else 0
+        self._ran = max(1, route.max_attempts - 1) if request.asked_before else 0
         self._arrived = request.asked_before
         self._verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
 
@@ -68,14 +68,14 @@
 
     # --- sending ---
 
-    def look(self, now: float, hedging: bool = False) -> Choice | None:
+    def select(self, now: float, hedging: bool = False) -> Choice | None:
         """Return the server that an attempt would go to now; ``None`` when there is none.
 
         The first attempt of a canary goes to the new version if that has a sound server, and everything
         else to the old one. A service that is switched over is asked at the new version, and at the old one
         only if the new one has no server that can be asked; a hedge then stays at the new one.
         """
-        obeyed = self._context.rollouts.obeyed
+        obeyed = self._context.rollouts.effective
         state = obeyed.get(self.service) if obeyed else None
         if state is RolloutState.SWITCHING:
             return self._look_while_switching(now, hedging)
@@ -101,29 +101,29 @@
             tried=tried,
             subset=context.subset(self.service, now, new),
             typical_s=context.typical(self._route).median,
-            removed_grace_s=context.options.removed_grace,
+            removed_grace_s=context.options.removed_grace_s,
             connection_limit=context.connection_limit(self.service),
             last_resort=len(self._route.services) == 1,
-            nodes=context.sharing.sharers(self.service) if context.options.paces else 0,
+            nodes=context.node_shares.active_nodes(self.service) if context.options.paces else 0,
             heeds_refusals=context.options.heeds_refusals,
         )
         candidates = context.candidates(self.service, self._route, now, new)
         return choose_server(candidates, wanted, now, context.random_source)
 
-    def askable(self, choice: Choice | None, now: float) -> bool:
+    def can_send_first(self, choice: Choice | None, now: float) -> bool:
         """Whether a first attempt can be sent, now or once ``choice`` has room."""
         if choice is None or not self._may_run_again():
             return False
         context = self._context
-        sharers = context.sharing.sharers(self.service)
-        return not self._arrived or context.budget(self.service).left(sharers, now) >= 1.0
+        active_nodes = context.node_shares.active_nodes(self.service)
+        return not self._arrived or context.budget(self.service).left(active_nodes, now) >= 1.0
 
-    def askable_at_s(self, now: float) -> float:
+    def available_at_s(self, now: float) -> float:
         """Return when a server of the service may be asked, whichever were tried; infinite if unknown."""
         candidates = self._context.candidates(self.service, self._route, now)
-        return min((each.askable_at_s(now) for each in candidates), default=NEVER)
+        return min((each.available_at_s(now) for each in candidates), default=NEVER)
 
-    def leave_out(self) -> None:
+    def skip(self) -> None:
         """Close the call: the answer can't come about whatever it brings."""
         self.closed = True
 
@@ -141,7 +141,7 @@
             return
         self._close(self._nobody(now))
 
-    def ask_alone(
+    def probe(
         self, deadline: float, hedge_delay: float, now: float, actions: list[Action]
     ) -> LiveAttempt | None:
         """Send a trial, whatever room its server has; close the call when there is nobody to send it to."""
@@ -160,7 +160,7 @@
         self._deferred_at = now
         self.hedge_at = NEVER
 
-    def take_room(
+    def dispatch_deferred(
         self, choice: Choice | None, deadline: float, hedge_delay: float, now: float, actions: list[Action]
     ) -> None:
         """Send the attempt that was deferred, or close the call when it can't be sent any more."""
@@ -177,7 +177,7 @@
         self.late = True
         if not self._route.repeatable or not self._may_run_again() or not self._context.options.hedges:
             return
-        choice = self.look(now, hedging=True)
+        choice = self.select(now, hedging=True)
         if choice is not None and self._context.has_spare_room(choice, self.service, now):
             self._send("hedge", choice, deadline, delay, now, actions)
 
@@ -188,7 +188,7 @@
         return Failure(reason, Verdict.NOT_RUN, f"no server of {self.service} can be asked")
 
     def _may_run_again(self) -> bool:
-        return self._ran + len(self._live) < self._route.attempts
+        return self._ran + len(self._live) < self._route.max_attempts
 
     def _send(
         self,
@@ -203,7 +203,9 @@
         if deadline - now < LEAST_TIME_TO_SEND:
             return False
         extra = self._arrived or bool(self._live)
-        if extra and not context.budget(self.service).take(context.sharing.sharers(self.service), now):
+        if extra and not context.budget(self.service).take(
+            context.node_shares.active_nodes(self.service), now
+        ):
             actions.append(self._note("budget_spent", cause, server, now))
             return False
         if cause == "first" and context.rollouts.is_new(server):
@@ -220,25 +222,27 @@
         self.hedge_at = now + (hedge_delay if choice.sound else max(hedge_delay, choice.expected_s))
         if cause != "first":
             actions.append(self._note("attempt_added", cause, server, now))
-        limit = server.bears(context.connection_limit(self.service), context.options.heeds_refusals)
+        limit = server.connection_limit(
+            context.connection_limit(self.service), context.options.heeds_refusals
+        )
         repeatable = self._route.repeatable
         attempt = Attempt(number, self._request, server.record, limit, deadline, repeatable)
         actions.append(SendAttempt(attempt))
         return True
 
-    def _note(self, name: str, cause: str, server: ServerState, now: float) -> Note:
-        sharers = self._context.sharing.sharers(self.service)
+    def _note(self, name: str, cause: str, server: ServerState, now: float) -> LogEvent:
+        active_nodes = self._context.node_shares.active_nodes(self.service)
         details: dict[str, object] = {
             "request": self._request.request_id,
             "service": self.service,
             "cause": cause,
             "instance": server.record.instance,
-            "after_ms": round((now - self._request.arrived_at) * 1000, 1),
-            "budget_left": round(self._context.budget(self.service).left(sharers, now), 1),
+            "after_ms": round((now - self._request.arrived_at_s) * 1000, 1),
+            "budget_left": round(self._context.budget(self.service).left(active_nodes, now), 1),
         }
-        if server.record.service in self._context.rollouts.obeyed:
+        if server.record.service in self._context.rollouts.effective:
             details["server_version"] = server.record.version
-        return Note(name, details)
+        return LogEvent(name, details)
 
     # --- what attempts bring ---
 
@@ -271,7 +275,7 @@
 
     def _next_choice(self, now: float) -> Choice | None:
         may_repeat = self._route.repeatable or self._verdict is Verdict.NOT_RUN
-        return self.look(now) if may_repeat and self._may_run_again() else None
+        return self.select(now) if may_repeat and self._may_run_again() else None
 
     def retry(self, deadline: float, delay: float, now: float, actions: list[Action]) -> None:
         """After an attempt that brought no success: send another where that is allowed, or close."""
--- a/src/yokesill/gateway/rollouts.py
+++ b/src/yokesill/gateway/rollouts.py
@@ -4,7 +4,7 @@
 
 from yokesill.gateway.documents import Configuration, Route
 from yokesill.gateway.messages import GatewayRequest
-from yokesill.gateway.servers import ServerState
+from yokesill.gateway.servers.server_state import ServerState
 from yokesill.rollouts.canary import Canary
 from yokesill.rollouts.evidence import OrderEvidence
 from yokesill.rollouts.messages import OrderReport, Sample
@@ -22,9 +22,9 @@
         self._repeatable: frozenset[str] = frozenset()
 
     @property
-    def obeyed(self) -> Mapping[str, RolloutState]:
+    def effective(self) -> Mapping[str, RolloutState]:
         """What is obeyed of the order of each service that has one."""
-        return self.orders.obeyed
+        return self.orders.effective
 
     def set_configuration(self, configuration: Configuration) -> None:
         """Take which services are reached by requests that may be repeated."""
@@ -48,7 +48,7 @@
         chosen = []
         for service in services:
             order = self.orders.open.get(service)
-            if order is None or self.obeyed[service] is not RolloutState.CANARY:
+            if order is None or self.effective[service] is not RolloutState.CANARY:
                 continue
             if (route.repeatable or service not in self._repeatable) and canary.takes(asked, order.id, now):
                 chosen.append((canary.rank(asked, order.id), service))
@@ -56,7 +56,7 @@
 
     def is_new(self, server: ServerState) -> bool:
         """Whether a server is of the version that an open order moves to."""
-        order = self.orders.open.get(server.record.service) if self.obeyed else None
+        order = self.orders.open.get(server.record.service) if self.effective else None
         return order is not None and server.record.version == order.target
 
     # --- evidence ---
@@ -97,7 +97,7 @@
         self._evidence = {order: each for order, each in self._evidence.items() if order in kept}
         reports = []
         for order in orders:
-            seen, state = self._of(order.id), self.obeyed[order.service]
+            seen, state = self._of(order.id), self.effective[order.service]
             others = (each for each in servers_of(order.service) if each.record.version != order.target)
             in_flight = sum(each.in_flight for each in others)
             counts = (seen.sent_old, seen.sent_new, in_flight)
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -5,21 +5,21 @@
 from functools import singledispatch
 from typing import Any
 
-from yokesill.gateway import events as ev, notes
-from yokesill.gateway.budget import BudgetTerms
+from yokesill.gateway import events as ev, log_events
 from yokesill.gateway.context import GatewayContext, LiveAttempt
-from yokesill.gateway.crashes import RequestCrashes, quarantined
+from yokesill.gateway.crash_tracker import CrashTracker, quarantined
 from yokesill.gateway.documents import Configuration, Route, Split
-from yokesill.gateway.evidence import Evidence
-from yokesill.gateway.fingerprints import fingerprint
-from yokesill.gateway.learning import Learning, learn
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.options import GatewayOptions
-from yokesill.gateway.request import RequestMachine
-from yokesill.gateway.server_table import ServerTable
-from yokesill.gateway.servers import ACTIVE
-from yokesill.gateway.splits import SplitCursors
-from yokesill.quarantine.judge import Standing
+from yokesill.gateway.requests.fingerprints import fingerprint
+from yokesill.gateway.requests.request import RequestMachine
+from yokesill.gateway.requests.splits import SplitCursors
+from yokesill.gateway.servers.evidence import ServerEvidence
+from yokesill.gateway.servers.server_state import ACTIVE
+from yokesill.gateway.servers.server_table import ServerTable
+from yokesill.gateway.state_updates import StateUpdates, apply_update
+from yokesill.quarantine.judge import QuarantineStatus
 from yokesill.rollouts.messages import OrderReport
 from yokesill.rollouts.node_orders import NodeOrders
 from yokesill.rollouts.orders import RolloutOrder
@@ -38,8 +38,8 @@
         self._requests: dict[str, RequestMachine] = {}
         self._owners: dict[int, RequestMachine] = {}
         self._cursors = SplitCursors(random_source)
-        self._learning = Learning(self._context, self._cursors)
-        self._evidence = Evidence(self._context, now)
+        self._learning = StateUpdates(self._context, self._cursors)
+        self._evidence = ServerEvidence(self._context, now)
 
     @property
     def configuration(self) -> Configuration | None:
@@ -54,7 +54,7 @@
     @property
     def nodes(self) -> int:
         """How many nodes are taken to share the budgets."""
-        return self._context.sharing.nodes
+        return self._context.node_shares.nodes
 
     @property
     def lateness(self) -> float:
@@ -82,7 +82,7 @@
         """How many routes and services something learnt is kept of."""
         return self._context.kept_estimates()
 
-    def set_budget(self, terms: BudgetTerms) -> None:
+    def set_budget(self, terms: BudgetLimits) -> None:
         """Keep to other terms from now on; what was spent still counts."""
         self._context.set_budget(terms)
 
@@ -97,7 +97,7 @@
     # --- requests ---
 
     def _timer(self, event: ev.TimerFired, now: float, actions: list[ev.Action]) -> None:
-        if event.kind is ev.TimerKind.ROOM:
+        if event.kind is ev.TimerKind.PACING:
             self._context.waiting.looked(event.key)
             self._serve_waiting(event.key, now, actions)
             return
@@ -111,12 +111,12 @@
         waiting = self._context.waiting
         while (request := waiting.next(service, now)) is not None:
             taken: list[ev.Action] = []
-            room_at_s = request.take_room(service, now, taken)
+            room_at_s = request.dispatch_deferred(service, now, taken)
             self._settle(request, taken)
             actions.extend(taken)
             if room_at_s is not None:
                 if waiting.look_again(service, room_at_s):
-                    actions.append(ev.SetTimer(service, ev.TimerKind.ROOM, room_at_s))
+                    actions.append(ev.SetTimer(service, ev.TimerKind.PACING, room_at_s))
                 return
 
     def _arrived(self, request: GatewayRequest, now: float, actions: list[ev.Action]) -> None:
@@ -133,7 +133,7 @@
             failure = Failure(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail)
             actions.append(ev.Refuse(request.key, failure))
             return
-        if self._context.crashes.standing(request, now) is Standing.QUARANTINED:
+        if self._context.crashes.standing(request, now) is QuarantineStatus.QUARANTINED:
             verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
             actions.append(ev.Refuse(request.key, quarantined(fingerprint(request), verdict)))
             return
@@ -171,21 +171,21 @@
         if attempt is None or machine is None:
             return
         server, reply = attempt.server, event.reply
-        if event.sent_at is not None:
+        if event.sent_at_s is not None:
             # What an attempt waited on this node, for its turn or a connection, is not the server's doing.
-            attempt.sent_at = event.sent_at
-        if event.connected_in is not None:
-            self.servers.connected(server, event.connected_in)
+            attempt.sent_at_s = event.sent_at_s
+        if event.connected_in_s is not None:
+            self.servers.connected(server, event.connected_in_s)
         typical = self._context.typical(machine.route)
         if reply.status >= 500:
-            state = server.failed(attempt.sent_at, now)
+            state = server.failed(attempt.sent_at_s, now)
         else:
             late = self._context.lateness
-            state = server.answered(attempt.sent_at, typical.median, reply.load, now, late)
-            typical.record(now - attempt.sent_at)
-        if self._context.rollouts.obeyed:
+            state = server.answered(attempt.sent_at_s, typical.median, reply.load, now, late)
+            typical.record(now - attempt.sent_at_s)
+        if self._context.rollouts.effective:
             late = self._context.lateness
-            self._context.rollouts.ended(server, machine.route, reply.succeeded, attempt.sent_at, late, now)
+            self._context.rollouts.ended(server, machine.route, reply.succeeded, attempt.sent_at_s, late, now)
         self._note_state(attempt, state, reply.status, now, actions)
         self._evidence.tell(attempt, now, actions)
         if len(self._context.crashes.judge):
@@ -199,7 +199,7 @@
         attempt, machine = self._end(number)
         if attempt is None or machine is None:
             return
-        actions.append(notes.attempt_failed(attempt, machine.request, failure, now))
+        actions.append(log_events.attempt_failed(attempt, machine.request, failure, now))
         if failure.reason is Reason.CONNECTION_LOST:
             machine.lost(attempt, now, actions)
             # Before the request itself hears of it, which would try the next server.
@@ -211,9 +211,11 @@
         elif failure.reason is Reason.CONNECTION_REFUSED and self.options.heeds_refusals:
             attempt.server.refused(now)
         elif self._evidence.counts(attempt, machine.route, failure, now):
-            state = attempt.server.failed(attempt.sent_at, now)
-            if self._context.rollouts.obeyed:
-                self._context.rollouts.ended(attempt.server, machine.route, False, attempt.sent_at, 0.0, now)
+            state = attempt.server.failed(attempt.sent_at_s, now)
+            if self._context.rollouts.effective:
+                self._context.rollouts.ended(
+                    attempt.server, machine.route, False, attempt.sent_at_s, 0.0, now
+                )
             self._note_state(attempt, state, failure.reason.value, now, actions)
             self._evidence.tell(attempt, now, actions)
         machine.failed(number, failure, now, actions)
@@ -223,7 +225,7 @@
     # --- requests under which servers end ---
 
     @property
-    def quarantine(self) -> RequestCrashes:
+    def quarantine(self) -> CrashTracker:
         """What is known of requests under which servers ended."""
         return self._context.crashes
 
@@ -251,7 +253,7 @@
     ) -> None:
         if state is None or state == ACTIVE:
             return
-        actions.append(notes.server_state(attempt, state, why, now))
+        actions.append(log_events.server_state(attempt, state, why, now))
 
 
 Actions = list[ev.Action]
@@ -259,7 +261,7 @@
 
 @singledispatch
 def _take(event: Any, router: GatewayRouter, now: float, actions: Actions) -> None:
-    learn(event, router._learning, now, actions)
+    apply_update(event, router._learning, now, actions)
 
 
 @_take.register
--- a/src/yokesill/gateway/cold_starts.py
+++ b/src/yokesill/gateway/servers/cold_starts.py
@@ -19,7 +19,7 @@
 DEALT_SHARE = 0.5
 
 
-class ColdStartTerms(NamedTuple):
+class ColdStartLimits(NamedTuple):
     """How far beyond its own figure a cold server may be asked in one second.
 
     The bound is the service's figure times ``overshoot``, plus ``slack`` requests.
@@ -40,7 +40,7 @@
         The bound for all nodes together.
     """
 
-    def __init__(self, own: str, terms: ColdStartTerms) -> None:
+    def __init__(self, own: str, terms: ColdStartLimits) -> None:
         self._own = own
         self._terms = terms
         self._nodes: dict[str, int] = {}
--- a/src/yokesill/gateway/evidence.py
+++ b/src/yokesill/gateway/servers/evidence.py
@@ -15,7 +15,7 @@
 NO_EVIDENCE = frozenset({Reason.OVERLOADED, Reason.CONNECTION_FORGOTTEN})
 
 
-class Evidence:
+class ServerEvidence:
     """What one node's attempts show of servers."""
 
     def __init__(self, context: GatewayContext, now: float) -> None:
@@ -32,7 +32,7 @@
         if failure.reason is not Reason.TIMED_OUT:
             return True
         usual = attempt.server.round_trip + self._context.typical(route).median
-        return now - attempt.sent_at >= SILENCE_FACTOR * usual
+        return now - attempt.sent_at_s >= SILENCE_FACTOR * usual
 
     def tell(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
         """Tell the other nodes if the attempt's end spoke against its server."""
@@ -51,7 +51,7 @@
             typical = None if route is None else self._context.known_typical(route)
             if attempt.told or typical is None:
                 continue
-            if now - attempt.sent_at >= max(SILENCE_TO_TELL_S, SILENCE_TO_TELL_FACTOR * typical.median):
+            if now - attempt.sent_at_s >= max(SILENCE_TO_TELL_S, SILENCE_TO_TELL_FACTOR * typical.median):
                 attempt.told = True
                 self._tell(attempt, now, actions)
 
--- a/src/yokesill/gateway/good_answers.py
+++ b/src/yokesill/gateway/servers/recent_successes.py
@@ -3,7 +3,7 @@
 GOOD_PERIOD_S = 1.0
 
 
-class GoodAnswers:
+class RecentSuccesses:
     """Counts the good answers of the last second or so; times in seconds of the node's clock."""
 
     __slots__ = ("_count", "_since_s")
--- a/src/yokesill/gateway/selection.py
+++ b/src/yokesill/gateway/servers/selection.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
 
-from yokesill.gateway.servers import ServerState
+from yokesill.gateway.servers.server_state import ServerState
 
 NEAR_ENOUGH = 1.15
 SAME_DISTANCE_S = 0.0006
@@ -95,7 +95,7 @@
     sound = [each for each in servers if each.usable(now)]
     ready = [each for each in sound if not each.pausing(now)]
     limit, heeds = wanted.connection_limit, wanted.heeds_refusals
-    free = [each for each in ready if each.in_flight < each.bears(limit, heeds)]
+    free = [each for each in ready if each.in_flight < each.connection_limit(limit, heeds)]
     own = [each for each in free if each.record.instance in wanted.subset]
     return own or free or ready or sound
 
--- a/src/yokesill/gateway/servers.py
+++ b/src/yokesill/gateway/servers/server_state.py
@@ -3,12 +3,12 @@
 from typing import NamedTuple
 
 from yokesill.charts.flat import transition_table
-from yokesill.gateway.connecting import ConnectingTimes
-from yokesill.gateway.distances import ZoneDistances
 from yokesill.gateway.documents import ServerRecord
-from yokesill.gateway.good_answers import GoodAnswers
 from yokesill.gateway.messages import Load
-from yokesill.gateway.rejections import RecentRejections
+from yokesill.gateway.servers.connecting_times import ConnectingTimes
+from yokesill.gateway.servers.recent_successes import RecentSuccesses
+from yokesill.gateway.servers.rejections import RecentRejections
+from yokesill.gateway.servers.zone_distances import ZoneDistances
 from yokesill.rendezvous import name_hash
 
 COLD, ACTIVE, EJECTED, LEAVING = "cold", "active", "ejected", "leaving"
@@ -74,12 +74,12 @@
         self._suspected_at = 0.0
         self._suspected_until = 0.0
         self._evidence = False
-        self._good_answers = GoodAnswers()
+        self._good_answers = RecentSuccesses()
         self._sent: dict[int, SentAttempt] = {}
         self._stalled: set[int] = set()
         self._overtaken_s = float("-inf")
         self._slowness = 1.0
-        self._warm_at = now + record.warmup
+        self._warm_at = now + record.warmup_left_s
         self._load: Load | None = None
         self._load_at = 0.0
 
@@ -107,11 +107,11 @@
         """Take a newer entry of the same incarnation."""
         self.record = record
         self.removed_at = None
-        self._warm_at = now + record.warmup
+        self._warm_at = now + record.warmup_left_s
         if record.leaving:
             self._handle("leaving")
 
-    def bears(self, limit: int, heeds_refusals: bool) -> int:
+    def connection_limit(self, limit: int, heeds_refusals: bool) -> int:
         """Return how many connections this node may hold to it.
 
         ``limit`` is this node's share of what the server bears by its configuration; with
@@ -142,7 +142,7 @@
             return not self.stalled
         return now >= self._ejected_until and self.in_flight == 0
 
-    def askable_at_s(self, now: float) -> float:
+    def available_at_s(self, now: float) -> float:
         """Return from when on it may be asked, as far as that is known: its ejection or pause ends then."""
         if self.leaving:
             return float("inf")
--- a/src/yokesill/gateway/server_table.py
+++ b/src/yokesill/gateway/servers/server_table.py
@@ -3,11 +3,11 @@
 from collections import Counter
 from collections.abc import Collection, Iterable
 
-from yokesill.gateway.connecting import ConnectingTimes
-from yokesill.gateway.distances import ZoneDistances
 from yokesill.gateway.documents import ServerRecord
 from yokesill.gateway.options import GatewayOptions
-from yokesill.gateway.servers import ServerState
+from yokesill.gateway.servers.connecting_times import ConnectingTimes
+from yokesill.gateway.servers.server_state import ServerState
+from yokesill.gateway.servers.zone_distances import ZoneDistances
 from yokesill.rollouts.versions import ServiceVersions
 
 
@@ -18,7 +18,7 @@
     """
 
     def __init__(self, options: GatewayOptions) -> None:
-        self.versions = ServiceVersions(options.rollouts is not None, options.removed_grace)
+        self.versions = ServiceVersions(options.rollouts is not None, options.removed_grace_s)
         self.distances = ZoneDistances(options.assumed_round_trip)
         self._connecting = ConnectingTimes()
         self._options = options
@@ -153,7 +153,7 @@
 
     def forget_removed(self, now: float) -> list[str]:
         """Drop servers that are long gone and have nothing in flight; return their instances."""
-        longest = 2 * self._options.removed_grace
+        longest = 2 * self._options.removed_grace_s
         gone = [
             instance
             for instance, state in self._by_instance.items()
--- a/src/yokesill/gateway/placement.py
+++ b/src/yokesill/gateway/servers/server_zones.py
@@ -10,7 +10,7 @@
 
 from yokesill.gateway.documents import Route
 from yokesill.gateway.options import GatewayOptions
-from yokesill.gateway.server_table import ServerTable
+from yokesill.gateway.servers.server_table import ServerTable
 
 # A node with servers of more of the services near it gathers for itself.
 MOST_AT_HOME = 0.1
@@ -28,7 +28,7 @@
     zones: frozenset[str]
 
 
-class ServerPlaces:
+class ServerZones:
     """Which zones a node may have its wide requests gathered in."""
 
     def __init__(self, options: GatewayOptions, servers: ServerTable) -> None:
--- a/src/yokesill/gateway/learning.py
+++ b/src/yokesill/gateway/state_updates.py
@@ -4,14 +4,14 @@
 from functools import singledispatch
 from typing import Any
 
-from yokesill.gateway import events as ev, notes
+from yokesill.gateway import events as ev, log_events
 from yokesill.gateway.context import GatewayContext
 from yokesill.gateway.documents import Configuration, ServerRecord
-from yokesill.gateway.splits import SplitCursors
+from yokesill.gateway.requests.splits import SplitCursors
 from yokesill.rollouts.node_orders import OrderChange
 
 
-class Learning:
+class StateUpdates:
     """Takes what is learnt over into what the requests of a node share; tells of it in notes."""
 
     def __init__(self, context: GatewayContext, cursors: SplitCursors) -> None:
@@ -25,7 +25,7 @@
         if current is not None and configuration.version <= current.version:
             return
         context.configuration = configuration
-        context.sharing.set_configuration(configuration)
+        context.node_shares.set_configuration(configuration)
         context.rollouts.set_configuration(configuration)
         context.forget_unused(current)
         self._cursors.keep({route.name for route in configuration.routes})
@@ -34,45 +34,45 @@
             "before": current.version if current else None,
             "routes": len(configuration.routes),
         }
-        actions.append(ev.Note("configuration_applied", details))
+        actions.append(ev.LogEvent("configuration_applied", details))
 
     def evacuations(self, zones: frozenset[str], actions: list[ev.Action]) -> None:
         """Take which zones are evacuated; what is under way there ends by itself."""
         for zone in sorted(self.context.servers.evacuate(zones)):
-            actions.append(ev.Note("zone_evacuated", {"zone": zone, "evacuated": zone in zones}))
+            actions.append(ev.LogEvent("zone_evacuated", {"zone": zone, "evacuated": zone in zones}))
 
     def rollouts(self, changes: Iterable[OrderChange], actions: list[ev.Action]) -> None:
         """Tell of what was learnt of roll-outs, and of what this node obeys of it now."""
-        actions.extend(notes.rollout(change) for change in changes)
+        actions.extend(log_events.rollout(change) for change in changes)
 
     def nodes(self, names: frozenset[str], coordinators: frozenset[str]) -> None:
         """Take which nodes there are, and which of them gather for others."""
         self.context.cold_starts.set_nodes(names)
-        self.context.sharing.set_coordinators(coordinators)
+        self.context.node_shares.set_coordinators(coordinators)
 
     def server(self, record: ServerRecord, now: float, actions: list[ev.Action]) -> None:
         """Take a server's entry."""
         if self.context.servers.put(record, now) and record.leaving:
-            actions.append(notes.server_entry(record.instance, "leaving"))
+            actions.append(log_events.server_entry(record.instance, "leaving"))
         self._forget_removed(now, actions)
 
     def removal(self, instance: str, now: float, actions: list[ev.Action]) -> None:
         """Take that a server's entry is gone."""
         if self.context.servers.remove(instance, now):
-            actions.append(notes.server_entry(instance, "removed"))
+            actions.append(log_events.server_entry(instance, "removed"))
         self._forget_removed(now, actions)
 
     def all_servers(self, records: Collection[ServerRecord], now: float, actions: list[ev.Action]) -> None:
         """Take a whole list of servers."""
         gone = self.context.servers.replace(records, now)
-        actions.extend(notes.server_entry(instance, "removed") for instance in gone)
+        actions.extend(log_events.server_entry(instance, "removed") for instance in gone)
         self._forget_removed(now, actions)
 
     def suspicion(self, instance: str, for_s: float, now: float, actions: list[ev.Action]) -> None:
         """Take that the nodes together found a server slow or failing."""
         context = self.context
         if context.options.heeds_suspicions and context.servers.suspect(instance, for_s, now):
-            actions.append(notes.server_suspected(instance, for_s))
+            actions.append(log_events.server_suspected(instance, for_s))
 
     def _forget_removed(self, now: float, actions: list[ev.Action]) -> None:
         for instance in self.context.servers.forget_removed(now):
@@ -84,116 +84,116 @@
 
 
 @singledispatch
-def learn(event: Any, learning: Learning, now: float, actions: Actions) -> None:
+def apply_update(event: Any, learning: StateUpdates, now: float, actions: Actions) -> None:
     """Take an event that tells of the world; raises ``TypeError`` for any other."""
     raise TypeError(f"no event: {event!r}")
 
 
-@learn.register
-def _(event: ev.ConfigurationLearnt, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.ConfigurationLearnt, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.configuration(event.configuration, actions)
 
 
-@learn.register
-def _(event: ev.NodesCounted, learning: Learning, now: float, actions: Actions) -> None:
-    learning.context.sharing.nodes = max(1, event.nodes)
+@apply_update.register
+def _(event: ev.NodesCounted, learning: StateUpdates, now: float, actions: Actions) -> None:
+    learning.context.node_shares.nodes = max(1, event.nodes)
 
 
-@learn.register
-def _(event: ev.NodesMet, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.NodesMet, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.nodes(event.names, event.coordinators)
 
 
-@learn.register
-def _(event: ev.ZoneEvacuated, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.ZoneEvacuated, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.evacuations(learning.context.servers.evacuated | {event.zone}, actions)
 
 
-@learn.register
-def _(event: ev.ZoneReopened, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.ZoneReopened, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.evacuations(learning.context.servers.evacuated - {event.zone}, actions)
 
 
-@learn.register
-def _(event: ev.EvacuationsReplaced, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.EvacuationsReplaced, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.evacuations(event.zones, actions)
 
 
-@learn.register
-def _(event: ev.RolloutOrdered, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.RolloutOrdered, learning: StateUpdates, now: float, actions: Actions) -> None:
     if learning.context.options.rollouts is not None:
         learning.rollouts(learning.context.rollouts.orders.ordered(event.order), actions)
 
 
-@learn.register
-def _(event: ev.RolloutWithdrawn, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.RolloutWithdrawn, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.rollouts(learning.context.rollouts.orders.withdrawn(event.service), actions)
 
 
-@learn.register
-def _(event: ev.RolloutsReplaced, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.RolloutsReplaced, learning: StateUpdates, now: float, actions: Actions) -> None:
     if learning.context.options.rollouts is not None:
         learning.rollouts(learning.context.rollouts.orders.replaced(event.orders), actions)
 
 
-@learn.register
-def _(event: ev.RolloutWordHeard, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.RolloutDecisionsReceived, learning: StateUpdates, now: float, actions: Actions) -> None:
     if learning.context.options.rollouts is not None:
         learning.rollouts(learning.context.rollouts.orders.heard(event.word, now), actions)
 
 
-@learn.register
-def _(event: ev.VersionsEstablished, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.VersionsEstablished, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.context.servers.versions.establish(event.versions)
 
 
-@learn.register
-def _(event: ev.ServerSuspected, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.ServerSuspected, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.suspicion(event.instance, event.for_s, now, actions)
 
 
-@learn.register
-def _(event: ev.ServerListed, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.ServerListed, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.server(event.record, now, actions)
 
 
-@learn.register
-def _(event: ev.ServerRemoved, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.ServerRemoved, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.removal(event.instance, now, actions)
 
 
-@learn.register
-def _(event: ev.ServersReplaced, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.ServersReplaced, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.all_servers(event.records, now, actions)
 
 
-@learn.register
-def _(event: ev.LossReported, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.LossReported, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.context.crashes.loss_reported(event, now, actions)
 
 
-@learn.register
-def _(event: ev.AnswerReported, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.AnswerReported, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.context.crashes.judge.answered(event.fingerprint, event.service, event.trial)
 
 
-@learn.register
-def _(event: ev.StandingHeard, learning: Learning, now: float, actions: Actions) -> None:
-    learning.context.crashes.standing_heard(event, now, actions)
+@apply_update.register
+def _(event: ev.QuarantineStatusReceived, learning: StateUpdates, now: float, actions: Actions) -> None:
+    learning.context.crashes.status_received(event, now, actions)
 
 
-@learn.register
-def _(event: ev.RequestQuarantined, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.RequestQuarantined, learning: StateUpdates, now: float, actions: Actions) -> None:
     crashes = learning.context.crashes
     crashes.record(crashes.judge.recorded | {event.fingerprint}, actions)
 
 
-@learn.register
-def _(event: ev.QuarantineLifted, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.QuarantineLifted, learning: StateUpdates, now: float, actions: Actions) -> None:
     crashes = learning.context.crashes
     crashes.record(crashes.judge.recorded - {event.fingerprint}, actions)
 
 
-@learn.register
-def _(event: ev.QuarantineReplaced, learning: Learning, now: float, actions: Actions) -> None:
+@apply_update.register
+def _(event: ev.QuarantineReplaced, learning: StateUpdates, now: float, actions: Actions) -> None:
     learning.context.crashes.record(event.fingerprints, actions)
--- a/src/yokesill/outliers/exchange.py
+++ b/src/yokesill/outliers/exchange.py
@@ -6,7 +6,7 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from yokesill.outliers.judge import OutlierJudge
+from yokesill.outliers.judge import OutlierDetector
 from yokesill.outliers.messages import (
     Observation,
     Observations,
@@ -35,7 +35,7 @@
     def __init__(self, own: Peer, source: random.Random) -> None:
         self._own = own
         self._spreading = Spreading(own, source)
-        self._judge = OutlierJudge()
+        self._judge = OutlierDetector()
         self._told_at: dict[str, float] = {}
         self._observed: dict[str, list[Observation]] = defaultdict(list)
         self._found: list[Suspicion] = []
--- a/src/yokesill/outliers/judge.py
+++ b/src/yokesill/outliers/judge.py
@@ -31,7 +31,7 @@
 _NEVER = _Record((), 0.0, 0.0)
 
 
-class OutlierJudge:
+class OutlierDetector:
     """Turns observations of servers into suspicions."""
 
     def __init__(self) -> None:
--- a/src/yokesill/platform/documents.py
+++ b/src/yokesill/platform/documents.py
@@ -46,8 +46,8 @@
         limits=RequestLimits(
             header_bytes=take(limits, "maxHeaderBytes", whole, "limits"),
             body_bytes=take(limits, "maxBodyBytes", whole, "limits"),
-            header_timeout=take(limits, "headerTimeoutMs", seconds, "limits"),
-            idle_timeout=take(limits, "idleTimeoutMs", seconds, "limits"),
+            header_timeout_s=take(limits, "headerTimeoutMs", seconds, "limits"),
+            idle_timeout_s=take(limits, "idleTimeoutMs", seconds, "limits"),
         ),
     )
 
@@ -61,9 +61,9 @@
         host=name(take(item, "host", text, place).lower()),
         prefix=take(item, "pathPrefix", text, place),
         repeatable=take(item, "routeType", text, place) == "idempotent",
-        timeout=timeout,
-        target=seconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
-        attempts=whole(item.get("maxAttempts", DEFAULT_ATTEMPTS)),
+        timeout_s=timeout,
+        objective_s=seconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
+        max_attempts=whole(item.get("maxAttempts", DEFAULT_ATTEMPTS)),
         priority=whole(item.get("priority", LOWEST_PRIORITY)),
         destination=_read_destination(item, place),
         regions=tuple(text(each) for each in items(item.get("allowedRegions") or [])),
@@ -100,6 +100,6 @@
         zone=name(spec.get("zone", "")),
         slots=whole(spec.get("capacity", 1)),
         leaving=spec.get("state") == "draining",
-        warmup=seconds(spec.get("warmupLeftMs", 0)),
+        warmup_left_s=seconds(spec.get("warmupLeftMs", 0)),
         version=version(spec.get("configVersion", "")),
     )
--- a/src/yokesill/platform/main.py
+++ b/src/yokesill/platform/main.py
@@ -16,11 +16,11 @@
 from yokesill.platform.settings import load_settings
 from yokesill.platform.store import MetadataStore
 from yokesill.registry.api_client import ApiClient
+from yokesill.serving.dependencies import Dependencies
 from yokesill.serving.process import GatewayProcess
 from yokesill.serving.reload import SettingsFollower
 from yokesill.serving.running import run_until_stopped
 from yokesill.serving.settings import GatewaySettings
-from yokesill.serving.surroundings import Surroundings
 
 OK, INVALID = 0, 3
 
@@ -50,10 +50,10 @@
     return OK
 
 
-def _surroundings(settings: GatewaySettings, listening: socket.socket | None) -> Surroundings:
+def _surroundings(settings: GatewaySettings, listening: socket.socket | None) -> Dependencies:
     client = ApiClient(settings.registry)
     store = MetadataStore(client)
-    return Surroundings(
+    return Dependencies(
         configuration=feeds.ConfigurationFeed(store),
         servers=feeds.ServerFeed(store),
         quarantine=feeds.QuarantineFeed(store),
--- a/src/yokesill/platform/names.py
+++ b/src/yokesill/platform/names.py
@@ -1,6 +1,6 @@
 """The platform's names of headers, kinds and paths."""
 
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 
 HEADER_NAMES = HeaderNames(
     request_id=b"x-yokesill-request-id",
--- a/src/yokesill/platform/settings.py
+++ b/src/yokesill/platform/settings.py
@@ -3,9 +3,9 @@
 import tomllib
 from pathlib import Path
 
-from yokesill.gateway.budget import BudgetTerms
-from yokesill.gateway.cold_starts import ColdStartTerms
-from yokesill.rollouts.orders import RolloutTerms
+from yokesill.gateway.limits.budget import BudgetLimits
+from yokesill.gateway.servers.cold_starts import ColdStartLimits
+from yokesill.rollouts.orders import RolloutLimits
 from yokesill.serving.settings import Address, GatewaySettings, SettingsProblem
 from yokesill.serving.settings_reader import SettingsReader
 
@@ -35,22 +35,22 @@
         peers=reader.optional_address("listenAddrs.control"),
         seeds=reader.addresses("seedNodes"),
         regions=reader.texts("zones"),
-        budget=BudgetTerms(
+        budget=BudgetLimits(
             ratio=reader.number("bounds.retryBudgetRatio", 0.1),
             allowance=reader.number("bounds.retrySlack", 10.0),
-            window=max(1.0, reader.number("bounds.retryWindowS", 10.0)),
+            window_s=max(1.0, reader.number("bounds.retryWindowS", 10.0)),
         ),
         configuration_bound_s=max(1.0, reader.number("bounds.configApplyMs", 3000) / 1000),
         leaving_bound_s=reader.number("bounds.drainMs", 2000) / 1000,
         recovery_bound_s=max(1.0, reader.number("bounds.contactMs", 4000) / 1000),
         evacuation_bound_s=_evacuation_bound_s(reader),
-        cold_starts=ColdStartTerms(
+        cold_starts=ColdStartLimits(
             overshoot=reader.number("bounds.warmupOvershoot", 1.0),
             slack=reader.number("bounds.warmupSlack", 0.0),
         ),
         rollouts=_rollout_terms(reader),
         cores=reader.number("limits.cpuShare", 1.0) * reader.number("limits.cpuCores", 1.0),
-        stop_grace=reader.number("bounds.graceS", 6.0),
+        stop_grace_s=reader.number("bounds.graceS", 6.0),
     )
     return reader.problems or settings
 
@@ -63,12 +63,12 @@
     return EVACUATION_BOUND_S if EVACUATING_CONTRACT in reader.words("contracts") else None
 
 
-def _rollout_terms(reader: SettingsReader) -> RolloutTerms | None:
+def _rollout_terms(reader: SettingsReader) -> RolloutLimits | None:
     """Return the figures of roll-outs; ``None`` where the contracts have none."""
     if ROLLOUT_CONTRACT not in reader.words("contracts"):
         return None
-    usual = RolloutTerms()
-    return RolloutTerms(
+    usual = RolloutLimits()
+    return RolloutLimits(
         canary_share=reader.number("bounds.canaryShare", usual.canary_share),
         canary_slack=reader.number("bounds.canarySlack", usual.canary_slack),
         rollback_s=reader.number("bounds.rollbackMs", usual.rollback_s * 1000) / 1000,
--- a/src/yokesill/platform/start.py
+++ b/src/yokesill/platform/start.py
@@ -19,10 +19,10 @@
         The callers' address as ``HOST:PORT``, if it is known before the settings are read.
     """
     listening = listen_early(arguments[0]) if arguments else None
-    from yokesill import collection, unloaded  # noqa: PLC0415 (after the socket is open)
+    from yokesill import gc_tuning, lazy_imports  # noqa: PLC0415 (after the socket is open)
 
-    collection.postpone()
-    unloaded.leave_out()
+    gc_tuning.postpone()
+    lazy_imports.leave_out()
     from yokesill.platform.main import run  # noqa: PLC0415 (after the socket is open)
 
     return run(listening)
--- a/src/yokesill/quarantine/exchange.py
+++ b/src/yokesill/quarantine/exchange.py
@@ -12,16 +12,16 @@
 
 from yokesill.outliers.messages import in_datagrams
 from yokesill.outliers.spreading import Datagram, Peer, Spreading
-from yokesill.quarantine.judge import Standing
+from yokesill.quarantine.judge import QuarantineStatus
 from yokesill.quarantine.messages import (
     ENTRIES_PER_DATAGRAM,
+    AnswerReport,
     Answers,
     Losses,
+    LossReport,
     Message,
-    Standings,
-    ToldAnswer,
-    ToldLoss,
-    ToldStanding,
+    QuarantineFinding,
+    QuarantineFindings,
     decode,
     encode,
 )
@@ -41,15 +41,15 @@
     def __init__(self, own: Peer, source: random.Random) -> None:
         self._own = own
         self._spreading = Spreading(own, source)
-        self._lost: dict[str, list[ToldLoss]] = defaultdict(list)
-        self._answered: dict[str, list[ToldAnswer]] = defaultdict(list)
-        self._found: list[ToldStanding] = []
-        self._relayed: list[ToldStanding] = []
+        self._lost: dict[str, list[LossReport]] = defaultdict(list)
+        self._answered: dict[str, list[AnswerReport]] = defaultdict(list)
+        self._found: list[QuarantineFinding] = []
+        self._relayed: list[QuarantineFinding] = []
 
     @property
     def urgent(self) -> bool:
         """Whether something is to be sent that can't wait for more to go with it."""
-        return any(each.standing is Standing.QUARANTINED for each in self._found)
+        return any(each.standing is QuarantineStatus.QUARANTINED for each in self._found)
 
     @property
     def pending(self) -> bool:
@@ -64,17 +64,17 @@
         """Whether this node is one of a request's judges."""
         return self._own.node in self._spreading.judges_of(fingerprint)
 
-    def lost(self, told: ToldLoss) -> None:
+    def lost(self, told: LossReport) -> None:
         """Tell the other judges that a server ended under a request."""
         for node in self._others(told.fingerprint):
             self._lost[node].append(told)
 
-    def answered(self, told: ToldAnswer) -> None:
+    def answered(self, told: AnswerReport) -> None:
         """Tell the other judges that a server answered it."""
         for node in self._others(told.fingerprint):
             self._answered[node].append(told)
 
-    def found(self, told: ToldStanding) -> None:
+    def found(self, told: QuarantineFinding) -> None:
         """Tell all nodes what this one found."""
         self._found.append(told)
 
@@ -89,7 +89,7 @@
         if not self._spreading.knows(sender):
             raise ValueError("it comes from no node that is known")
         message = decode(data)
-        if isinstance(message, Standings) and message.relay:
+        if isinstance(message, QuarantineFindings) and message.relay:
             self._relayed += message.standings
         return message
 
@@ -100,14 +100,14 @@
             datagrams += self._to(node, (encode(Losses(each)) for each in _in_datagrams(losses)))
         for node, answers in self._answered.items():
             datagrams += self._to(node, (encode(Answers(each)) for each in _in_datagrams(answers)))
-        urgent = [each for each in self._found if each.standing is Standing.QUARANTINED]
+        urgent = [each for each in self._found if each.standing is QuarantineStatus.QUARANTINED]
         for chunk in _in_datagrams(urgent):
-            datagrams += self._spreading.everywhere(encode(Standings(chunk, relay=False)))
-        others = [each for each in self._found if each.standing is not Standing.QUARANTINED]
+            datagrams += self._spreading.everywhere(encode(QuarantineFindings(chunk, relay=False)))
+        others = [each for each in self._found if each.standing is not QuarantineStatus.QUARANTINED]
         for chunk in _in_datagrams(others):
-            datagrams += self._spreading.to_other_zones(encode(Standings(chunk, relay=True)))
+            datagrams += self._spreading.to_other_zones(encode(QuarantineFindings(chunk, relay=True)))
         for chunk in _in_datagrams([*others, *self._relayed]):
-            datagrams += self._spreading.within_zone(encode(Standings(chunk, relay=False)))
+            datagrams += self._spreading.within_zone(encode(QuarantineFindings(chunk, relay=False)))
         for each in (self._lost, self._answered, self._found, self._relayed):
             each.clear()
         return datagrams
--- a/src/yokesill/quarantine/judge.py
+++ b/src/yokesill/quarantine/judge.py
@@ -23,7 +23,7 @@
 MOST_RECORDS, FORGOTTEN_AT_ONCE = 4096, 512
 
 
-class Standing(enum.IntEnum):
+class QuarantineStatus(enum.IntEnum):
     """What holds for a request: it runs as any other, at one server at a time, or not at all."""
 
     CLEAR = 0
@@ -49,7 +49,7 @@
 
     def __init__(self, now: float) -> None:
         self.at_s = now
-        self.standing = Standing.CLEAR
+        self.standing = QuarantineStatus.CLEAR
         self.lost: dict[str, set[str]] = {}
         self.trials: set[str] = set()
         self.shared = False
@@ -57,14 +57,14 @@
     def judge(self) -> None:
         """Raise the standing by the evidence."""
         lost = sum(map(len, self.lost.values()))
-        if self.standing is Standing.CLEAR and lost >= LOST_TO_SUSPECT:
-            self.standing = Standing.SUSPECTED
+        if self.standing is QuarantineStatus.CLEAR and lost >= LOST_TO_SUSPECT:
+            self.standing = QuarantineStatus.SUSPECTED
         needed = 1 if lost >= LOST_BESIDE_ONE_TRIAL else TRIALS_TO_QUARANTINE
-        if self.standing is Standing.SUSPECTED and len(self.trials) >= needed:
-            self.standing = Standing.QUARANTINED
+        if self.standing is QuarantineStatus.SUSPECTED and len(self.trials) >= needed:
+            self.standing = QuarantineStatus.QUARANTINED
 
 
-class CrashJudge:
+class CrashDetector:
     """What one node knows of requests under which servers ended; by their fingerprints.
 
     Times are in seconds of the node's clock.
@@ -81,7 +81,9 @@
     @property
     def quarantined(self) -> frozenset[str]:
         """All requests that are kept from servers."""
-        unrecorded = (each for each, of in self._records.items() if of.standing is Standing.QUARANTINED)
+        unrecorded = (
+            each for each, of in self._records.items() if of.standing is QuarantineStatus.QUARANTINED
+        )
         return self._recorded.union(unrecorded)
 
     @property
@@ -89,12 +91,12 @@
         """Those of them that are recorded for good."""
         return self._recorded
 
-    def standing(self, fingerprint: str, now: float) -> Standing:
+    def standing(self, fingerprint: str, now: float) -> QuarantineStatus:
         """Return what holds for a request now."""
         if fingerprint in self._recorded:
-            return Standing.QUARANTINED
+            return QuarantineStatus.QUARANTINED
         record = self._current(fingerprint, now)
-        return Standing.CLEAR if record is None else record.standing
+        return QuarantineStatus.CLEAR if record is None else record.standing
 
     def suspected_services(self, fingerprint: str) -> frozenset[str]:
         """Return the services of which servers ended under a request and none answered it since."""
@@ -103,7 +105,7 @@
 
     # --- evidence ---
 
-    def lost(self, fingerprint: str, loss: Loss, now: float) -> Standing | None:
+    def lost(self, fingerprint: str, loss: Loss, now: float) -> QuarantineStatus | None:
         """Take that a server ended under a request; return its standing if that has changed."""
         if fingerprint in self._recorded:
             return None
@@ -114,7 +116,7 @@
         record.at_s = now
         record.lost.setdefault(loss.service, set()).add(loss.instance)
         before = record.standing
-        if loss.trial and before is Standing.SUSPECTED:
+        if loss.trial and before is QuarantineStatus.SUSPECTED:
             record.trials.add(loss.instance)
         record.judge()
         return record.standing if record.standing is not before else None
@@ -138,7 +140,7 @@
         the servers of one shard and be answered by those of all others.
         """
         record = self._records.get(fingerprint)
-        if record is None or record.standing is Standing.QUARANTINED:
+        if record is None or record.standing is QuarantineStatus.QUARANTINED:
             return False
         if trial:
             del self._records[fingerprint]
@@ -151,7 +153,7 @@
 
     # --- what others found ---
 
-    def told(self, fingerprint: str, standing: Standing, now: float) -> bool:
+    def told(self, fingerprint: str, standing: QuarantineStatus, now: float) -> bool:
         """Take another node's finding; return whether it is news. Nothing is cleared by being told."""
         if standing <= self.standing(fingerprint, now):
             return False
@@ -172,7 +174,7 @@
         record = self._records.get(fingerprint)
         if record is None:
             return None
-        kept_s = UNRECORDED_S if record.standing is Standing.QUARANTINED else EVIDENCE_S
+        kept_s = UNRECORDED_S if record.standing is QuarantineStatus.QUARANTINED else EVIDENCE_S
         if now - record.at_s <= kept_s:
             return record
         del self._records[fingerprint]
@@ -183,7 +185,7 @@
         if len(self._records) <= MOST_RECORDS:
             return
 
-        def worth(fingerprint: str) -> tuple[Standing, float]:
+        def worth(fingerprint: str) -> tuple[QuarantineStatus, float]:
             record = self._records[fingerprint]
             return record.standing, record.at_s
 
--- a/src/yokesill/quarantine/messages.py
+++ b/src/yokesill/quarantine/messages.py
@@ -5,7 +5,7 @@
 
 import cbor2
 
-from yokesill.quarantine.judge import Loss, Standing
+from yokesill.quarantine.judge import Loss, QuarantineStatus
 
 _LOST, _ANSWERED, _JUDGED = 3, 4, 5
 QUARANTINE_KINDS = frozenset({_LOST, _ANSWERED, _JUDGED})
@@ -14,14 +14,14 @@
 LONGEST_NAME = 128
 
 
-class ToldLoss(NamedTuple):
+class LossReport(NamedTuple):
     """A server ended under a request."""
 
     fingerprint: str
     loss: Loss
 
 
-class ToldAnswer(NamedTuple):
+class AnswerReport(NamedTuple):
     """A server of a service answered a request; ``trial`` if it was tried there alone."""
 
     fingerprint: str
@@ -29,33 +29,33 @@
     trial: bool
 
 
-class ToldStanding(NamedTuple):
+class QuarantineFinding(NamedTuple):
     """A request is to be suspected, or kept from servers."""
 
     fingerprint: str
-    standing: Standing
+    standing: QuarantineStatus
 
 
 class Losses(NamedTuple):
     """What the sender saw just now."""
 
-    losses: tuple[ToldLoss, ...]
+    losses: tuple[LossReport, ...]
 
 
 class Answers(NamedTuple):
     """What the sender saw answered just now, of what servers had ended under."""
 
-    answers: tuple[ToldAnswer, ...]
+    answers: tuple[AnswerReport, ...]
 
 
-class Standings(NamedTuple):
+class QuarantineFindings(NamedTuple):
     """A judge's findings; with ``relay`` the receiver hands them on within its zone."""
 
-    standings: tuple[ToldStanding, ...]
+    standings: tuple[QuarantineFinding, ...]
     relay: bool
 
 
-Message = Losses | Answers | Standings
+Message = Losses | Answers | QuarantineFindings
 
 
 @singledispatch
@@ -75,7 +75,7 @@
 
 
 @encode.register
-def _(message: Standings) -> bytes:
+def _(message: QuarantineFindings) -> bytes:
     entries = [[each.fingerprint, int(each.standing)] for each in message.standings]
     return cbor2.dumps([_JUDGED, entries, message.relay])
 
@@ -93,17 +93,17 @@
         if kind == _LOST:
             return Losses(tuple(_loss(*each) for each in entries))
         if kind == _ANSWERED:
-            return Answers(tuple(ToldAnswer(_name(a), _name(b), bool(c)) for a, b, c in entries))
+            return Answers(tuple(AnswerReport(_name(a), _name(b), bool(c)) for a, b, c in entries))
         if kind == _JUDGED:
-            found = tuple(ToldStanding(_name(name), Standing(value)) for name, value in entries)
-            return Standings(found, bool(rest[0]))
+            found = tuple(QuarantineFinding(_name(name), QuarantineStatus(value)) for name, value in entries)
+            return QuarantineFindings(found, bool(rest[0]))
     except (TypeError, ValueError, IndexError, cbor2.CBORDecodeError) as error:
         raise ValueError(f"a malformed datagram: {error!r}") from error
     raise ValueError(f"a datagram of kind {kind!r}")
 
 
-def _loss(fingerprint: Any, instance: Any, service: Any, trial: Any) -> ToldLoss:
-    return ToldLoss(_name(fingerprint), Loss(_name(instance), _name(service), bool(trial)))
+def _loss(fingerprint: Any, instance: Any, service: Any, trial: Any) -> LossReport:
+    return LossReport(_name(fingerprint), Loss(_name(instance), _name(service), bool(trial)))
 
 
 def _name(value: Any) -> str:
--- a/src/yokesill/registry/api_client.py
+++ b/src/yokesill/registry/api_client.py
@@ -8,7 +8,7 @@
 import anyio.abc
 
 from yokesill.comm.http_reply import ReplyError
-from yokesill.registry.awaited import AwaitedConnection, connect_tcp
+from yokesill.registry.awaited_connection import AwaitedConnection, connect_tcp
 from yokesill.serving.settings import Address
 from yokesill.upstreams.wires import StreamConnector
 from yokesill.verdict import Failure, Reason, Verdict
--- a/src/yokesill/registry/reach.py
+++ b/src/yokesill/registry/availability.py
@@ -8,7 +8,7 @@
 import anyio
 
 
-class RegistryReach:
+class RegistryAvailability:
     """What the followers of one node know of the registry together."""
 
     def __init__(self) -> None:
--- a/src/yokesill/registry/follower.py
+++ b/src/yokesill/registry/follower.py
@@ -7,8 +7,8 @@
 
 from yokesill.gateway.events import Event
 from yokesill.logs import get_logger
+from yokesill.registry.availability import RegistryAvailability
 from yokesill.registry.feeds import Batch, Feed, HistoryLost
-from yokesill.registry.reach import RegistryReach
 from yokesill.verdict import Failure
 
 FIRST_PAUSE, PAUSE_GROWTH, LONGEST_PAUSE = 0.2, 1.7, 1.2
@@ -44,7 +44,7 @@
         source: random.Random,
         check_interval_s: float = CHECK_INTERVAL_S,
         watching: bool = True,
-        reach: RegistryReach | None = None,
+        reach: RegistryAvailability | None = None,
     ) -> None:
         self.connected = False
         self.confirmed_at_s = float("-inf")
@@ -58,7 +58,7 @@
         self._position: int | None = None
         self._list_next = True
         self._watching = watching
-        self._reach = reach or RegistryReach()
+        self._reach = reach or RegistryAvailability()
         self._watching_changed = anyio.Event()
         self._pause = FIRST_PAUSE
         self._hold_s = FIRST_HOLD_S
--- a/src/yokesill/registry/following.py
+++ b/src/yokesill/registry/following.py
@@ -6,7 +6,6 @@
 
 import anyio
 
-from yokesill.gateway.coordination import Coordinator
 from yokesill.gateway.events import (
     EvacuationsReplaced,
     Event,
@@ -14,14 +13,15 @@
     RolloutsReplaced,
     ServersReplaced,
 )
+from yokesill.gateway.forwarding import Coordinator
+from yokesill.registry.availability import RegistryAvailability
 from yokesill.registry.feed_states import EVACUATIONS, QUARANTINE, ROLLOUTS, SERVERS, WholeFeed
 from yokesill.registry.feeds import Feed, NodeContact
 from yokesill.registry.follower import FeedFollower
-from yokesill.registry.reach import RegistryReach
 from yokesill.registry.watch_link import WatchLink
 from yokesill.registry.zone_watch import ZoneWatch
 from yokesill.serving.settings import GatewaySettings
-from yokesill.watchers.terms import WatchTerms
+from yokesill.watchers.timing import WatchTiming
 
 # Changes that operators make are few, and their bound counts from the registry's answer.
 OPERATORS_GATHERING_S = 0.3
@@ -67,11 +67,11 @@
         source: random.Random,
     ) -> None:
         shared = few_watchers and settings.reports is not None and settings.peers is not None
-        terms = WatchTerms.within(settings.change_bound_s)
+        terms = WatchTiming.within(settings.change_bound_s)
         check_s = terms.check_interval_s if shared else settings.check_interval_s
         self.contact = _contact(settings)
         self._followers: dict[str, FeedFollower] = {}
-        reach = RegistryReach()
+        reach = RegistryAvailability()
         for name, (feed, learn) in feeds.items():
             gathering_s = settings.gathering_time_s if name == SERVERS else OPERATORS_GATHERING_S
             self._followers[name] = FeedFollower(
--- a/src/yokesill/registry/snapshots.py
+++ b/src/yokesill/registry/snapshots.py
@@ -85,7 +85,7 @@
             name: [each.connections, each.cold_requests_per_s]
             for name, each in configuration.services.items()
         },
-        "limits": [limits.header_bytes, limits.body_bytes, limits.header_timeout, limits.idle_timeout],
+        "limits": [limits.header_bytes, limits.body_bytes, limits.header_timeout_s, limits.idle_timeout_s],
     }
 
 
@@ -105,8 +105,8 @@
         where = ["gather", list(destination.services), destination.greatest, destination.minimum_coverage]
     else:
         where = ["split", [[part.service, part.weight] for part in destination.parts]]
-    fields = [route.name, route.host, route.prefix, route.repeatable, route.timeout, route.target]
-    return [*fields, route.attempts, route.priority, where, list(route.regions)]
+    fields = [route.name, route.host, route.prefix, route.repeatable, route.timeout_s, route.objective_s]
+    return [*fields, route.max_attempts, route.priority, where, list(route.regions)]
 
 
 def _route_from_wire(item: list[Any]) -> Route:
@@ -123,7 +123,7 @@
 def server_to_wire(record: ServerRecord) -> list[Any]:
     """Return the form in which nodes exchange a server's entry."""
     where = [record.instance, record.service, record.host, record.port, record.zone]
-    return [*where, record.slots, record.leaving, record.warmup, record.version]
+    return [*where, record.slots, record.leaving, record.warmup_left_s, record.version]
 
 
 def server_from_wire(item: Any) -> ServerRecord:
--- a/src/yokesill/registry/watch_link.py
+++ b/src/yokesill/registry/watch_link.py
@@ -7,7 +7,7 @@
 
 from yokesill.clock import running_clock
 from yokesill.registry.api_client import ApiClient
-from yokesill.registry.awaited import connect_tcp
+from yokesill.registry.awaited_connection import connect_tcp
 from yokesill.registry.zone_watch import ZoneWatch
 from yokesill.serving.datagrams import open_datagrams, send_datagram
 from yokesill.serving.settings import Address
--- a/src/yokesill/registry/zone_watch.py
+++ b/src/yokesill/registry/zone_watch.py
@@ -11,7 +11,7 @@
 
 import anyio
 
-from yokesill.gateway.coordination import Coordinator
+from yokesill.gateway.forwarding import Coordinator
 from yokesill.logs import get_logger
 from yokesill.registry.feed_states import (
     SERVERS,
@@ -25,11 +25,11 @@
 from yokesill.registry.follower import FeedFollower
 from yokesill.registry.view_check import ViewCheck
 from yokesill.verdict import Failure
+from yokesill.watchers.capacity_rank import strong_nodes
 from yokesill.watchers.digests import NOT_COMPARED
 from yokesill.watchers.group import Duty, WatcherGroup
 from yokesill.watchers.messages import FeedReport, Report, decode_report, encode_report
-from yokesill.watchers.strength import strong_nodes
-from yokesill.watchers.terms import WatchTerms
+from yokesill.watchers.timing import WatchTiming
 
 TICKS_PER_REPORT = 2
 FETCH_SPREAD_S = 0.04
@@ -66,7 +66,7 @@
         whole: Callable[[str], WholeFeed | None],
         send: Send,
         fetch: Fetch,
-        terms: WatchTerms,
+        terms: WatchTiming,
         source: random.Random,
     ) -> None:
         self.duty = Duty.FOLLOWING
--- a/src/yokesill/rollouts/canary.py
+++ b/src/yokesill/rollouts/canary.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from yokesill.rendezvous import name_hash, weight
-from yokesill.rollouts.messages import OrderWord, RolloutWord
+from yokesill.rollouts.messages import OrderDecision, RolloutDecisions
 from yokesill.rollouts.orders import OrderId, RolloutState
 
 _WHOLE = 1 << 64
@@ -32,14 +32,14 @@
         self._states: dict[OrderId, RolloutState] = {}
         self._hashes: dict[OrderId, int] = {}
 
-    def hear(self, word: RolloutWord, now: float) -> None:
+    def hear(self, word: RolloutDecisions, now: float) -> None:
         """Take a decider's word."""
         for each in word.orders:
             shares = self._shares.setdefault(each.order, {})
             shares[word.node] = _Share(each.share, now + word.valid_s)
             self._hear_state(each)
 
-    def _hear_state(self, word: OrderWord) -> None:
+    def _hear_state(self, word: OrderDecision) -> None:
         known = self._states.get(word.order)
         if known is None or (not known.final and (word.state.rank > known.rank)):
             self._states[word.order] = word.state
--- a/src/yokesill/rollouts/decider.py
+++ b/src/yokesill/rollouts/decider.py
@@ -5,9 +5,9 @@
 from typing import Any
 
 from yokesill.rollouts.duty import DeciderDuty
-from yokesill.rollouts.messages import RolloutReport, RolloutWord
+from yokesill.rollouts.messages import RolloutDecisions, RolloutReport
 from yokesill.rollouts.order_progress import OrderFigures, OrderProgress
-from yokesill.rollouts.orders import Overtaken, RolloutOrder, RolloutState, RolloutTerms
+from yokesill.rollouts.orders import Overtaken, RolloutLimits, RolloutOrder, RolloutState
 from yokesill.rollouts.stages import Circumstances
 from yokesill.verdict import Failure
 
@@ -30,7 +30,7 @@
     """
 
     def __init__(
-        self, own: str, incarnation: int, terms: RolloutTerms, source: random.Random, now: float
+        self, own: str, incarnation: int, terms: RolloutLimits, source: random.Random, now: float
     ) -> None:
         self._own = own
         self._incarnation = incarnation
@@ -100,7 +100,7 @@
         for order in orders:
             self.take_order(order, now)
 
-    def heard_word(self, word: RolloutWord, now: float) -> None:
+    def heard_word(self, word: RolloutDecisions, now: float) -> None:
         """Take another decider's word."""
         if word.node == self._own:
             return
@@ -169,7 +169,7 @@
         elif known is not None and known.order.id == attempted.id:
             self.withdraw(attempted.service, now)
 
-    def word(self, now: float) -> RolloutWord | None:
+    def word(self, now: float) -> RolloutDecisions | None:
         """Return what to tell every node now; ``None`` from a node that does not decide.
 
         One that can't reach the registry says nothing of shares, so that they end unless another decider
@@ -185,7 +185,7 @@
             told = [each for each in told if each.state is not RolloutState.CANARY]
         if not told and self._able:
             return None
-        return RolloutWord(self._own, self._able, self._duty.patience_s, tuple(told))
+        return RolloutDecisions(self._own, self._able, self._duty.patience_s, tuple(told))
 
     def urgent(self, now: float) -> bool:
         """Whether a word should go out at once."""
--- a/src/yokesill/rollouts/duty.py
+++ b/src/yokesill/rollouts/duty.py
@@ -8,9 +8,9 @@
 from collections.abc import Mapping
 
 from yokesill.rollouts.barrier import LIVE_S
+from yokesill.watchers.capacity_rank import strong_nodes
 from yokesill.watchers.group import Duty, WatcherGroup
-from yokesill.watchers.strength import strong_nodes
-from yokesill.watchers.terms import WatchTerms
+from yokesill.watchers.timing import WatchTiming
 
 RANK_SUBJECT = "rollout-decider"
 DECIDERS = 2
@@ -182,7 +182,7 @@
         return rank >= DECIDERS and node not in self._able_at_s.keys() | self._unable_at_s
 
     def _begin(self, now: float) -> None:
-        terms = WatchTerms(
+        terms = WatchTiming(
             report_interval_s=self.interval_s,
             takeover_s=self.patience_s,
             step_s=STEP_S,
--- a/src/yokesill/rollouts/exposure.py
+++ b/src/yokesill/rollouts/exposure.py
@@ -7,7 +7,7 @@
 from collections import deque
 from typing import NamedTuple
 
-from yokesill.rollouts.orders import RolloutTerms
+from yokesill.rollouts.orders import RolloutLimits
 
 # Beyond it the old version would have too few answers to be compared with.
 LARGEST_SHARE = 1 / 3
@@ -78,7 +78,7 @@
 
 
 def allowed_share(
-    counts: ExposureCounts, terms: RolloutTerms, canary_left_s: float, left_s: float, now: float
+    counts: ExposureCounts, terms: RolloutLimits, canary_left_s: float, left_s: float, now: float
 ) -> float:
     """Return which share (0 to 1) of the requests may go to the new version from now on.
 
--- a/src/yokesill/rollouts/messages.py
+++ b/src/yokesill/rollouts/messages.py
@@ -60,7 +60,7 @@
     orders: tuple[OrderReport, ...]
 
 
-class OrderWord(NamedTuple):
+class OrderDecision(NamedTuple):
     """What holds for one order.
 
     ``share`` (0 to 1) of the service's requests goes to the new version while ``state`` is ``CANARY``.
@@ -74,7 +74,7 @@
     elapsed_s: float
 
 
-class RolloutWord(NamedTuple):
+class RolloutDecisions(NamedTuple):
     """A decider's word, which holds for ``valid_s`` from its arrival.
 
     ``able``: it can reach the registry, so that others may leave deciding to it.
@@ -83,10 +83,10 @@
     node: str
     able: bool
     valid_s: float
-    orders: tuple[OrderWord, ...]
+    orders: tuple[OrderDecision, ...]
 
 
-Message = RolloutReport | RolloutWord
+Message = RolloutReport | RolloutDecisions
 
 
 @singledispatch
@@ -102,7 +102,7 @@
 
 
 @encode.register
-def _(message: RolloutWord) -> bytes:
+def _(message: RolloutDecisions) -> bytes:
     entries = [_entry(each) for each in message.orders]
     return cbor2.dumps([_WORD, message.node, message.able, round(message.valid_s * 1000), entries])
 
@@ -123,13 +123,13 @@
         if kind == _WORD:
             able, valid_ms, entries = rest
             words = tuple(_word(*each) for each in entries)
-            return RolloutWord(_text(node), bool(able), _count(valid_ms) / 1000, words)
+            return RolloutDecisions(_text(node), bool(able), _count(valid_ms) / 1000, words)
     except (TypeError, ValueError, OverflowError, cbor2.CBORDecodeError) as error:
         raise ValueError(f"a malformed datagram: {error!r}") from error
     raise ValueError(f"a datagram of kind {kind!r}")
 
 
-_Entry = TypeVar("_Entry", OrderReport, OrderWord)
+_Entry = TypeVar("_Entry", OrderReport, OrderDecision)
 
 
 def in_datagrams(entries: Iterable[_Entry]) -> Iterator[tuple[_Entry, ...]]:
@@ -197,7 +197,7 @@
 
 
 @_entry.register
-def _(entry: OrderWord) -> list[Any]:
+def _(entry: OrderDecision) -> list[Any]:
     return [list(entry.order), entry.state.value, entry.share, round(entry.elapsed_s * 1000)]
 
 
@@ -218,10 +218,10 @@
     return Sample(_text(route), _text(instance), bool(new), bool(succeeded), latency_s)
 
 
-def _word(order: Any, state: Any, share: Any, elapsed_ms: Any) -> OrderWord:
+def _word(order: Any, state: Any, share: Any, elapsed_ms: Any) -> OrderDecision:
     if not 0.0 <= float(share) <= 1.0:
         raise ValueError(f"a share of {share!r}")
-    return OrderWord(_order(order), RolloutState(state), float(share), _count(elapsed_ms) / 1000)
+    return OrderDecision(_order(order), RolloutState(state), float(share), _count(elapsed_ms) / 1000)
 
 
 def _order(item: Any) -> OrderId:
--- a/src/yokesill/rollouts/node_orders.py
+++ b/src/yokesill/rollouts/node_orders.py
@@ -4,7 +4,7 @@
 from typing import NamedTuple
 
 from yokesill.rollouts.canary import Canary
-from yokesill.rollouts.messages import RolloutWord
+from yokesill.rollouts.messages import RolloutDecisions
 from yokesill.rollouts.orders import OrderId, RolloutOrder, RolloutState
 from yokesill.rollouts.versions import ServiceVersions
 
@@ -30,16 +30,16 @@
 class NodeOrders:
     """All orders of one node; times in seconds of its clock.
 
-    ``open`` are the orders, by service, whose record is not final: the ones to report on. ``obeyed`` is
+    ``open`` are the orders, by service, whose record is not final: the ones to report on. ``effective`` is
     what this node obeys of the order of each service that has one.
     """
 
-    __slots__ = ("_gone", "_known", "_versions", "canary", "obeyed", "open", "told")
+    __slots__ = ("_gone", "_known", "_versions", "canary", "effective", "open", "told")
 
     def __init__(self, versions: ServiceVersions, canary: Canary) -> None:
         self.told = False
         self.open: dict[str, RolloutOrder] = {}
-        self.obeyed: dict[str, RolloutState] = {}
+        self.effective: dict[str, RolloutState] = {}
         self._known: dict[str, RolloutOrder] = {}
         # Up to which object a service's orders are over: words of them that still travel count no more.
         self._gone: dict[str, int] = {}
@@ -86,7 +86,7 @@
         changes = [change for service in sorted(gone) for change in self.withdrawn(service)]
         return changes + [change for order in orders for change in self.ordered(order)]
 
-    def heard(self, word: RolloutWord, now: float) -> list[OrderChange]:
+    def heard(self, word: RolloutDecisions, now: float) -> list[OrderChange]:
         """Take a decider's word."""
         told = [each for each in word.orders if self._concerns(each.order)]
         self.canary.hear(word._replace(orders=tuple(told)), now)
@@ -111,7 +111,7 @@
 
     def _obey(self, order: RolloutOrder) -> list[OrderChange]:
         """Join the record with the words; a word that it was taken back gives way to ``COMPLETED`` only."""
-        before = self.obeyed.get(order.service)
+        before = self.effective.get(order.service)
         told = self.canary.state(order.id)
         state = order.state
         if told is not None and not state.final and (told.final or told.rank > state.rank):
@@ -125,7 +125,7 @@
             self.open[order.service] = order
         if before is state:
             return []
-        self.obeyed[order.service] = state
+        self.effective[order.service] = state
         self._versions.obey(order.id, state)
         return [OrderChange(order.id, before, state, False, "record" if state is order.state else "word")]
 
@@ -133,5 +133,5 @@
         del self._known[order.service]
         self.open.pop(order.service, None)
         self.canary.forget(order.id)
-        before = self.obeyed.pop(order.service, None)
+        before = self.effective.pop(order.service, None)
         return [OrderChange(order.id, before, None, False)]
--- a/src/yokesill/rollouts/order_progress.py
+++ b/src/yokesill/rollouts/order_progress.py
@@ -4,9 +4,9 @@
 
 from yokesill.rollouts.barrier import Barrier
 from yokesill.rollouts.exposure import ExposureCounts, allowed_share
-from yokesill.rollouts.messages import OrderReport, OrderWord
+from yokesill.rollouts.messages import OrderDecision, OrderReport
 from yokesill.rollouts.observations import Observations
-from yokesill.rollouts.orders import OrderId, Overtaken, RolloutOrder, RolloutState, RolloutTerms
+from yokesill.rollouts.orders import OrderId, Overtaken, RolloutLimits, RolloutOrder, RolloutState
 from yokesill.rollouts.stages import FEED_S, Circumstances, Stage, Wanted, wanted_record
 from yokesill.rollouts.verdict import Finding, Verdict
 from yokesill.verdict import Failure, Verdict as Ran
@@ -69,7 +69,7 @@
         The node's clock, in seconds.
     """
 
-    def __init__(self, order: RolloutOrder, terms: RolloutTerms, now: float) -> None:
+    def __init__(self, order: RolloutOrder, terms: RolloutLimits, now: float) -> None:
         self.order = order
         self.state = order.state
         self.exposure = ExposureCounts()
@@ -102,7 +102,7 @@
         self._started_at_s = min(self._started_at_s, now - order.elapsed_s)
         self._enter(order.state, now, recorded=True)
 
-    def heard(self, word: OrderWord, now: float) -> None:
+    def heard(self, word: OrderDecision, now: float) -> None:
         """Take a decider's word."""
         self._started_at_s = min(self._started_at_s, now - word.elapsed_s)
         self._learn(word.state, now)
@@ -162,7 +162,7 @@
             return RolloutState.ROLLED_BACK
         return self.state
 
-    def word(self, seen: Circumstances, now: float) -> OrderWord | None:
+    def word(self, seen: Circumstances, now: float) -> OrderDecision | None:
         """Return what to tell of the order; ``None`` when there is nothing any more."""
         if not self.telling(now):
             return None
@@ -172,7 +172,7 @@
             totals = self.exposure.totals
             self._note("rollout_share", share=round(share, 3), sent_old=totals.old, sent_new=totals.new)
             self._said_share = share
-        return OrderWord(self.order.id, told, share, max(0.0, self.elapsed_s(now)))
+        return OrderDecision(self.order.id, told, share, max(0.0, self.elapsed_s(now)))
 
     def telling(self, now: float) -> bool:
         """Whether others need words of it: it is open, or became final just now."""
--- a/src/yokesill/rollouts/orders.py
+++ b/src/yokesill/rollouts/orders.py
@@ -85,7 +85,7 @@
     order: RolloutOrder | None
 
 
-class RolloutTerms(NamedTuple):
+class RolloutLimits(NamedTuple):
     """The contract's figures.
 
     A bad version may get ``canary_share`` of a service's requests and ``canary_slack`` requests more, over
--- a/src/yokesill/routing/admission.py
+++ b/src/yokesill/routing/admission.py
@@ -6,14 +6,14 @@
 
 from yokesill.routing.messages import QueryRequest
 from yokesill.routing.options import RoutingOptions
-from yokesill.routing.waiting import ShardKey, WaitingRoom
+from yokesill.routing.waiting import ShardKey, WaitingQueue
 from yokesill.verdict import Failure, Reason, Verdict
 
 HIGHEST_PRIORITY = 9
 MINIMUM_RETRY_AFTER_MS = 50
 
 
-def queue_delay(waiting: WaitingRoom, keys: list[ShardKey], now: float) -> float:
+def queue_delay(waiting: WaitingQueue, keys: list[ShardKey], now: float) -> float:
     """Return the longest expected wait among the shards, in seconds."""
     return max((waiting.delay(key, now) for key in keys), default=0.0)
 
--- a/src/yokesill/routing/context.py
+++ b/src/yokesill/routing/context.py
@@ -6,7 +6,7 @@
 
 from yokesill.routing.options import RoutingOptions
 from yokesill.routing.servers import ServerState, ServerTable
-from yokesill.routing.waiting import WaitingRoom
+from yokesill.routing.waiting import WaitingQueue
 
 Owner = TypeVar("Owner")
 
@@ -21,7 +21,7 @@
     options: RoutingOptions
     random_source: random.Random
     servers: ServerTable
-    waiting: WaitingRoom = field(default_factory=WaitingRoom)
+    waiting: WaitingQueue = field(default_factory=WaitingQueue)
     attempt_owners: dict[str, Owner] = field(default_factory=dict)
     freed: list[ServerState] = field(default_factory=list)
 
--- a/src/yokesill/routing/events.py
+++ b/src/yokesill/routing/events.py
@@ -128,11 +128,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Feed ``TimerFired`` back at ``at`` (seconds); late timers of ended queries are ignored."""
+    """Feed ``TimerFired`` back at ``at_s`` (seconds); late timers of ended queries are ignored."""
 
     query_id: str
     kind: TimerKind
-    at: float
+    at_s: float
 
 
 @dataclass(frozen=True, slots=True)
--- a/src/yokesill/routing/fanout.py
+++ b/src/yokesill/routing/fanout.py
@@ -185,7 +185,7 @@
         """Cancel a shard's live attempts and give their slots back."""
         for attempt in list(progress.live.values()):
             self.end_attempt(attempt.attempt_id)
-            attempt.server.outrun(now - attempt.sent_at)
+            attempt.server.outrun(now - attempt.sent_at_s)
             self._context.release(attempt.attempt_id, attempt.server)
             actions.append(CancelAttempt(attempt.attempt_id))
 
@@ -235,7 +235,7 @@
             snapshot=self.snapshot,
             request_class=query.request_class,
             payload=query.payload,
-            deadline=self._owner.deadline,
+            deadline_at_s=self._owner.deadline,
             repeatable=query.repeatable,
         )
 
--- a/src/yokesill/routing/hedging.py
+++ b/src/yokesill/routing/hedging.py
@@ -45,7 +45,7 @@
             if not progress.open or len(progress.live) != 1:
                 continue
             (attempt,) = progress.live.values()
-            due = attempt.sent_at + delay
+            due = attempt.sent_at_s + delay
             if due > now + TIMER_SLACK:
                 next_due = min(next_due, due)
             elif fanout.can_hedge(progress, now) and self._service.budget.take():
--- a/src/yokesill/routing/messages.py
+++ b/src/yokesill/routing/messages.py
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """One sub-request to one server; ``deadline`` is absolute, in seconds."""
+    """One sub-request to one server; ``deadline_at_s`` is absolute, in seconds."""
 
     attempt_id: str
     query_id: str
@@ -47,7 +47,7 @@
     snapshot: Snapshot
     request_class: str
     payload: Any
-    deadline: float
+    deadline_at_s: float
     repeatable: bool
 
 
--- a/src/yokesill/routing/progress.py
+++ b/src/yokesill/routing/progress.py
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True)
 class LiveAttempt:
-    """An attempt that has not ended; ``sent_at`` in seconds."""
+    """An attempt that has not ended; ``sent_at_s`` in seconds."""
 
     attempt_id: str
     server: ServerState
-    sent_at: float
+    sent_at_s: float
 
 
 @dataclass(slots=True)
--- a/src/yokesill/routing/query.py
+++ b/src/yokesill/routing/query.py
@@ -83,7 +83,7 @@
     def answered(self, partial: Partial, now: float, actions: list[Action]) -> None:
         """Merge a part without defect; its shard is done."""
         progress, attempt = self._fanout.end_attempt(partial.attempt_id)
-        self.service.latency_of(self.query.request_class).record(now - attempt.sent_at, now)
+        self.service.latency_of(self.query.request_class).record(now - attempt.sent_at_s, now)
         self._fanout.merge(progress, partial)
         self._fanout.cancel_live(progress, now, actions)
         self._finish_if_settled(now, actions)
--- a/src/yokesill/routing/router.py
+++ b/src/yokesill/routing/router.py
@@ -179,7 +179,7 @@
             return None, None, 0.0
         attempt = machine.live_attempt(attempt_id)
         self._context.release(attempt_id, attempt.server)
-        return machine, attempt.server, attempt.sent_at
+        return machine, attempt.server, attempt.sent_at_s
 
     # --- servers ---
 
--- a/src/yokesill/routing/waiting.py
+++ b/src/yokesill/routing/waiting.py
@@ -28,7 +28,7 @@
     abandoned: bool = field(default=False, compare=False)
 
 
-class WaitingRoom:
+class WaitingQueue:
     """All waiters of a node, and how long waiting took lately."""
 
     def __init__(self) -> None:
--- a/src/yokesill/serving/surroundings.py
+++ b/src/yokesill/serving/dependencies.py
@@ -5,12 +5,12 @@
 from dataclasses import dataclass
 
 from yokesill.registry.feeds import Feed, NodeDirectory, QuarantineRecords, RolloutRecords
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.serving.settings import Address
 
 
 @dataclass(frozen=True, slots=True)
-class Surroundings:
+class Dependencies:
     """What a node is connected to: the registry's feeds and the words spoken with callers.
 
     Without ``evacuations`` zones are never evacuated, without ``rollouts`` nothing is rolled out;
--- a/src/yokesill/serving/driver.py
+++ b/src/yokesill/serving/driver.py
@@ -41,7 +41,7 @@
     of another zone last answered, in seconds of the node's clock.
     """
 
-    def __init__(self, router: GatewayRouter, client: Client, note: Callable[[ev.Note], None]) -> None:
+    def __init__(self, router: GatewayRouter, client: Client, note: Callable[[ev.LogEvent], None]) -> None:
         self.router = router
         self._client = client
         client.connections_changed = lambda instance, count: self.feed(ev.ConnectionsChanged(instance, count))
@@ -97,7 +97,7 @@
                 self._timers.set(at, ev.TimerFired(key, kind))
             case ev.CancelAttempt(number):
                 self._client.cancel(number)
-            case ev.Note():
+            case ev.LogEvent():
                 self._note(action)
             case ev.ForgetServer(instance):
                 self._client.forget(instance)
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -5,40 +5,40 @@
 
 import anyio
 
-from yokesill import collection
+from yokesill import gc_tuning
 from yokesill.callers.application import GatewayApplication
 from yokesill.callers.listener import Listener, create_listener
 from yokesill.charts.flat import transition_table
 from yokesill.coordinators.client import CoordinatorClient
 from yokesill.coordinators.coordinator import CoordinatorApplication
-from yokesill.coordinators.handing import HandOver
-from yokesill.coordinators.near_servers import NearServers
-from yokesill.gateway.coordination import CoordinatorChoice
+from yokesill.coordinators.forwarding import Forwarder
+from yokesill.coordinators.remote_coordinators import RemoteCoordinators
 from yokesill.gateway.events import (
     ConfigurationLearnt,
     Event,
     NodesCounted,
     NodesMet,
 )
+from yokesill.gateway.forwarding import CoordinatorChoice
 from yokesill.gateway.router import GatewayRouter
 from yokesill.logs import LogOutput, get_logger
-from yokesill.quarantine.judge import Standing
-from yokesill.registry.awaited import connect_tcp
+from yokesill.quarantine.judge import QuarantineStatus
+from yokesill.registry.awaited_connection import connect_tcp
 from yokesill.registry.feed_states import CONFIGURATION, EVACUATIONS, QUARANTINE, ROLLOUTS, SERVERS
 from yokesill.registry.feeds import NodeContact
 from yokesill.registry.following import FollowedFeed, RegistryFollowing
 from yokesill.registry.node_count import NodeCounter
 from yokesill.registry.peers import PeerLearner
+from yokesill.serving.dependencies import Dependencies
 from yokesill.serving.driver import GatewayDriver
 from yokesill.serving.findings import Findings
 from yokesill.serving.gauges import render_figures
-from yokesill.serving.known_state import snapshot_of, whole_feed
 from yokesill.serving.probes import ProbeApplication
 from yokesill.serving.reachability import Reachability
 from yokesill.serving.rollout_link import RolloutLink
 from yokesill.serving.rollout_part import create_rollout_link
 from yokesill.serving.settings import GatewaySettings
-from yokesill.serving.surroundings import Surroundings
+from yokesill.serving.state_snapshot import snapshot_of, whole_feed
 from yokesill.telemetry.figures import GatewayFigures
 from yokesill.telemetry.observer import Observer
 from yokesill.upstreams.server_client import ServerClient
@@ -51,7 +51,7 @@
     """One node of the gateway."""
 
     def __init__(
-        self, settings: GatewaySettings, surroundings: Surroundings, source: random.Random, output: LogOutput
+        self, settings: GatewaySettings, surroundings: Dependencies, source: random.Random, output: LogOutput
     ) -> None:
         self.settings = settings
         self._output = output
@@ -114,15 +114,17 @@
             options.few_watchers,
             self._random,
         )
-        self._near_servers = NearServers(options, self.router.servers)
-        hand_over = HandOver(
+        self._near_servers = RemoteCoordinators(options, self.router.servers)
+        hand_over = Forwarder(
             CoordinatorChoice(settings.node),
             CoordinatorClient(),
             self._following.coordinators,
             lambda: self.router.configuration,
             observer,
             self._near_servers,
-            lambda request: self.router.quarantine.standing(request, anyio.current_time()) > Standing.CLEAR,
+            lambda request: (
+                self.router.quarantine.standing(request, anyio.current_time()) > QuarantineStatus.CLEAR
+            ),
         )
         self._application = GatewayApplication(
             self.driver, around.names, observer, prefix, hand_over if options.hands_over else None
@@ -200,7 +202,7 @@
                 listener = create_listener(app)
                 await listener.start(address)
                 self._side.append(listener)
-        collection.keep_for_good()
+        gc_tuning.keep_for_good()
         self._log.info("started", node=self.settings.node, callers=str(self.settings.callers))
 
     async def _become_ready(self) -> None:
@@ -208,16 +210,16 @@
             await anyio.sleep(POLL)
         self._application.known.set()
         self._enter("learnt")
-        collection.keep_for_good()
+        gc_tuning.keep_for_good()
 
     async def _drain(self) -> None:
         """Say that this node is not ready, serve who still comes, then finish what is in flight."""
         self._application.stopping = True
         if self._enter("stop") == "withdrawing":
-            await anyio.sleep(self.settings.withdraw_time)
+            await anyio.sleep(self.settings.withdraw_time_s)
             self._enter("withdrawn")
         await self._front.close_listener()
-        with anyio.move_on_after(self.settings.drain_time) as bound:
+        with anyio.move_on_after(self.settings.drain_time_s) as bound:
             self._front.close_idle_connections()
             while self._in_flight or self._front.server_state.connections:
                 await anyio.sleep(POLL)
@@ -264,7 +266,7 @@
             self._rollouts.take(event)
         if isinstance(event, ConfigurationLearnt) and self.router.configuration is not None:
             limits = self.router.configuration.limits
-            self._front.set_limits(limits.header_timeout, limits.idle_timeout)
+            self._front.set_limits(limits.header_timeout_s, limits.idle_timeout_s)
 
     def _learn_from_peer(self, event: Event) -> None:
         if self._following.lacks(event):
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -6,12 +6,19 @@
 import anyio
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.crashes import RequestCrashes
+from yokesill.gateway.crash_tracker import CrashTracker
 from yokesill.logs import get_logger
 from yokesill.outliers.spreading import Datagram
 from yokesill.quarantine.exchange import QuarantineExchange
-from yokesill.quarantine.judge import Standing
-from yokesill.quarantine.messages import Answers, Losses, Standings, ToldAnswer, ToldLoss, ToldStanding
+from yokesill.quarantine.judge import QuarantineStatus
+from yokesill.quarantine.messages import (
+    AnswerReport,
+    Answers,
+    Losses,
+    LossReport,
+    QuarantineFinding,
+    QuarantineFindings,
+)
 from yokesill.registry.feeds import QuarantineRecords
 from yokesill.serving.driver import CrashFinding
 from yokesill.verdict import Failure
@@ -42,7 +49,7 @@
     def __init__(
         self,
         exchange: QuarantineExchange,
-        crashes: RequestCrashes,
+        crashes: CrashTracker,
         feed: Callable[[ev.Event], None],
         records: QuarantineRecords | None,
         source: random.Random,
@@ -78,11 +85,11 @@
         """Take what this node's router found."""
         match finding:
             case ev.LossObserved(fingerprint, loss):
-                self._exchange.lost(ToldLoss(fingerprint, loss))
+                self._exchange.lost(LossReport(fingerprint, loss))
             case ev.AnswerObserved(fingerprint, service, trial):
-                self._exchange.answered(ToldAnswer(fingerprint, service, trial))
+                self._exchange.answered(AnswerReport(fingerprint, service, trial))
             case ev.RequestJudged(fingerprint, standing):
-                self._exchange.found(ToldStanding(fingerprint, standing))
+                self._exchange.found(QuarantineFinding(fingerprint, standing))
                 self._record_soon(fingerprint, standing)
         self.wanted()
 
@@ -95,9 +102,9 @@
             case Answers(answers):
                 for answer in answers:
                     self._feed(ev.AnswerReported(*answer))
-            case Standings(standings):
+            case QuarantineFindings(standings):
                 for fingerprint, standing in standings:
-                    self._feed(ev.StandingHeard(fingerprint, standing))
+                    self._feed(ev.QuarantineStatusReceived(fingerprint, standing))
                     if self._exchange.judges(fingerprint):
                         self._record_soon(fingerprint, standing)
 
@@ -111,8 +118,8 @@
             task_group.start_soon(self._record, self._records)
             task_group.start_soon(self._lift_old, self._records)
 
-    def _record_soon(self, fingerprint: str, standing: Standing) -> None:
-        if standing is Standing.QUARANTINED and fingerprint not in self._crashes.judge.recorded:
+    def _record_soon(self, fingerprint: str, standing: QuarantineStatus) -> None:
+        if standing is QuarantineStatus.QUARANTINED and fingerprint not in self._crashes.judge.recorded:
             self._unrecorded[fingerprint] = None
             self._record_wanted.set()
 
--- a/src/yokesill/serving/reachability.py
+++ b/src/yokesill/serving/reachability.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from yokesill.gateway.cut_off import CutOff, depends_on_others
+from yokesill.gateway.partition import PartitionDetector, depends_on_others
 from yokesill.gateway.router import GatewayRouter
 from yokesill.registry.feeds import NodeContact
 from yokesill.serving.settings import Address
@@ -49,7 +49,7 @@
         changed: Callable[[bool], object],
         source: random.Random,
     ) -> None:
-        self.judgement = CutOff()
+        self.judgement = PartitionDetector()
         self._zone = zone
         self._router = router
         self._answered_at_s = answered_at_s
--- a/src/yokesill/serving/rollout_link.py
+++ b/src/yokesill/serving/rollout_link.py
@@ -16,8 +16,8 @@
 from yokesill.rollouts.decider import RolloutDecider
 from yokesill.rollouts.messages import (
     OrderReport,
+    RolloutDecisions,
     RolloutReport,
-    RolloutWord,
     decode,
     encode,
     in_datagrams,
@@ -35,7 +35,7 @@
 # Many orders that change in one moment are told together.
 URGENT_GAP_S = 0.05
 
-Receive = Callable[[RolloutWord], None]
+Receive = Callable[[RolloutDecisions], None]
 Send = Callable[[str, bytes], Awaitable[None]]
 
 
--- a/src/yokesill/serving/rollout_part.py
+++ b/src/yokesill/serving/rollout_part.py
@@ -6,17 +6,17 @@
 
 import anyio
 
-from yokesill.gateway.events import RolloutWordHeard
+from yokesill.gateway.events import RolloutDecisionsReceived
 from yokesill.registry.feeds import NodeContact, RolloutRecords
 from yokesill.rollouts.decider import RolloutDecider
-from yokesill.rollouts.orders import RolloutTerms
+from yokesill.rollouts.orders import RolloutLimits
 from yokesill.serving.driver import GatewayDriver
 from yokesill.serving.rollout_link import RolloutLink, RouterSide
 
 
 def create_rollout_link(
     own: NodeContact,
-    terms: RolloutTerms,
+    terms: RolloutLimits,
     driver: GatewayDriver,
     records: RolloutRecords,
     reaches_registry: Callable[[], bool],
@@ -29,7 +29,7 @@
     decider = RolloutDecider(own.node, incarnation, terms, source, anyio.current_time())
     side = RouterSide(
         report=lambda: router.rollout_report(anyio.current_time()),
-        hear=lambda word: driver.feed(RolloutWordHeard(word)),
+        hear=lambda word: driver.feed(RolloutDecisionsReceived(word)),
         versions=router.version_counts,
         services=lambda: _services(driver),
     )
--- a/src/yokesill/serving/settings.py
+++ b/src/yokesill/serving/settings.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field, fields
 from typing import NamedTuple
 
-from yokesill.gateway.budget import BudgetTerms
-from yokesill.gateway.cold_starts import ColdStartTerms
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.options import GatewayOptions
-from yokesill.rollouts.orders import RolloutTerms
+from yokesill.gateway.servers.cold_starts import ColdStartLimits
+from yokesill.rollouts.orders import RolloutLimits
 
 STOP_MARGIN = 0.4
 WITHDRAW_SHARE = 0.5
@@ -53,7 +53,7 @@
     ``cold_starts`` says how far all nodes together may go with a cold server, ``cores`` how much of a
     processor this node has. ``rollouts`` are the figures of roll-outs; ``None`` where there are none.
     ``recovery_bound_s`` is how long after a trouble of the registry a node may be behind.
-    ``stop_grace`` is the time from the request to stop until the process is killed.
+    ``stop_grace_s`` is the time from the request to stop until the process is killed.
     ``switched_off`` names mechanisms that an experiment does without, see ``GatewayOptions``.
     """
 
@@ -69,15 +69,15 @@
     rollout_datagrams: Address | None = None
     seeds: tuple[Address, ...] = ()
     regions: dict[str, str] = field(default_factory=dict)
-    budget: BudgetTerms = BudgetTerms(ratio=0.1, allowance=10.0, window=10.0)  # noqa: RUF009 (frozen)
-    stop_grace: float = 6.0
+    budget: BudgetLimits = BudgetLimits(ratio=0.1, allowance=10.0, window_s=10.0)  # noqa: RUF009 (frozen)
+    stop_grace_s: float = 6.0
     configuration_bound_s: float = 3.0
     leaving_bound_s: float = 2.0
     recovery_bound_s: float = 4.0
     evacuation_bound_s: float | None = None
-    cold_starts: ColdStartTerms = ColdStartTerms()  # noqa: RUF009 (immutable)
+    cold_starts: ColdStartLimits = ColdStartLimits()  # noqa: RUF009 (immutable)
     cores: float = 1.0
-    rollouts: RolloutTerms | None = None
+    rollouts: RolloutLimits | None = None
     log_level: str = "info"
     switched_off: tuple[str, ...] = ()
 
@@ -116,14 +116,14 @@
         return CHECK_SHARE * self.recovery_bound_s
 
     @property
-    def withdraw_time(self) -> float:
+    def withdraw_time_s(self) -> float:
         """How long a stopping node still takes callers, so that whoever sends them learns of it."""
-        return min(WITHDRAW_CEILING, self.stop_grace * WITHDRAW_SHARE)
+        return min(WITHDRAW_CEILING, self.stop_grace_s * WITHDRAW_SHARE)
 
     @property
-    def drain_time(self) -> float:
+    def drain_time_s(self) -> float:
         """How long after withdrawing what is in flight may still take."""
-        return max(0.0, self.stop_grace - STOP_MARGIN - self.withdraw_time)
+        return max(0.0, self.stop_grace_s - STOP_MARGIN - self.withdraw_time_s)
 
     def options(self) -> GatewayOptions:
         """Return the options of this node's router.
@@ -138,7 +138,7 @@
             self.node,
             regions=self.regions,
             budget=self.budget,
-            removed_grace=self.removed_grace_s,
+            removed_grace_s=self.removed_grace_s,
             cold_starts=self.cold_starts,
             rollouts=self.rollouts,
         )
--- a/src/yokesill/simulation/edges.py
+++ b/src/yokesill/simulation/edges.py
@@ -47,9 +47,9 @@
         model = self._reachable(attempt.address)
         if model is None:
             return _failed(attempt, Reason.CONNECT_FAILED, Verdict.NOT_RUN)
-        with anyio.move_on_after(attempt.deadline - anyio.current_time() + TIMEOUT_GRACE):
+        with anyio.move_on_after(attempt.deadline_at_s - anyio.current_time() + TIMEOUT_GRACE):
             await anyio.sleep(self._latency(model))
-            body = json.loads(encode_attempt(attempt, attempt.deadline - anyio.current_time()))
+            body = json.loads(encode_attempt(attempt, attempt.deadline_at_s - anyio.current_time()))
             reply = await model.execute(body)
             await anyio.sleep(self._latency(model))
             if reply.lost or self._reachable(attempt.address) is None:
--- a/src/yokesill/telemetry/figures.py
+++ b/src/yokesill/telemetry/figures.py
@@ -3,7 +3,7 @@
 import bisect
 from collections import Counter
 
-from yokesill.gateway.events import Note
+from yokesill.gateway.events import LogEvent
 from yokesill.gateway.messages import RequestSummary
 
 LATENCY_BOUNDS = (0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0)
@@ -41,7 +41,7 @@
         self.coverage: dict[str, Distribution] = {}
         self.gauges: dict[str, tuple[str, float]] = {}
 
-    def count_note(self, note: Note) -> None:
+    def count_note(self, note: LogEvent) -> None:
         """Count a decision."""
         self.decisions[note.name] += 1
 
@@ -53,7 +53,7 @@
         if route not in self.latency:
             self.latency[route] = Distribution(LATENCY_BOUNDS)
             self.coverage[route] = Distribution(COVERAGE_BOUNDS)
-        self.latency[route].observe(summary.elapsed)
+        self.latency[route].observe(summary.elapsed_s)
         self.coverage[route].observe(summary.covered / max(1, summary.asked))
         self.attempts["first"] += summary.attempts - summary.extra_attempts
         self.attempts["extra"] += summary.extra_attempts
--- a/src/yokesill/telemetry/observer.py
+++ b/src/yokesill/telemetry/observer.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from yokesill.gateway.events import FinalAnswer, Note, Refuse
+from yokesill.gateway.events import FinalAnswer, LogEvent, Refuse
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.logs import Logger
 from yokesill.telemetry.figures import GatewayFigures
@@ -29,7 +29,7 @@
         self._log = log
         self._figures = figures
 
-    def note(self, note: Note) -> None:
+    def note(self, note: LogEvent) -> None:
         """Tell of one of the router's decisions."""
         self._figures.count_note(note)
         self._log.info(note.name, **note.details)
@@ -43,7 +43,7 @@
         if summary is not None:
             details = {
                 "version": summary.version,
-                "ms": round(summary.elapsed * 1000, 1),
+                "ms": round(summary.elapsed_s * 1000, 1),
                 "covered": summary.covered,
                 "asked": summary.asked,
                 "attempts": summary.attempts,
--- a/src/yokesill/upstreams/attempt_bytes.py
+++ b/src/yokesill/upstreams/attempt_bytes.py
@@ -5,7 +5,7 @@
 
 from yokesill.comm.http_reply import HttpReplyReader
 from yokesill.gateway.messages import Attempt, GatewayRequest, Load, ServerReply
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.verdict import Failure, Reason, Verdict
 
 MISDIRECTED, SERVER_ERROR = 421, 500
--- a/src/yokesill/upstreams/server_client.py
+++ b/src/yokesill/upstreams/server_client.py
@@ -13,7 +13,7 @@
 from yokesill.comm.http_reply import HttpReplyReader, ReplyError
 from yokesill.gateway.events import AttemptAnswered, AttemptFailed
 from yokesill.gateway.messages import Attempt
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.timers import Timers
 from yokesill.upstreams.attempt_bytes import MISDIRECTED, encode_attempt, read_reply
 from yokesill.upstreams.connections import ConnectionSet, ResetBeforeReplyError, ServerConnection, idle_time_s
@@ -153,7 +153,7 @@
     async def _open(self, call: AttemptCall) -> None:
         """Open a connection for a call; if that has ended meanwhile, whoever is next gets it."""
         connections, started = call.connections, self._clock()
-        opened = await open_connection(connections, self._dial, call.attempt.deadline, self._clock)
+        opened = await open_connection(connections, self._dial, call.attempt.deadline_at_s, self._clock)
         if isinstance(opened, OpeningFailure):
             connections.drop(None)
             if self._is_live(call):
@@ -178,7 +178,7 @@
         call.connection = connection
         call.state = self._sent_state
         call.sent_at = now
-        request = encode_attempt(attempt, self._names, attempt.deadline - now)
+        request = encode_attempt(attempt, self._names, attempt.deadline_at_s - now)
         bodiless = attempt.request.method == b"HEAD"
         connection.start(request, bodiless, lambda outcome: self._ended(call, outcome))
 
@@ -242,7 +242,7 @@
 
     def _expire_later(self, call: AttemptCall) -> None:
         """Watch a deadline; the attempts of one request share theirs, and so one timer."""
-        deadline = call.attempt.deadline
+        deadline = call.attempt.deadline_at_s
         sharing = self._expiring.get(deadline)
         if sharing is None:
             sharing = self._expiring[deadline] = {}
@@ -256,11 +256,11 @@
         headers and bodies: 156 bytes a call and up, 5.6 MB at 9,000 parts a second.
         """
         call = self._calls.pop(number, None)
-        sharing = self._expiring.get(call.attempt.deadline) if call is not None else None
+        sharing = self._expiring.get(call.attempt.deadline_at_s) if call is not None else None
         if call is not None and sharing is not None:
             sharing.pop(number, None)
             if not sharing:
-                del self._expiring[call.attempt.deadline]
+                del self._expiring[call.attempt.deadline_at_s]
         return call
 
     def _expire(self, deadline: float) -> None:
--- a/src/yokesill/watchers/group.py
+++ b/src/yokesill/watchers/group.py
@@ -11,7 +11,7 @@
 from collections.abc import Collection, Iterable
 
 from yokesill.rendezvous import name_hash, weight
-from yokesill.watchers.terms import WatchTerms
+from yokesill.watchers.timing import WatchTiming
 
 RANK_SUBJECT = "registry-watcher"
 SPREAD_SHARE = 0.25
@@ -48,7 +48,7 @@
     def __init__(
         self,
         own: str,
-        terms: WatchTerms,
+        terms: WatchTiming,
         source: random.Random,
         now: float,
         subject: str = RANK_SUBJECT,
--- a/src/yokesill/watchers/terms.py
+++ b/src/yokesill/watchers/timing.py
@@ -10,7 +10,7 @@
 PATIENCE_SHARE, AGE_SHARE, CHECK_SHARE = 0.3, 0.45, 0.35
 
 
-class WatchTerms(NamedTuple):
+class WatchTiming(NamedTuple):
     """How long the nodes of a zone wait for one another, in seconds.
 
     Parameters
@@ -42,7 +42,7 @@
     watchers: int = WATCHERS_PER_ZONE
 
     @classmethod
-    def within(cls, bound_s: float) -> "WatchTerms":
+    def within(cls, bound_s: float) -> "WatchTiming":
         """Return times such that a change is in force everywhere within ``bound_s``.
 
         The worst case is a watcher that is cut from the registry without noticing: its word ages
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -32,8 +32,9 @@
 from yokesill.comm import http_reply, network, sealing
 from yokesill.coordinators import client as coordinators, messages as handed
 from yokesill.frontend import app, figures as node_figures, queries
-from yokesill.gateway import events as ev, fingerprints, messages as gateway, options
+from yokesill.gateway import events as ev, messages as gateway, options
 from yokesill.gateway.documents import RequestLimits, ServerRecord
+from yokesill.gateway.requests import fingerprints
 from yokesill.membership import packets, records, rumors
 from yokesill.node import Node
 from yokesill.outliers import messages as outliers
@@ -46,7 +47,7 @@
 from yokesill.resources import hashing
 from yokesill.rollouts import messages as rollouts, order_progress, orders
 from yokesill.serving import rollout_view
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.serving.probes import ProbeApplication
 from yokesill.serving.process import GatewayProcess
 from yokesill.serving.settings import Address
@@ -136,7 +137,7 @@
 
 def _words(count: int) -> list[int]:
     order = orders.OrderId("service-with-a-name", 1764722678, "version-2")
-    word = rollouts.OrderWord(order, orders.RolloutState.CANARY, 0.1, 12.5)
+    word = rollouts.OrderDecision(order, orders.RolloutState.CANARY, 0.1, 12.5)
     return _sizes(rollouts.in_datagrams([word] * count))
 
 
@@ -338,7 +339,7 @@
 
     async def execute(request: gateway.GatewayRequest) -> Any:
         fields = (request.request_id, request.method, request.host, request.path, request.target)
-        seen.extend([*fields, request.headers, request.body, request.patience])
+        seen.extend([*fields, request.headers, request.body, request.caller_timeout_s])
         return ev.Refuse(request.key, Failure(Reason.OVERLOADED, Verdict.NOT_RUN, "busy", 1500))
 
     known = SimpleNamespace(limits=RequestLimits(500, 20))
@@ -435,7 +436,7 @@
 
 def _gateway_figures(text: str) -> Any:
     async def render(process: Any) -> str:
-        process.figures.count_note(ev.Note("hedged", {}))
+        process.figures.count_note(ev.LogEvent("hedged", {}))
         process.figures.count_request("wide", "answered", _SUMMARY)
         return str(process._render_figures().decode())
 
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -6,7 +6,6 @@
 from collections import defaultdict
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.budget import BudgetTerms
 from yokesill.gateway.documents import (
     Configuration,
     Gather,
@@ -16,6 +15,7 @@
     Split,
     WeightedService,
 )
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
@@ -23,7 +23,7 @@
 
 HOST = "shop.example"
 SHARDS = ("s1", "s2", "s3", "s4")
-TERMS = BudgetTerms(ratio=0.2, allowance=50.0, window=10.0)
+TERMS = BudgetLimits(ratio=0.2, allowance=50.0, window_s=10.0)
 
 
 def gather_route(coverage: float = 0.75, services: tuple[str, ...] = SHARDS, attempts: int = 2) -> Route:
@@ -73,7 +73,7 @@
         )
         self.sent: list[Attempt] = []
         self.cancelled: list[int] = []
-        self.notes: list[ev.Note] = []
+        self.notes: list[ev.LogEvent] = []
         self.observed: list[ev.ServerObserved] = []
         self.finals: dict[str, ev.FinalAnswer] = {}
         self._timers: list[tuple[float, int, ev.TimerFired]] = []
@@ -95,7 +95,7 @@
                 case ev.SetTimer(key, kind, at):
                     entry = (at, next(self._numbers), ev.TimerFired(key, kind))
                     heapq.heappush(self._timers, entry)
-                case ev.Note():
+                case ev.LogEvent():
                     self.notes.append(action)
                 case ev.ServerObserved():
                     self.observed.append(action)
--- a/tests/gateway/rolled_out.py
+++ b/tests/gateway/rolled_out.py
@@ -9,8 +9,8 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Route, ServerRecord
 from yokesill.gateway.options import GatewayOptions
-from yokesill.rollouts.messages import OrderReport, OrderWord, RolloutWord
-from yokesill.rollouts.orders import RolloutOrder, RolloutState, RolloutTerms
+from yokesill.rollouts.messages import OrderDecision, OrderReport, RolloutDecisions
+from yokesill.rollouts.orders import RolloutLimits, RolloutOrder, RolloutState
 
 ORDERED, CANARY, SWITCHING, COMPLETED, ROLLED_BACK = RolloutState
 VALID_S = 1.5
@@ -43,7 +43,7 @@
         names = sorted({name for route in routes for name in route.services})
         old = tuple(each for name in names for each in servers_of(name, "v1"))
         new = tuple(each for name in names for each in servers_of(name, "v2"))
-        terms = GatewayOptions(zone="z1", budget=TERMS, rollouts=RolloutTerms())
+        terms = GatewayOptions(zone="z1", budget=TERMS, rollouts=RolloutLimits())
         super().__init__(
             *routes, servers=(*old, *new) if servers is None else servers, options=replace(terms, **options)
         )
@@ -56,8 +56,8 @@
         self, state: RolloutState, share: float = 1.0, valid_s: float = VALID_S, services: Iterable[str] = ()
     ) -> None:
         orders = [self.orders[name] for name in services or self.orders]
-        words = tuple(OrderWord(each.id, state, share, 1.0) for each in orders)
-        self.feed(ev.RolloutWordHeard(RolloutWord("d1", True, valid_s, words)))
+        words = tuple(OrderDecision(each.id, state, share, 1.0) for each in orders)
+        self.feed(ev.RolloutDecisionsReceived(RolloutDecisions("d1", True, valid_s, words)))
 
     def record(self, state: RolloutState) -> None:
         for name, order in self.orders.items():
--- a/tests/gateway/test_budget.py
+++ b/tests/gateway/test_budget.py
@@ -5,15 +5,15 @@
 from harness import TERMS, RouterHarness, failure, gather_route, single_route
 from hypothesis import Phase, given, settings, strategies as st
 
-from yokesill.gateway.budget import ExtraAttemptBudget
+from yokesill.gateway.limits.budget import ExtraAttemptBudget
 from yokesill.verdict import Reason, Verdict
 
 
 def allowed(requests: list[float], end: float) -> float:
     """What the contract allows in the window that ends at ``end``, by its three counts."""
     counts = [
-        sum(end - back - TERMS.window < at <= end - back for at in requests)
-        for back in (0.0, TERMS.window, TERMS.window / 2)
+        sum(end - back - TERMS.window_s < at <= end - back for at in requests)
+        for back in (0.0, TERMS.window_s, TERMS.window_s / 2)
     ]
     return TERMS.ratio * max(counts) + TERMS.allowance
 
@@ -42,7 +42,7 @@
         while source.random() < 0.8 and budgets[node].take(nodes, now):
             extras.append(now)
     for end in extras:
-        spent = sum(end - TERMS.window < at <= end for at in extras)
+        spent = sum(end - TERMS.window_s < at <= end for at in extras)
         assert spent <= allowed(requests, end)
 
 
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -7,21 +7,21 @@
 from harness import RouterHarness, gather_route, server
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.budget import BudgetTerms
-from yokesill.gateway.cold_starts import ColdStarts, ColdStartTerms
 from yokesill.gateway.documents import Configuration, ServiceLimits
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.options import GatewayOptions
+from yokesill.gateway.servers.cold_starts import ColdStartLimits, ColdStarts
 
-TERMS = ColdStartTerms(overshoot=1.5, slack=5.0)
+TERMS = ColdStartLimits(overshoot=1.5, slack=5.0)
 BEARS_PER_S = 4.0
 BOUND = BEARS_PER_S * TERMS.overshoot + TERMS.slack
-COLD = replace(server("cold", "s1"), warmup=30.0)
+COLD = replace(server("cold", "s1"), warmup_left_s=30.0)
 WARM = server("warm", "s1", zone="z2")
 ROUTE = gather_route(services=("s1",), coverage=1.0)
 
 
 def node(name: str, names: frozenset[str], *servers: str, bears_per_s: float = BEARS_PER_S) -> RouterHarness:
-    options = GatewayOptions("z1", name, budget=BudgetTerms(0.2, 50.0, 10.0), cold_starts=TERMS)
+    options = GatewayOptions("z1", name, budget=BudgetLimits(0.2, 50.0, 10.0), cold_starts=TERMS)
     records = {"cold": COLD, "warm": WARM}
     harness = RouterHarness(servers=tuple(records[each] for each in servers), options=options)
     services = {"s1": ServiceLimits(100, bears_per_s)}
@@ -88,7 +88,7 @@
     harness = node("x", names(90), "warm")
     harness.arrive()
     assert len(harness.sent) == 1
-    harness.feed(ev.ServerListed(replace(WARM, warmup=5.0)))
+    harness.feed(ev.ServerListed(replace(WARM, warmup_left_s=5.0)))
     key = harness.arrive()
     assert harness.of(key) == []
     assert isinstance(harness.finals[key], ev.Refuse)
--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -6,17 +6,17 @@
 from harness import RouterHarness, gather_route, reply, single_route
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.coordination import (
+from yokesill.gateway.documents import Route
+from yokesill.gateway.forwarding import (
     FIRST_HOP_S,
     LEAST_SERVICES,
     REFUSED_PAUSE_S,
     Coordinator,
     CoordinatorChoice,
 )
-from yokesill.gateway.documents import Route
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.verdict import Verdict
-from yokesill.watchers.strength import gathering_nodes, strong_nodes
+from yokesill.watchers.capacity_rank import gathering_nodes, strong_nodes
 
 WIDE = gather_route(services=tuple(f"s{number}" for number in range(LEAST_SERVICES)))
 NOW = 1000.0
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -5,9 +5,9 @@
 from harness import HOST, RouterHarness, failure, gather_route, reply, server, single_route
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.fingerprints import fingerprint
 from yokesill.gateway.messages import GatewayRequest
-from yokesill.quarantine.judge import Standing
+from yokesill.gateway.requests.fingerprints import fingerprint
+from yokesill.quarantine.judge import QuarantineStatus
 from yokesill.verdict import Verdict
 
 SHARDS = ("s1", "s2", "s3", "s4")
@@ -92,7 +92,7 @@
 def test_a_suspected_request_is_at_one_server_at_a_time_and_never_hedged() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     harness.warm_up()
-    harness.feed(ev.StandingHeard(fingerprint_of("/wide/deadly"), Standing.SUSPECTED))
+    harness.feed(ev.QuarantineStatusReceived(fingerprint_of("/wide/deadly"), QuarantineStatus.SUSPECTED))
     key = harness.arrive("/wide/deadly")
     assert len(harness.of(key)) == 1
     harness.advance(0.5)
@@ -108,7 +108,7 @@
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     key = harness.arrive("/wide/deadly")
     other = harness.arrive("/wide/other")
-    harness.feed(ev.StandingHeard(fingerprint_of("/wide/deadly"), Standing.QUARANTINED))
+    harness.feed(ev.QuarantineStatusReceived(fingerprint_of("/wide/deadly"), QuarantineStatus.QUARANTINED))
     assert set(harness.cancelled) == {each.number for each in harness.of(key)}
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
