--- a/tests/gateway/test_cut_off.py
+++ b/tests/gateway/test_cut_off.py
@@ -3,14 +3,14 @@
 import pytest
 from harness import configuration, gather_route, server, single_route
 
-from yokesill.gateway.cut_off import LONGEST_S, SILENCE_S, CutOff, depends_on_others
 from yokesill.gateway.documents import ServerRecord
+from yokesill.gateway.partition import LONGEST_S, SILENCE_S, PartitionDetector, depends_on_others
 
 KNOWN = configuration(1, gather_route(), single_route())
 NAMES = ("s1", "s2", "s3", "s4", "desk")
 
 
-def look(judgement: CutOff, seconds: float, start: float, reached: bool = False) -> float:
+def look(judgement: PartitionDetector, seconds: float, start: float, reached: bool = False) -> float:
     """Look as often as the judgement wants to for a while; return until when."""
     now = start
     while now < start + seconds:
@@ -23,7 +23,7 @@
 
 
 def test_a_node_that_reaches_nobody_for_a_while_is_cut_off_and_back_at_the_first_answer() -> None:
-    judgement = CutOff()
+    judgement = PartitionDetector()
     now = look(judgement, 5.0, 0.0, reached=True)
     now = look(judgement, SILENCE_S - 0.1, now)
     assert not judgement.cut
@@ -34,7 +34,7 @@
 
 
 def test_a_single_answer_in_time_begins_the_silence_anew() -> None:
-    judgement = CutOff()
+    judgement = PartitionDetector()
     now = 0.0
     for _ in range(20):
         now = look(judgement, SILENCE_S - 0.1, now)
@@ -43,7 +43,7 @@
 
 
 def test_a_node_that_seems_cut_off_for_good_is_ready_half_of_the_time() -> None:
-    judgement = CutOff()
+    judgement = PartitionDetector()
     cut = []
     now = 0.0
     while now < 20 * LONGEST_S:
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -5,11 +5,11 @@
 import pytest
 from harness import gather_route, server
 
-from yokesill.gateway.coordination import LEAST_SERVICES, ZONE_LOST_PAUSE_S, Coordinator, CoordinatorChoice
 from yokesill.gateway.documents import ServerRecord
+from yokesill.gateway.forwarding import LEAST_SERVICES, ZONE_LOST_PAUSE_S, Coordinator, CoordinatorChoice
 from yokesill.gateway.options import GatewayOptions
-from yokesill.gateway.placement import LOOK_AGAIN_S, ServerPlaces
-from yokesill.gateway.server_table import ServerTable
+from yokesill.gateway.servers.server_table import ServerTable
+from yokesill.gateway.servers.server_zones import LOOK_AGAIN_S, ServerZones
 
 NOW = 1000.0
 NAMES = tuple(f"s{number}" for number in range(LEAST_SERVICES))
@@ -17,12 +17,12 @@
 REGIONS = {"a": "r1", "b": "r1", "c": "r1", "d": "r1", "x": "r2"}
 
 
-def table(*zones: str, names: tuple[str, ...] = NAMES, own: str = "d") -> tuple[ServerPlaces, ServerTable]:
+def table(*zones: str, names: tuple[str, ...] = NAMES, own: str = "d") -> tuple[ServerZones, ServerTable]:
     """A node's view with a server of each service in each of the zones."""
     options = GatewayOptions(zone=own, regions=REGIONS)
     servers = ServerTable(options)
     servers.replace([server(f"{name}-{zone}", name, zone) for name in names for zone in zones], NOW)
-    return ServerPlaces(options, servers), servers
+    return ServerZones(options, servers), servers
 
 
 def test_a_zone_without_servers_may_gather_in_any_of_the_nearest_that_have_them() -> None:
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -3,9 +3,9 @@
 from harness import SHARDS, RouterHarness, failure, gather_route, reply, server, single_route
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.come_back import SHED_RETRY_AFTER_MS
 from yokesill.gateway.documents import ServerRecord
-from yokesill.gateway.servers import FAILING_EJECTION
+from yokesill.gateway.requests.retry_after import SHED_RETRY_AFTER_MS
+from yokesill.gateway.servers.server_state import FAILING_EJECTION
 from yokesill.verdict import Reason, Verdict
 
 PATIENCE_S = 1.5
--- a/tests/gateway/test_rollout_canaries.py
+++ b/tests/gateway/test_rollout_canaries.py
@@ -18,8 +18,8 @@
 )
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.budget import BudgetTerms
 from yokesill.gateway.documents import Configuration, Route, ServerRecord, ServiceLimits
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.rollouts.evidence import MOST_NEW, MOST_OLD
 from yokesill.rollouts.orders import RolloutState
 from yokesill.verdict import Failure, Reason, Verdict
@@ -93,7 +93,7 @@
 
 
 def test_repeating_canaries_keeps_to_the_budget() -> None:
-    harness = canary(budget=BudgetTerms(ratio=0.0, allowance=3.0, window=10.0))
+    harness = canary(budget=BudgetLimits(ratio=0.0, allowance=3.0, window_s=10.0))
     keys = [harness.arrive() for _ in range(5)]
     for key in keys:
         harness.fail(harness.of(key)[0])
@@ -108,7 +108,7 @@
 
 
 def cold_servers() -> tuple[ServerRecord, ...]:
-    return tuple(replace(each, warmup=60.0) for each in servers_of("s1", "v2"))
+    return tuple(replace(each, warmup_left_s=60.0) for each in servers_of("s1", "v2"))
 
 
 @pytest.mark.parametrize("state", [CANARY, SWITCHING])
--- a/tests/gateway/test_rollout_random.py
+++ b/tests/gateway/test_rollout_random.py
@@ -13,7 +13,7 @@
 
 STEPS = 150
 # How long all old entries must be gone until the new version may take their place.
-GONE_S = GatewayOptions(zone="z1").removed_grace
+GONE_S = GatewayOptions(zone="z1").removed_grace_s
 
 
 class Walk:
@@ -51,7 +51,7 @@
     def check(self, attempt: Attempt) -> None:
         version = attempt.server.version
         self.versions_sent.add(version)
-        state = self.harness.router.rollouts.obeyed.get("desk")
+        state = self.harness.router.rollouts.effective.get("desk")
         if state is ROLLED_BACK:
             assert version == "v1"
         elif state is COMPLETED:
--- a/tests/gateway/test_room.py
+++ b/tests/gateway/test_room.py
@@ -137,7 +137,7 @@
     first = waiting.next("s1", harness.now)
     assert first.request.key == newest
     longest = waiting.next("s1", harness.now + 1.0)
-    assert longest.request.arrived_at <= min(each.request.arrived_at for each in harness.of(old))
+    assert longest.request.arrived_at_s <= min(each.request.arrived_at_s for each in harness.of(old))
 
 
 def test_a_more_urgent_request_has_room_before_a_newer_less_urgent_one() -> None:
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -133,7 +133,7 @@
     for each in later + same:
         harness.answer(each)
     harness.advance(0.1)
-    assert harness.now - lost.request.arrived_at > 0.1
+    assert harness.now - lost.request.arrived_at_s > 0.1
     assert ask(harness) == lost.server.instance
 
 
--- a/tests/gateway/test_shedding.py
+++ b/tests/gateway/test_shedding.py
@@ -7,15 +7,15 @@
 from harness import HOST, RouterHarness, failure, reply
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.budget import BudgetTerms
 from yokesill.gateway.documents import Gather, Route, ServerRecord
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.messages import Attempt
 from yokesill.gateway.options import GatewayOptions
 from yokesill.verdict import Reason, Verdict
 
 SHARDS = tuple(f"s{n}" for n in range(90))
-# One of eleven sharers of the budget: a coordinator among eight, to which three quarters are dealt.
-SHARERS, TERMS = 11, BudgetTerms(ratio=0.2, allowance=168.0, window=10.0)
+# One of eleven nodes that share the budget: a coordinator among eight, to which three quarters are dealt.
+SHARERS, TERMS = 11, BudgetLimits(ratio=0.2, allowance=168.0, window_s=10.0)
 WORK_S, INTERVAL_S, REJECTED = 0.02, 0.33, 0.45
 SHED = failure(Reason.SHED, Verdict.NOT_RUN)
 
--- a/tests/gateway/test_splits.py
+++ b/tests/gateway/test_splits.py
@@ -7,7 +7,7 @@
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Split, WeightedService
-from yokesill.gateway.splits import SplitCursor
+from yokesill.gateway.requests.splits import SplitCursor
 from yokesill.verdict import Reason, Verdict
 
 NODES = 90
--- a/tests/outliers/test_judging.py
+++ b/tests/outliers/test_judging.py
@@ -5,7 +5,7 @@
 import pytest
 
 from yokesill.outliers.exchange import OutlierExchange
-from yokesill.outliers.judge import OutlierJudge
+from yokesill.outliers.judge import OutlierDetector
 from yokesill.outliers.messages import Observation, Observations, Suspicion, Suspicions, decode, encode
 from yokesill.outliers.spreading import Peer
 
@@ -72,24 +72,24 @@
 
 
 def test_what_waited_in_one_pause_is_one_observation() -> None:
-    judge = OutlierJudge()
+    judge = OutlierDetector()
     assert [judge.observe(Observation("paused"), 10.0 + number * 0.005) for number in range(15)] == [
         None
     ] * 15
 
 
 def test_some_late_answers_among_many_good_ones_are_no_slowness() -> None:
-    judge = OutlierJudge()
+    judge = OutlierDetector()
     assert [judge.observe(Observation("busy", 4), 10.0 + number * 0.2) for number in range(20)] == [None] * 20
 
 
 def test_pauses_far_apart_are_no_slowness() -> None:
-    judge = OutlierJudge()
+    judge = OutlierDetector()
     assert [judge.observe(Observation("paused"), 10.0 + number * 3.0) for number in range(10)] == [None] * 10
 
 
 def test_a_server_that_stays_slow_is_suspected_sooner_and_longer() -> None:
-    judge = OutlierJudge()
+    judge = OutlierDetector()
     found: list[tuple[float, float]] = []
     for tick in range(100):
         now = 10.0 + tick * 0.11
--- a/tests/platform/test_reading.py
+++ b/tests/platform/test_reading.py
@@ -6,8 +6,8 @@
 import pytest
 from test_following_the_store import CONFIG
 
-from yokesill.gateway.cold_starts import ColdStartTerms
 from yokesill.gateway.documents import Gather, ServiceLimits, Split
+from yokesill.gateway.servers.cold_starts import ColdStartLimits
 from yokesill.platform.documents import read_configuration, read_server
 from yokesill.platform.settings import parse_settings
 from yokesill.serving.object_fields import ObjectError
@@ -52,7 +52,7 @@
     wide = changed(gather=["s1", "s2"], topK=5, minCoverage=0.75, targetLatencyMs=56, maxAttempts=2)
     route = read_configuration(wide).routes[0]
     assert route.destination == Gather(("s1", "s2"), 5, 0.75)
-    assert (route.target, route.attempts, route.repeatable) == (0.056, 2, True)
+    assert (route.objective_s, route.max_attempts, route.repeatable) == (0.056, 2, True)
 
 
 @pytest.mark.parametrize(
@@ -142,5 +142,5 @@
     settings = parse_settings(SETTINGS.replace("[bounds]\n", bounds) + limits)
     assert isinstance(settings, GatewaySettings)
     assert settings.evacuation_bound_s == settings.change_bound_s == 2.0
-    assert settings.cold_starts == ColdStartTerms(1.5, 5.0)
+    assert settings.cold_starts == ColdStartLimits(1.5, 5.0)
     assert settings.cores == 1.5
--- a/tests/platform/test_rollout_records.py
+++ b/tests/platform/test_rollout_records.py
@@ -18,7 +18,7 @@
 from yokesill.registry.api_client import ApiClient
 from yokesill.registry.feed_states import changes_from_wire, changes_to_wire, decode_state, encode_state
 from yokesill.registry.feeds import Batch, Overtaken
-from yokesill.rollouts.orders import RolloutOrder, RolloutState, RolloutTerms
+from yokesill.rollouts.orders import RolloutLimits, RolloutOrder, RolloutState
 from yokesill.serving.settings import Address, GatewaySettings
 from yokesill.verdict import Failure, Verdict
 
@@ -231,16 +231,16 @@
     ("contracts", "bounds", "terms"),
     [
         ('["base"]', "canaryShare = 0.2", None),
-        ('["base", "rollout"]', "", RolloutTerms()),
+        ('["base", "rollout"]', "", RolloutLimits()),
         (
             '["rollout"]',
             "canaryShare = 0.2\ncanarySlack = 30\nrollbackMs = 4000",
-            RolloutTerms(0.2, 30.0, 4.0),
+            RolloutLimits(0.2, 30.0, 4.0),
         ),
     ],
 )
 def test_roll_outs_are_followed_where_the_contracts_name_them(
-    contracts: str, bounds: str, terms: RolloutTerms | None
+    contracts: str, bounds: str, terms: RolloutLimits | None
 ) -> None:
     text = f"contracts = {contracts}\n" + SETTINGS.replace("[bounds]", f"[bounds]\n{bounds}")
     settings = parse_settings(text)
--- a/tests/platform/test_start_is_lean.py
+++ b/tests/platform/test_start_is_lean.py
@@ -9,14 +9,14 @@
 import anyio
 import pytest
 
-from yokesill import collection
+from yokesill import gc_tuning
 from yokesill.serving.datagrams import open_datagrams
 from yokesill.serving.settings import Address
 
 NODE = """
 import sys
-from yokesill import unloaded
-unloaded.leave_out()
+from yokesill import lazy_imports
+lazy_imports.leave_out()
 import yokesill.platform.main
 {rest}
 """
@@ -46,7 +46,8 @@
         ("import logging.config; print(logging.config.dictConfig({'version': 1}))", "None"),
         ("import ssl; print(ssl.create_default_context().check_hostname)", "True"),
         (
-            "import ssl as kept; from yokesill.unloaded import TLS_CONSTANTS; kept.CERT_REQUIRED; import ssl;"
+            "import ssl as kept; from yokesill.lazy_imports import TLS_CONSTANTS; kept.CERT_REQUIRED;"
+            "import ssl;"
             "print(TLS_CONSTANTS == {each: int(getattr(ssl, each)) for each in TLS_CONSTANTS})",
             "True",
         ),
@@ -66,16 +67,16 @@
 
 def test_a_process_that_postponed_nothing_collects_as_before() -> None:
     before = gc.get_freeze_count()
-    collection.keep_for_good()
+    gc_tuning.keep_for_good()
     assert (gc.isenabled(), gc.get_freeze_count()) == (True, before)
 
 
 def test_what_a_start_made_is_not_looked_through_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(collection, "_postponed", False)
+    monkeypatch.setattr(gc_tuning, "_postponed", False)
     try:
-        collection.postpone()
+        gc_tuning.postpone()
         assert not gc.isenabled()
-        collection.keep_for_good()
+        gc_tuning.keep_for_good()
         assert gc.isenabled()
         assert gc.get_freeze_count() > 0
     finally:
--- a/tests/quarantine/test_crash_judge.py
+++ b/tests/quarantine/test_crash_judge.py
@@ -7,51 +7,51 @@
     LOST_TO_SUSPECT,
     MOST_RECORDS,
     UNRECORDED_S,
-    CrashJudge,
+    CrashDetector,
     Loss,
-    Standing,
+    QuarantineStatus,
 )
 
 NAME = "00ff"
 
 
-def suspected(judge: CrashJudge, now: float = 0.0) -> CrashJudge:
+def suspected(judge: CrashDetector, now: float = 0.0) -> CrashDetector:
     for number in range(LOST_TO_SUSPECT):
         judge.lost(NAME, Loss(f"i-{number}", f"s-{number}"), now)
-    assert judge.standing(NAME, now) is Standing.SUSPECTED
+    assert judge.standing(NAME, now) is QuarantineStatus.SUSPECTED
     return judge
 
 
 def test_three_servers_make_it_suspected_and_two_trials_more_quarantined() -> None:
-    judge = suspected(CrashJudge())
+    judge = suspected(CrashDetector())
     assert judge.lost(NAME, Loss("i-7", "s-0", trial=True), 1.0) is None
-    assert judge.lost(NAME, Loss("i-8", "s-0", trial=True), 2.0) is Standing.QUARANTINED
+    assert judge.lost(NAME, Loss("i-8", "s-0", trial=True), 2.0) is QuarantineStatus.QUARANTINED
     assert judge.quarantined == {NAME}
 
 
 def test_one_trial_is_enough_after_twice_as_many_servers() -> None:
-    judge = suspected(CrashJudge())
+    judge = suspected(CrashDetector())
     for number in range(3, 5):
         assert judge.lost(NAME, Loss(f"i-{number}", f"s-{number}"), 0.0) is None
-    assert judge.lost(NAME, Loss("i-7", "s-0", trial=True), 1.0) is Standing.QUARANTINED
+    assert judge.lost(NAME, Loss("i-7", "s-0", trial=True), 1.0) is QuarantineStatus.QUARANTINED
 
 
 def test_the_same_server_told_by_two_nodes_counts_once() -> None:
-    judge = CrashJudge()
+    judge = CrashDetector()
     for _ in range(2 * LOST_TO_SUSPECT):
         judge.lost(NAME, Loss("i-1", "s-1"), 0.0)
-    assert judge.standing(NAME, 0.0) is Standing.CLEAR
+    assert judge.standing(NAME, 0.0) is QuarantineStatus.CLEAR
 
 
 def test_a_trial_before_any_suspicion_counts_as_any_other_loss() -> None:
-    judge = CrashJudge()
+    judge = CrashDetector()
     for number in range(LOST_TO_SUSPECT):
         judge.lost(NAME, Loss(f"i-{number}", "s", trial=True), 0.0)
-    assert judge.standing(NAME, 0.0) is Standing.SUSPECTED
+    assert judge.standing(NAME, 0.0) is QuarantineStatus.SUSPECTED
 
 
 def test_an_answer_clears_where_one_server_ended_and_one_in_a_trial_clears_all() -> None:
-    judge = CrashJudge()
+    judge = CrashDetector()
     judge.lost(NAME, Loss("i-0", "s-0"), 0.0)
     judge.lost(NAME, Loss("i-1", "s-1"), 0.0)
     assert judge.answered(NAME, "s-9", trial=False)
@@ -59,49 +59,50 @@
     judge.lost(NAME, Loss("i-1", "s-1"), 0.0)
     judge.lost(NAME, Loss("i-2", "s-1"), 0.0)
     assert not judge.answered(NAME, "s-9", trial=False)
-    assert judge.lost(NAME, Loss("i-3", "s-2"), 0.0) is Standing.SUSPECTED
+    assert judge.lost(NAME, Loss("i-3", "s-2"), 0.0) is QuarantineStatus.SUSPECTED
     assert judge.answered(NAME, "s-3", trial=True)
-    assert judge.standing(NAME, 0.0) is Standing.CLEAR
+    assert judge.standing(NAME, 0.0) is QuarantineStatus.CLEAR
     assert len(judge) == 0
 
 
 def test_a_request_that_ends_the_servers_of_one_shard_only_is_found_too() -> None:
-    judge = CrashJudge()
+    judge = CrashDetector()
     for number in range(2):
         judge.lost(NAME, Loss(f"i-{number}", "s-7"), 0.0)
     for service in ("s-1", "s-2"):
         assert not judge.answered(NAME, service, trial=False)
     judge.lost(NAME, Loss("i-3", "s-7"), 0.0)
-    assert judge.standing(NAME, 0.0) is Standing.SUSPECTED
+    assert judge.standing(NAME, 0.0) is QuarantineStatus.SUSPECTED
     assert judge.suspected_services(NAME) == {"s-7"}
 
 
 def test_nothing_clears_what_is_quarantined_but_its_record() -> None:
-    judge = CrashJudge()
-    assert judge.told(NAME, Standing.QUARANTINED, 0.0)
+    judge = CrashDetector()
+    assert judge.told(NAME, QuarantineStatus.QUARANTINED, 0.0)
     assert not judge.answered(NAME, "s", trial=True)
-    assert not judge.told(NAME, Standing.SUSPECTED, 0.0)
+    assert not judge.told(NAME, QuarantineStatus.SUSPECTED, 0.0)
     judge.record(frozenset({"other"}))
     assert judge.quarantined == {NAME, "other"}
     judge.record(frozenset({NAME}))
     judge.record(frozenset())
-    assert judge.standing(NAME, 0.0) is Standing.CLEAR
+    assert judge.standing(NAME, 0.0) is QuarantineStatus.CLEAR
 
 
 @pytest.mark.parametrize(
-    ("standing", "kept_s"), [(Standing.SUSPECTED, EVIDENCE_S), (Standing.QUARANTINED, UNRECORDED_S)]
+    ("standing", "kept_s"),
+    [(QuarantineStatus.SUSPECTED, EVIDENCE_S), (QuarantineStatus.QUARANTINED, UNRECORDED_S)],
 )
-def test_what_nobody_records_is_forgotten_after_a_while(standing: Standing, kept_s: float) -> None:
-    judge = CrashJudge()
+def test_what_nobody_records_is_forgotten_after_a_while(standing: QuarantineStatus, kept_s: float) -> None:
+    judge = CrashDetector()
     judge.told(NAME, standing, 10.0)
     assert judge.standing(NAME, 10.0 + kept_s) is standing
-    assert judge.standing(NAME, 10.1 + kept_s) is Standing.CLEAR
+    assert judge.standing(NAME, 10.1 + kept_s) is QuarantineStatus.CLEAR
     assert len(judge) == 0
 
 
 def test_records_are_bounded_and_the_quarantined_ones_stay() -> None:
-    judge = CrashJudge()
-    judge.told(NAME, Standing.QUARANTINED, 0.0)
+    judge = CrashDetector()
+    judge.told(NAME, QuarantineStatus.QUARANTINED, 0.0)
     for number in range(2 * MOST_RECORDS):
         judge.lost(f"innocent-{number}", Loss("i", "s"), float(number))
     assert len(judge) <= MOST_RECORDS
--- a/tests/quarantine/test_quarantine_exchange.py
+++ b/tests/quarantine/test_quarantine_exchange.py
@@ -7,16 +7,16 @@
 from yokesill.outliers.messages import kind_of
 from yokesill.outliers.spreading import Peer
 from yokesill.quarantine.exchange import QuarantineExchange
-from yokesill.quarantine.judge import Loss, Standing
+from yokesill.quarantine.judge import Loss, QuarantineStatus
 from yokesill.quarantine.messages import (
     QUARANTINE_KINDS,
+    AnswerReport,
     Answers,
     Losses,
+    LossReport,
     Message,
-    Standings,
-    ToldAnswer,
-    ToldLoss,
-    ToldStanding,
+    QuarantineFinding,
+    QuarantineFindings,
     decode,
     encode,
 )
@@ -27,9 +27,9 @@
     for number in range(5)
 ]
 MESSAGES: list[Message] = [
-    Losses((ToldLoss("ab", Loss("i-1", "s", True)), ToldLoss("cd", Loss("i-2", "t")))),
-    Answers((ToldAnswer("ab", "s", True),)),
-    Standings((ToldStanding("ab", Standing.QUARANTINED),), relay=True),
+    Losses((LossReport("ab", Loss("i-1", "s", True)), LossReport("cd", Loss("i-2", "t")))),
+    Answers((AnswerReport("ab", "s", True),)),
+    QuarantineFindings((QuarantineFinding("ab", QuarantineStatus.QUARANTINED),), relay=True),
 ]
 
 
@@ -57,7 +57,7 @@
 
 def test_a_loss_goes_to_the_requests_judges_only() -> None:
     seer = exchange(PEERS[0])
-    seer.lost(ToldLoss("ab", Loss("i-1", "s")))
+    seer.lost(LossReport("ab", Loss("i-1", "s")))
     reached = {each.address for each in seer.flush()}
     judges = {peer.address for peer in PEERS if exchange(peer).judges("ab")}
     assert reached == judges - {PEERS[0].address}
@@ -65,15 +65,17 @@
     assert not seer.pending
 
 
-@pytest.mark.parametrize(("standing", "crossed"), [(Standing.SUSPECTED, 2 * 2), (Standing.QUARANTINED, 10)])
+@pytest.mark.parametrize(
+    ("standing", "crossed"), [(QuarantineStatus.SUSPECTED, 2 * 2), (QuarantineStatus.QUARANTINED, 10)]
+)
 def test_a_finding_reaches_every_node_and_a_suspicion_crosses_zones_a_few_times_only(
-    standing: Standing, crossed: int
+    standing: QuarantineStatus, crossed: int
 ) -> None:
     nodes = {peer.address: exchange(peer) for peer in PEERS}
     told: set[str] = set()
     crossings = 0
-    nodes[PEERS[0].address].found(ToldStanding("ab", standing))
-    assert nodes[PEERS[0].address].urgent is (standing is Standing.QUARANTINED)
+    nodes[PEERS[0].address].found(QuarantineFinding("ab", standing))
+    assert nodes[PEERS[0].address].urgent is (standing is QuarantineStatus.QUARANTINED)
     while any(each.pending for each in nodes.values()):
         for sender in PEERS:
             for datagram in nodes[sender.address].flush():
@@ -87,6 +89,6 @@
 
 def test_nobody_but_a_node_can_have_a_request_refused() -> None:
     node = exchange(PEERS[0])
-    data = encode(Standings((ToldStanding("ab", Standing.QUARANTINED),), relay=False))
+    data = encode(QuarantineFindings((QuarantineFinding("ab", QuarantineStatus.QUARANTINED),), relay=False))
     with pytest.raises(ValueError, match="no node"):
         node.receive(data, "10.9.9.9:7")
--- a/tests/rollouts/test_exposure.py
+++ b/tests/rollouts/test_exposure.py
@@ -3,9 +3,9 @@
 import pytest
 
 from yokesill.rollouts.exposure import LARGEST_SHARE, SWITCH_S, ExposureCounts, Totals, allowed_share
-from yokesill.rollouts.orders import RolloutTerms
+from yokesill.rollouts.orders import RolloutLimits
 
-TERMS = RolloutTerms()
+TERMS = RolloutLimits()
 
 
 def counts(rate: float, new: int, seconds: float = 4.0) -> ExposureCounts:
--- a/tests/rollouts/test_messages.py
+++ b/tests/rollouts/test_messages.py
@@ -5,10 +5,10 @@
 
 from yokesill.rollouts.messages import (
     DATAGRAM_BYTES,
+    OrderDecision,
     OrderReport,
-    OrderWord,
+    RolloutDecisions,
     RolloutReport,
-    RolloutWord,
     Sample,
     decode,
     encode,
@@ -28,7 +28,9 @@
 
 def test_messages_come_back_as_they_were() -> None:
     report = RolloutReport("n1", 7, (entry("svc", 3),))
-    word = RolloutWord("n1", True, 1.5, (OrderWord(OrderId("svc", 3, "v2"), RolloutState.CANARY, 0.25, 4.5),))
+    word = RolloutDecisions(
+        "n1", True, 1.5, (OrderDecision(OrderId("svc", 3, "v2"), RolloutState.CANARY, 0.25, 4.5),)
+    )
     assert decode(encode(report)) == report
     assert decode(encode(word)) == word
 
@@ -66,10 +68,10 @@
 
 def test_no_word_is_too_large() -> None:
     words = [
-        OrderWord(OrderId(f"{LONG}{n}", 2**40, LONG), RolloutState.CANARY, 1 / 3, 1e7) for n in range(90)
+        OrderDecision(OrderId(f"{LONG}{n}", 2**40, LONG), RolloutState.CANARY, 1 / 3, 1e7) for n in range(90)
     ]
     batches = list(in_datagrams(words))
-    assert max(len(encode(RolloutWord(LONG, True, 60.0, batch))) for batch in batches) <= DATAGRAM_BYTES
+    assert max(len(encode(RolloutDecisions(LONG, True, 60.0, batch))) for batch in batches) <= DATAGRAM_BYTES
     assert [each for batch in batches for each in batch] == words
 
 
--- a/tests/rollouts/test_node_orders.py
+++ b/tests/rollouts/test_node_orders.py
@@ -3,7 +3,7 @@
 import pytest
 
 from yokesill.rollouts.canary import Canary
-from yokesill.rollouts.messages import OrderWord, RolloutWord
+from yokesill.rollouts.messages import OrderDecision, RolloutDecisions
 from yokesill.rollouts.node_orders import NodeOrders, OrderChange
 from yokesill.rollouts.orders import OrderId, RolloutOrder, RolloutState
 from yokesill.rollouts.versions import ServiceVersions
@@ -20,8 +20,10 @@
     return node
 
 
-def word(state: RolloutState, share: float = 0.1, node: str = "d1", order: OrderId = ORDER.id) -> RolloutWord:
-    return RolloutWord(node, True, VALID_S, (OrderWord(order, state, share, 1.0),))
+def word(
+    state: RolloutState, share: float = 0.1, node: str = "d1", order: OrderId = ORDER.id
+) -> RolloutDecisions:
+    return RolloutDecisions(node, True, VALID_S, (OrderDecision(order, state, share, 1.0),))
 
 
 def record(state: RolloutState, revision: int = 9) -> RolloutOrder:
@@ -32,7 +34,7 @@
 def test_a_word_counts_before_the_feed_tells_the_record(told: RolloutState) -> None:
     node = known(ORDER)
     assert node.heard(word(told), 1.0) == [OrderChange(ORDER.id, ORDERED, told, False, "word")]
-    assert node.obeyed["s"] is told
+    assert node.effective["s"] is told
     assert node.open["s"] == ORDER
 
 
@@ -42,7 +44,7 @@
     node.heard(word(SWITCHING), 1.0)
     node.heard(word(told, node="d2"), 2.0)
     node.ordered(record(told))
-    assert node.obeyed["s"] is SWITCHING
+    assert node.effective["s"] is SWITCHING
 
 
 @pytest.mark.parametrize("told", [ORDERED, CANARY, SWITCHING, COMPLETED])
@@ -50,16 +52,16 @@
     node = known(ORDER)
     node.heard(word(ROLLED_BACK), 1.0)
     node.heard(word(told, node="d2"), 1.1)
-    assert node.obeyed["s"] is ROLLED_BACK
+    assert node.effective["s"] is ROLLED_BACK
     node.ordered(record(SWITCHING))
-    assert node.obeyed["s"] is ROLLED_BACK
+    assert node.effective["s"] is ROLLED_BACK
 
 
 def test_only_the_record_itself_says_that_it_was_completed_all_the_same() -> None:
     node = known(ORDER)
     node.heard(word(ROLLED_BACK), 1.0)
     node.ordered(record(COMPLETED))
-    assert node.obeyed["s"] is COMPLETED
+    assert node.effective["s"] is COMPLETED
 
 
 @pytest.mark.parametrize("final", [COMPLETED, ROLLED_BACK])
@@ -67,7 +69,7 @@
     node = known(record(final))
     for told in (CANARY, SWITCHING, COMPLETED, ROLLED_BACK):
         node.heard(word(told), 1.0)
-        assert node.obeyed["s"] is final
+        assert node.effective["s"] is final
     assert node.open == {}
 
 
@@ -99,11 +101,11 @@
 ) -> None:
     node = known()
     node.heard(word(told), 1.0)
-    assert node.obeyed.get("s") is obeyed
+    assert node.effective.get("s") is obeyed
     assert ("s" in node.open) is (obeyed is SWITCHING)
     assert node.recorded() == ()
     node.ordered(record(CANARY))
-    assert node.obeyed["s"] is (obeyed or CANARY)
+    assert node.effective["s"] is (obeyed or CANARY)
 
 
 def test_a_share_that_was_told_before_the_feed_told_the_order_holds() -> None:
@@ -119,13 +121,13 @@
     changes = node.withdrawn("s")
     assert (changes[-1].state, changes[-1].recorded) == (None, True)
     node.heard(word(SWITCHING), 1.1)
-    assert node.obeyed == {}
+    assert node.effective == {}
     made_again = ORDER._replace(made=12, revision=12)
     node.ordered(made_again)
     node.heard(word(SWITCHING), 1.2)
-    assert node.obeyed["s"] is ORDERED
+    assert node.effective["s"] is ORDERED
     node.heard(word(CANARY, order=made_again.id), 1.3)
-    assert node.obeyed["s"] is CANARY
+    assert node.effective["s"] is CANARY
 
 
 def test_an_order_for_another_version_begins_anew() -> None:
@@ -133,9 +135,9 @@
     node.heard(word(ROLLED_BACK), 1.0)
     other = ORDER._replace(target="v3", revision=9)
     node.ordered(other)
-    assert node.obeyed["s"] is ORDERED
+    assert node.effective["s"] is ORDERED
     node.heard(word(SWITCHING), 1.1)
-    assert node.obeyed["s"] is ORDERED
+    assert node.effective["s"] is ORDERED
 
 
 @pytest.mark.parametrize("final", [COMPLETED, ROLLED_BACK])
@@ -144,9 +146,9 @@
     node.heard(word(final), 1.0)
     node.ordered(record(final))
     node.replaced([record(ORDERED, 30)])
-    assert node.obeyed["s"] is ORDERED
+    assert node.effective["s"] is ORDERED
     node.heard(word(CANARY), 2.0)
-    assert node.obeyed["s"] is CANARY
+    assert node.effective["s"] is CANARY
 
 
 def test_what_a_whole_list_lacks_is_withdrawn() -> None:
@@ -160,7 +162,7 @@
 def test_an_order_with_a_problem_moves_nothing() -> None:
     node = known(ORDER._replace(problem="rollouts.s.durationS: is missing"))
     node.heard(word(SWITCHING), 1.0)
-    assert node.obeyed["s"] is ORDERED
+    assert node.effective["s"] is ORDERED
     assert "s" in node.open
 
 
--- a/tests/serving/crash_fleet.py
+++ b/tests/serving/crash_fleet.py
@@ -14,8 +14,8 @@
 from harness import HOST, configuration, gather_route
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.budget import BudgetTerms
 from yokesill.gateway.documents import Route, ServerRecord
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
@@ -33,7 +33,7 @@
 WORK_S, RESTART_S, NOTICED_S, FEED_DELAY_S, DATAGRAM_S = 0.04, 1.0, 3.6, 0.35, 0.002
 GATHERING_S = 0.015
 CONTACT_S = 5.0
-TERMS = BudgetTerms(ratio=0.2, allowance=58.0, window=10.0)
+TERMS = BudgetLimits(ratio=0.2, allowance=58.0, window_s=10.0)
 LOST = Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, "closed before a reply")
 DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "nobody listens")
 
@@ -139,7 +139,7 @@
         if isinstance(outcome, Failure):
             done(ev.AttemptFailed(attempt.number, outcome))
         else:
-            done(ev.AttemptAnswered(attempt.number, outcome, sent_at=sent_at))
+            done(ev.AttemptAnswered(attempt.number, outcome, sent_at_s=sent_at))
 
 
 class Registry(QuarantineRecords):
--- a/tests/serving/fleet_of_nodes.py
+++ b/tests/serving/fleet_of_nodes.py
@@ -21,13 +21,13 @@
 from yokesill.gateway.router import GatewayRouter
 from yokesill.registry.feeds import NodeContact, Overtaken, RolloutRecords
 from yokesill.rollouts.decider import RolloutDecider
-from yokesill.rollouts.orders import RolloutOrder, RolloutState, RolloutTerms
+from yokesill.rollouts.orders import RolloutLimits, RolloutOrder, RolloutState
 from yokesill.serving.driver import GatewayDriver
 from yokesill.serving.rollout_link import RolloutLink, RouterSide
 from yokesill.verdict import Failure, Reason, Verdict
 
 OLD, NEW = "v1", "v2"
-ROLLOUT_TERMS = RolloutTerms(canary_share=0.1, canary_slack=50.0, rollback_s=5.0)
+ROLLOUT_TERMS = RolloutLimits(canary_share=0.1, canary_slack=50.0, rollback_s=5.0)
 FEED_DELAY_S = 0.35
 SERVER_S = 0.02
 DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "down")
@@ -136,7 +136,7 @@
             done(ev.AttemptFailed(attempt.number, LOST))
             return
         status = 500 if fleet.source.random() < quality.fails else 200
-        done(ev.AttemptAnswered(attempt.number, ServerReply(status, (), b"", b"sig"), sent_at=started))
+        done(ev.AttemptAnswered(attempt.number, ServerReply(status, (), b"", b"sig"), sent_at_s=started))
 
 
 class FleetNode:
@@ -156,7 +156,7 @@
         self.contact = NodeContact(self.name, "z1", rollouts=self.address)
         side = RouterSide(
             report=lambda: self.router.rollout_report(anyio.current_time()),
-            hear=lambda word: self.driver.feed(ev.RolloutWordHeard(word)),
+            hear=lambda word: self.driver.feed(ev.RolloutDecisionsReceived(word)),
             versions=self.router.version_counts,
             services=lambda: {"desk"},
         )
@@ -274,7 +274,7 @@
     body: Callable[[Fleet], Awaitable[None]],
     nodes: int = 9,
     seed: int = 1,
-    routes: tuple[Route, ...] = (replace(single_route(attempts=3), target=0.2),),
+    routes: tuple[Route, ...] = (replace(single_route(attempts=3), objective_s=0.2),),
 ) -> None:
     """Run ``body`` beside a fleet that serves."""
 
--- a/tests/serving/test_application.py
+++ b/tests/serving/test_application.py
@@ -18,7 +18,7 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
 from yokesill.serving.driver import GatewayDriver
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.telemetry.figures import GatewayFigures
 from yokesill.telemetry.observer import Observer
 from yokesill.upstreams.server_client import ServerClient
--- a/tests/serving/test_attempt_bytes.py
+++ b/tests/serving/test_attempt_bytes.py
@@ -5,7 +5,7 @@
 from yokesill.comm.http_reply import HttpReplyReader
 from yokesill.gateway.documents import ServerRecord
 from yokesill.gateway.messages import Attempt, GatewayRequest, Load, ServerReply
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.upstreams.attempt_bytes import read_reply
 
 NAMES = HeaderNames()
--- a/tests/serving/test_coordinator.py
+++ b/tests/serving/test_coordinator.py
@@ -14,7 +14,7 @@
 from yokesill.callers.answers import HttpAnswer
 from yokesill.coordinators.client import COORDINATE_PATH, CoordinatorClient
 from yokesill.coordinators.coordinator import CoordinatorApplication
-from yokesill.coordinators.handing import HandOver
+from yokesill.coordinators.forwarding import Forwarder
 from yokesill.coordinators.messages import (
     GatheredAnswer,
     HandedRequest,
@@ -23,8 +23,8 @@
     encode_answer,
     encode_handed,
 )
-from yokesill.gateway.coordination import LEAST_SERVICES, Coordinator, CoordinatorChoice
-from yokesill.gateway.events import Note
+from yokesill.gateway.events import LogEvent
+from yokesill.gateway.forwarding import LEAST_SERVICES, Coordinator, CoordinatorChoice
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.telemetry.observer import CoordinatedEnding
 from yokesill.upstreams.wires import dial_streams
@@ -62,7 +62,7 @@
     request = a_request(100.0)
     handed = decode_handed(encode_handed(HandedRequest(7, 0.02, request)), "k9", 205.0)
     assert handed.version == 7
-    assert handed.request == replace(request, key="k9", arrived_at=205.0 - 0.02)
+    assert handed.request == replace(request, key="k9", arrived_at_s=205.0 - 0.02)
     assert decode_answer(encode_answer("id-1", GATHERED), "id-1") == GATHERED
 
 
@@ -234,10 +234,10 @@
     """An observer that keeps what it is told."""
 
     def __init__(self) -> None:
-        self.notes: list[Note] = []
+        self.notes: list[LogEvent] = []
         self.coordinated_by: list[str] = []
 
-    def note(self, note: Note) -> None:
+    def note(self, note: LogEvent) -> None:
         self.notes.append(note)
 
     def coordinated(self, _request: GatewayRequest, ending: CoordinatedEnding) -> None:
@@ -252,7 +252,7 @@
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             known = configuration(7, ROUTE)
             reached = {"n7": Coordinator(ADDRESS, anyio.current_time())}
-            hand = HandOver(CoordinatorChoice("n3"), client, lambda: reached, lambda: known, notes)  # type: ignore[arg-type]
+            hand = Forwarder(CoordinatorChoice("n3"), client, lambda: reached, lambda: known, notes)  # type: ignore[arg-type]
             result = await hand(a_request(anyio.current_time()))
             tasks.cancel_scope.cancel()
         return result, notes
@@ -275,8 +275,8 @@
             reached = {"n7": Coordinator(ADDRESS, anyio.current_time())}
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             known = configuration(7, ROUTE)
-            hand = HandOver(choice, client, lambda: reached, lambda: known, Notes())  # type: ignore[arg-type]
-            result = await hand(replace(a_request(anyio.current_time()), patience=0.001))
+            hand = Forwarder(choice, client, lambda: reached, lambda: known, Notes())  # type: ignore[arg-type]
+            result = await hand(replace(a_request(anyio.current_time()), caller_timeout_s=0.001))
             assert isinstance(result, GatewayRequest) and not result.asked_before
             chosen.append(choice.choose(ROUTE, reached, anyio.current_time()))
             tasks.cancel_scope.cancel()
@@ -292,7 +292,7 @@
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             reached = {"n7": Coordinator(ADDRESS, anyio.current_time())}
             known = configuration(7, ROUTE)
-            hand = HandOver(
+            hand = Forwarder(
                 CoordinatorChoice("n3"),
                 client,
                 lambda: reached,
@@ -344,13 +344,13 @@
         async with anyio.create_task_group() as tasks:
             server = MemoryServer(script, tasks)
             client = CoordinatorClient(dial_streams(server.connect, tasks))
-            known = configuration(7, replace(ROUTE, attempts=attempts))
+            known = configuration(7, replace(ROUTE, max_attempts=attempts))
             heard = anyio.current_time()
             reached = {name: Coordinator(ADDRESS, heard) for name in ("n7", "n8")}
             choice = CoordinatorChoice("n3")
             chosen = choice.choose(ROUTE, reached, heard)
-            hand = HandOver(choice, client, lambda: reached, lambda: known, notes)  # type: ignore[arg-type]
-            result = await hand(replace(a_request(heard), patience=patience_s))
+            hand = Forwarder(choice, client, lambda: reached, lambda: known, notes)  # type: ignore[arg-type]
+            result = await hand(replace(a_request(heard), caller_timeout_s=patience_s))
             then = choice.choose(ROUTE, reached, anyio.current_time())
             tasks.cancel_scope.cancel()
         return result, notes, [chosen, then]
--- a/tests/serving/test_figures.py
+++ b/tests/serving/test_figures.py
@@ -1,6 +1,6 @@
 """The figures in the text format."""
 
-from yokesill.gateway.events import Note
+from yokesill.gateway.events import LogEvent
 from yokesill.gateway.messages import RequestSummary
 from yokesill.telemetry.exposition import render
 from yokesill.telemetry.figures import GatewayFigures
@@ -11,7 +11,7 @@
     figures = GatewayFigures()
     figures.count_request("wide", "partial", RequestSummary("wide", 3, Verdict.RAN, 0.09, 18, 20, 23, 3))
     figures.count_request("none", "rejected", None)
-    figures.count_note(Note("attempt_added", {}))
+    figures.count_note(LogEvent("attempt_added", {}))
     figures.gauge("yokesill_nodes", "Nodes", 8)
     text = render(figures).decode()
     for line in (
--- a/tests/serving/test_gathering_elsewhere.py
+++ b/tests/serving/test_gathering_elsewhere.py
@@ -9,13 +9,13 @@
 from harness import configuration, gather_route
 from test_process import DOWN, GOOD_HEAD, LOOPBACK, Backend, FixedFeed, free_ports
 
-from yokesill.gateway.coordination import LEAST_SERVICES
 from yokesill.gateway.documents import ServerRecord
 from yokesill.gateway.events import ConfigurationLearnt, ServersReplaced
+from yokesill.gateway.forwarding import LEAST_SERVICES
 from yokesill.logs import LogOutput
 from yokesill.registry.feeds import NodeContact, NodeDirectory, NodeEntry
-from yokesill.serving.names import HeaderNames
-from yokesill.serving.process import GatewayProcess, Surroundings
+from yokesill.serving.header_names import HeaderNames
+from yokesill.serving.process import Dependencies, GatewayProcess
 from yokesill.serving.settings import Address, GatewaySettings
 from yokesill.verdict import Failure
 
@@ -49,11 +49,11 @@
         datagrams=Address(LOOPBACK, datagrams),
         regions={"a": "r1", "d": "r1"},
         cores=cores,
-        stop_grace=1.6,
+        stop_grace_s=1.6,
     )
     records = tuple(ServerRecord(f"i-{each}", each, LOOPBACK, servers_port, "a", 2) for each in NAMES)
     known = FixedFeed("configuration", ConfigurationLearnt(configuration(1, gather_route(services=NAMES))))
-    around = Surroundings(
+    around = Dependencies(
         known, FixedFeed("servers", ServersReplaced(records)), directory, HeaderNames(), "/ready"
     )
     at = (str(settings.datagrams), str(settings.reports), str(settings.peers))
--- a/tests/serving/test_near_servers.py
+++ b/tests/serving/test_near_servers.py
@@ -13,18 +13,18 @@
 
 from yokesill.callers.answers import HttpAnswer
 from yokesill.coordinators.client import CONNECT_TIMEOUT_S, CoordinatorClient
-from yokesill.coordinators.handing import HandOver
+from yokesill.coordinators.forwarding import Forwarder
 from yokesill.coordinators.messages import GatheredAnswer, encode_answer
-from yokesill.coordinators.near_servers import LOST_PAUSE_S, MEASURE_AGAIN_S, NearServers
-from yokesill.gateway.coordination import LEAST_SERVICES, Coordinator, CoordinatorChoice
+from yokesill.coordinators.remote_coordinators import LOST_PAUSE_S, MEASURE_AGAIN_S, RemoteCoordinators
+from yokesill.gateway.forwarding import LEAST_SERVICES, Coordinator, CoordinatorChoice
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.options import GatewayOptions
-from yokesill.gateway.server_table import ServerTable
+from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.registry.feeds import NodeContact
 from yokesill.upstreams.wires import dial_streams
 
 NAMES = tuple(f"s{number}" for number in range(LEAST_SERVICES))
-ROUTE = replace(gather_route(services=NAMES), target=0.3)
+ROUTE = replace(gather_route(services=NAMES), objective_s=0.3)
 REGIONS = {"a": "r1", "b": "r1", "d": "r1", "x": "r2"}
 OPTIONS = GatewayOptions(zone="d", node="d9", regions=REGIONS)
 
@@ -40,10 +40,10 @@
 NODES = [*nodes_of("a", 2), *nodes_of("b", 2), *nodes_of("d", 2), *nodes_of("x", 2)]
 
 
-def near_servers(options: GatewayOptions = OPTIONS, zones: str = "ab") -> NearServers:
+def near_servers(options: GatewayOptions = OPTIONS, zones: str = "ab") -> RemoteCoordinators:
     servers = ServerTable(options)
     servers.replace([server(f"{name}-{zone}", name, zone) for name in NAMES for zone in zones], 0.0)
-    near = NearServers(options, servers)
+    near = RemoteCoordinators(options, servers)
     near.set_nodes(NODES)
     return near
 
@@ -138,7 +138,7 @@
                     name: each._replace(heard_at_s=anyio.current_time()) for name, each in at_home.items()
                 }
 
-            hand = HandOver(
+            hand = Forwarder(
                 CoordinatorChoice("d9"),
                 CoordinatorClient(dial_streams(dial, tasks)),
                 reports,
--- a/tests/serving/test_process.py
+++ b/tests/serving/test_process.py
@@ -23,11 +23,11 @@
 from yokesill.logs import LogOutput
 from yokesill.registry.feeds import Batch, Feed, NodeContact, NodeDirectory, NodeEntry
 from yokesill.registry.snapshots import decode_snapshot, encode_snapshot
-from yokesill.rollouts.orders import RolloutOrder, RolloutState, RolloutTerms
-from yokesill.serving.names import HeaderNames
+from yokesill.rollouts.orders import RolloutLimits, RolloutOrder, RolloutState
+from yokesill.serving.dependencies import Dependencies
+from yokesill.serving.header_names import HeaderNames
 from yokesill.serving.process import GatewayProcess
 from yokesill.serving.settings import Address, GatewaySettings
-from yokesill.serving.surroundings import Surroundings
 from yokesill.verdict import Failure, Reason, Verdict
 
 LOOPBACK = "127.0.0.1"
@@ -103,16 +103,16 @@
             probes=Address(LOOPBACK, probes),
             peers=Address(LOOPBACK, peers),
             registry=Address(LOOPBACK, registry),
-            stop_grace=1.6,
-            rollouts=None if order is None else RolloutTerms(),
+            stop_grace_s=1.6,
+            rollouts=None if order is None else RolloutLimits(),
         )
         record = ServerRecord("i-1", "desk", LOOPBACK, backend_port, "z1", 2)
-        routes = replace(configuration(1, single_route()), limits=RequestLimits(header_timeout=0.3))
+        routes = replace(configuration(1, single_route()), limits=RequestLimits(header_timeout_s=0.3))
         self.configuration = FixedFeed("configuration", ConfigurationLearnt(routes))
         if not known:
             self.configuration.events = None
         servers = FixedFeed("servers", ServersReplaced((record,)))
-        around = Surroundings(self.configuration, servers, NoNodes(), HeaderNames(), "/ready")
+        around = Dependencies(self.configuration, servers, NoNodes(), HeaderNames(), "/ready")
         if order is not None:
             around = replace(around, rollouts=FixedFeed("rollouts", RolloutsReplaced((order,))))
         self.process = GatewayProcess(self.settings, around, random.Random(1), LogOutput(1))
--- a/tests/serving/test_quarantine_link.py
+++ b/tests/serving/test_quarantine_link.py
@@ -6,16 +6,16 @@
 from conftest import run_virtual
 
 from yokesill.gateway import events as ev
-from yokesill.gateway.crashes import RequestCrashes
+from yokesill.gateway.crash_tracker import CrashTracker
 from yokesill.outliers.spreading import Peer
 from yokesill.quarantine.exchange import QuarantineExchange
-from yokesill.quarantine.judge import Standing
+from yokesill.quarantine.judge import QuarantineStatus
 from yokesill.registry.feeds import QuarantineRecords
 from yokesill.serving.quarantine_link import KEPT_S, LOOK_S, QuarantineLink
 from yokesill.verdict import Failure, Reason, Verdict
 
 DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "down")
-FOUND = ev.RequestJudged("00ff", Standing.QUARANTINED)
+FOUND = ev.RequestJudged("00ff", QuarantineStatus.QUARANTINED)
 
 
 class Records(QuarantineRecords):
@@ -41,7 +41,7 @@
     """Let a node find something, with what the registry records already, and wait."""
 
     async def main() -> None:
-        crashes = RequestCrashes()
+        crashes = CrashTracker()
         crashes.record(recorded, [])
         exchange = QuarantineExchange(Peer("n1", "10.0.0.1:7", "z1"), random.Random(1))
         link = QuarantineLink(exchange, crashes, lambda _event: None, records, random.Random(1))
@@ -63,7 +63,7 @@
 def test_what_others_have_recorded_and_what_is_only_suspected_needs_no_call() -> None:
     records = Records()
     with_link(records, FOUND, 30.0, frozenset({"00ff"}))
-    with_link(records, FOUND._replace(standing=Standing.SUSPECTED), 30.0, frozenset())
+    with_link(records, FOUND._replace(standing=QuarantineStatus.SUSPECTED), 30.0, frozenset())
     assert records.calls == []
 
 
--- a/tests/serving/test_registry_reach.py
+++ b/tests/serving/test_registry_reach.py
@@ -7,9 +7,9 @@
 from conftest import run_virtual
 
 from yokesill.gateway.events import Event, ZoneEvacuated
+from yokesill.registry.availability import RegistryAvailability
 from yokesill.registry.feeds import Batch, Feed, HistoryLost
 from yokesill.registry.follower import FeedFollower
-from yokesill.registry.reach import RegistryReach
 from yokesill.verdict import Failure, Reason, Verdict
 
 DOWN = Failure(Reason.BACKEND_ERROR, Verdict.NOT_RUN, "503")
@@ -61,7 +61,7 @@
 class Node:
     def __init__(self, registry: Registry) -> None:
         self.heard: list[Event] = []
-        reach = RegistryReach()
+        reach = RegistryAvailability()
         self.followers = [
             FeedFollower(CountedFeed(registry), self.heard.append, 0.1, random.Random(n), reach=reach)
             for n in range(4)
@@ -95,7 +95,7 @@
     async def main() -> None:
         registry, broken = Registry(), Registry()
         broken.down = True
-        reach = RegistryReach()
+        reach = RegistryAvailability()
         heard: list[Event] = []
         feeds = [CountedFeed(broken), CountedFeed(registry), CountedFeed(registry)]
         followers = [
--- a/tests/serving/test_reload.py
+++ b/tests/serving/test_reload.py
@@ -8,7 +8,7 @@
 from conftest import run_virtual
 from harness import RouterHarness, failure, single_route
 
-from yokesill.gateway.budget import BudgetTerms
+from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.serving.reload import SettingsFollower
 from yokesill.serving.settings import Address, GatewaySettings, SettingsProblem
 
@@ -62,7 +62,7 @@
     key = harness.arrive("/one/x", 6.0)
     harness.fail(harness.of(key)[0])
     assert len(harness.of(key)) == 2
-    harness.router.set_budget(BudgetTerms(ratio=0.0, allowance=1.4, window=10.0))
+    harness.router.set_budget(BudgetLimits(ratio=0.0, allowance=1.4, window_s=10.0))
     key = harness.arrive("/one/x", 6.0)
     harness.fail(harness.of(key)[0], failure())
     assert len(harness.of(key)) == 1
--- a/tests/serving/test_server_client.py
+++ b/tests/serving/test_server_client.py
@@ -8,7 +8,7 @@
 from memory_servers import Heard, MemoryServer, MemoryStream, Script, answer_bytes, attempt, call, well
 
 from yokesill.gateway.events import AttemptAnswered, AttemptFailed
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.upstreams.server_client import ServerClient
 from yokesill.upstreams.wires import dial_streams
 from yokesill.verdict import Reason, Verdict
--- a/tests/serving/test_what_is_let_go.py
+++ b/tests/serving/test_what_is_let_go.py
@@ -13,10 +13,10 @@
 
 from yokesill.comm.http_reply import HttpReplyReader
 from yokesill.gateway.events import EvacuationsReplaced, Event
-from yokesill.gateway.request import RequestMachine
+from yokesill.gateway.requests.request import RequestMachine
 from yokesill.registry.feeds import Batch, Feed
 from yokesill.registry.follower import FeedFollower
-from yokesill.serving.names import HeaderNames
+from yokesill.serving.header_names import HeaderNames
 from yokesill.upstreams.server_client import AttemptCall, ServerClient
 from yokesill.upstreams.wires import dial_streams
 
--- a/tests/serving/zone.py
+++ b/tests/serving/zone.py
@@ -15,16 +15,16 @@
 from yokesill.platform.rollouts import RolloutFeed, read_order
 from yokesill.platform.store import MetadataStore, item_of
 from yokesill.registry.api_client import ApiClient
+from yokesill.registry.availability import RegistryAvailability
 from yokesill.registry.feed_states import CONFIGURATION, EVACUATIONS, ROLLOUTS, SERVERS, WholeFeed
 from yokesill.registry.feeds import Feed, NodeContact
 from yokesill.registry.follower import FeedFollower
-from yokesill.registry.reach import RegistryReach
 from yokesill.registry.zone_watch import ZoneWatch
 from yokesill.rollouts.orders import RolloutOrder
 from yokesill.serving.settings import Address
 from yokesill.verdict import Failure, Reason, Verdict
 from yokesill.watchers.group import Duty
-from yokesill.watchers.terms import WatchTerms
+from yokesill.watchers.timing import WatchTiming
 
 BOUND_S = 3.0
 GATHERING_S = 0.9
@@ -66,7 +66,7 @@
         server = MemoryServer(self._script, zone.tasks)
         store = MetadataStore(ApiClient(Address("10.9.9.9", 80), server.connect))
         source = random.Random(number)
-        terms = WatchTerms.within(BOUND_S)
+        terms = WatchTiming.within(BOUND_S)
         check_s = terms.check_interval_s
         feeds: dict[str, Feed] = {
             CONFIGURATION: ConfigurationFeed(store),
@@ -76,7 +76,7 @@
         if zone.rolls_out:
             feeds[ROLLOUTS] = RolloutFeed(store)
         gathering_s = {SERVERS: GATHERING_S}
-        reach = RegistryReach()
+        reach = RegistryAvailability()
         self.followers = {
             name: FeedFollower(
                 feed, self._learn, gathering_s.get(name, 0.3), source, check_s, watching=False, reach=reach
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -68,7 +68,7 @@
                     attempt_id="q.1", query_id="q", address=f"127.0.0.1:{port}",
                     service=ServiceName("n", "s"), shard_id="s0", range=HashRange(start=0, end=2**32),
                     snapshot=Snapshot(1, 1), request_class="c", payload=None,
-                    deadline=anyio.current_time() + 20, repeatable=True,
+                    deadline_at_s=anyio.current_time() + 20, repeatable=True,
                 )  # fmt: skip
                 results.append(await client.call(attempt))
             task_group.cancel_scope.cancel()
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -19,7 +19,7 @@
 from yokesill.routing.messages import LoadReport, Partial, QueryRequest, ServerReport, Snapshot
 from yokesill.routing.options import RoutingOptions
 from yokesill.routing.router import Router
-from yokesill.routing.waiting import WaitingRoom
+from yokesill.routing.waiting import WaitingQueue
 from yokesill.verdict import Failure, Reason, Verdict
 
 NAME = ServiceName("lima", "hours")
@@ -149,7 +149,7 @@
 
 
 def test_waiting_serves_priority_then_share_then_deadline() -> None:
-    room = WaitingRoom()
+    room = WaitingQueue()
     big, small = ServiceName("big", "s"), ServiceName("small", "s")
     for number in range(30):
         room.enter((big, "s0", FIRST), f"big{number}", 5, 1.0 + number, 0.0)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -12,13 +12,13 @@
 import yokesill
 from yokesill import clock
 from yokesill.gateway import events as ev
-from yokesill.gateway.budget import BudgetTerms, ExtraAttemptBudget
+from yokesill.gateway.limits.budget import BudgetLimits, ExtraAttemptBudget
 from yokesill.rollouts.canary import Canary
-from yokesill.rollouts.messages import OrderWord, RolloutWord
+from yokesill.rollouts.messages import OrderDecision, RolloutDecisions
 from yokesill.rollouts.orders import OrderId, RolloutState
 from yokesill.upstreams.connections import ConnectionSet, ServerConnection
 from yokesill.watchers.group import Duty, WatcherGroup
-from yokesill.watchers.terms import WatchTerms
+from yokesill.watchers.timing import WatchTiming
 
 SOURCE = Path(yokesill.__file__).parent
 SUSPENDED_S = 30.0
@@ -139,10 +139,12 @@
 def test_a_deciders_share_and_a_watchers_report_hold_no_longer_than_they_said() -> None:
     canary = Canary()
     order = OrderId("desk", 5, "v2")
-    canary.hear(RolloutWord("n1", True, 2.0, (OrderWord(order, RolloutState.CANARY, 0.1, 1.0),)), 100.0)
+    canary.hear(
+        RolloutDecisions("n1", True, 2.0, (OrderDecision(order, RolloutState.CANARY, 0.1, 1.0),)), 100.0
+    )
     assert canary.share(order, 101.0) > 0.0
     assert canary.share(order, 101.0 + SUSPENDED_S) == 0.0
-    terms = WatchTerms.within(3.0)
+    terms = WatchTiming.within(3.0)
     group = WatcherGroup("n9", terms, random.Random(1), 0.0)
     group.set_members([f"n{number}" for number in range(12)])
     for node in group.ranked[:2]:
@@ -153,7 +155,7 @@
 
 
 def test_a_budget_counts_what_was_spent_before_a_suspension_only_in_its_window() -> None:
-    budget = ExtraAttemptBudget(BudgetTerms(0.2, 58.0, 10.0), 0.0)
+    budget = ExtraAttemptBudget(BudgetLimits(0.2, 58.0, 10.0), 0.0)
     while budget.take(1, 100.0):
         pass
     assert budget.left(1, 100.0) < 1.0
--- a/tests/watchers/test_group.py
+++ b/tests/watchers/test_group.py
@@ -3,14 +3,14 @@
 import random
 
 from yokesill.watchers.group import Duty, WatcherGroup
-from yokesill.watchers.terms import WatchTerms
+from yokesill.watchers.timing import WatchTiming
 
-TERMS = WatchTerms.within(3.0)
+TERMS = WatchTiming.within(3.0)
 NAMES = [f"n{number}" for number in range(12)]
 SETTLED = TERMS.settle_s
 
 
-def group(own: str, members: list[str] = NAMES, terms: WatchTerms = TERMS) -> WatcherGroup:
+def group(own: str, members: list[str] = NAMES, terms: WatchTiming = TERMS) -> WatcherGroup:
     made = WatcherGroup(own, terms, random.Random(1), 0.0)
     made.set_members(members)
     return made
