--- a/src/yokesill/loadgen/outcomes.py
+++ b/src/yokesill/loadgen/outcomes.py
@@ -3,8 +3,6 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from yokesill.routing.events import Answer, Refuse
-
 
 @dataclass(slots=True)
 class Outcome:
@@ -31,21 +29,6 @@
     cut: bool = False
 
 
-def fill_from_final(outcome: Outcome, final: Answer | Refuse) -> None:
-    """Take an in-process final answer in."""
-    outcome.query_id = final.query_id
-    if isinstance(final, Answer):
-        outcome.answered, outcome.verdict = True, "ran"
-        outcome.coverage = final.coverage.fraction
-        outcome.missing = [[each.start, each.end] for each in final.coverage.missing]
-        outcome.snapshot = (final.snapshot.epoch, final.snapshot.version)
-        outcome.entries = final.results
-        return
-    failure = final.failure
-    outcome.verdict, outcome.reason = failure.verdict.label, failure.reason.value
-    outcome.retry_after_ms = failure.retry_after_ms
-
-
 def fill_from_reply(outcome: Outcome, status: int, body: dict[str, Any]) -> None:
     """Take an HTTP reply in."""
     outcome.query_id = body.get("request_id", "")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -10,9 +10,9 @@
 import trio._core._run
 import trio.testing
 import yaml
+from simulation.cluster import SimulatedCluster
 
 from yokesill.emulator.scenario import Scenario
-from yokesill.simulation.cluster import SimulatedCluster
 
 KNOWN_RED = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
 MOST_KNOWN_RED = 3
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -5,13 +5,13 @@
 from typing import Any
 
 import anyio
+from simulation.cluster import SimulatedCluster
 
 from yokesill.node import Node
 from yokesill.query.driver import FinalAnswer
 from yokesill.resources.keys import ServiceName
 from yokesill.resources.objects import StoredObject
 from yokesill.routing.events import Answer, Refuse
-from yokesill.simulation.cluster import SimulatedCluster
 from yokesill.store.changes import Accepted, Change, ChangeOutcome, commit
 from yokesill.verdict import Verdict
 
--- a/src/yokesill/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -8,7 +8,8 @@
 import anyio
 import anyio.abc
 
-from yokesill.comm.memory import MemoryTransport, Network
+from simulation.edges import MemoryBackendClient, MemoryStore
+from simulation.network import MemoryTransport, Network
 from yokesill.emulator.scenario import Scenario, documents_of, place_servers
 from yokesill.emulator.server_model import ServerModel
 from yokesill.emulator.store_model import StoreModel
@@ -17,7 +18,6 @@
 from yokesill.query.driver import FinalAnswer
 from yokesill.resources.keys import ServiceName
 from yokesill.settings import Settings
-from yokesill.simulation.edges import MemoryBackendClient, MemoryStore
 
 SERVER_HOST = "10.1.0.0"
 FIRST_SERVER_PORT = 1
--- a/tests/test_promises_configuration.py
+++ b/tests/test_promises_configuration.py
@@ -6,11 +6,11 @@
 from conftest import run_cluster
 from helpers import HOURS, change_service, changed_policy, old_object, revision_of, wait_in_force
 from pytest_bdd import scenario, then, when
+from simulation.cluster import SimulatedCluster
 
 from yokesill.emulator.faults import StoreFaults
 from yokesill.membership.records import MemberStatus
 from yokesill.routing.events import Answer, Refuse
-from yokesill.simulation.cluster import SimulatedCluster
 from yokesill.store.changes import Accepted, InDoubt, Rejected
 from yokesill.verdict import Verdict
 
--- a/tests/test_promises_once.py
+++ b/tests/test_promises_once.py
@@ -6,11 +6,11 @@
 from conftest import make_scenario, run_cluster
 from helpers import ask_many, executions
 from pytest_bdd import scenario, then, when
+from simulation.cluster import SimulatedCluster
 
 from yokesill.emulator.faults import ServerFaults
 from yokesill.emulator.server_model import ServerModel
 from yokesill.routing.events import Answer, Refuse, ServerObserved
-from yokesill.simulation.cluster import SimulatedCluster
 from yokesill.store.base import Machine
 from yokesill.verdict import Verdict
 
--- a/tests/test_promises_queries.py
+++ b/tests/test_promises_queries.py
@@ -6,11 +6,11 @@
 from conftest import run_cluster
 from helpers import ask_many, assert_not_run_is_true, assert_whole, executions
 from pytest_bdd import scenario, then, when
+from simulation.cluster import SimulatedCluster
 
 from yokesill.emulator.faults import ServerFaults
 from yokesill.resources.hashing import split_key_space
 from yokesill.routing.events import Answer, Refuse
-from yokesill.simulation.cluster import SimulatedCluster
 from yokesill.verdict import Reason, Verdict
 
 FEATURE = "features/promises.feature"
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -7,11 +7,12 @@
 import pytest
 from conftest import run_cluster
 from helpers import change_service, changed_policy, revision_of
+from simulation.cluster import SimulatedCluster
+from simulation.outcomes import fill_from_final
 
 from yokesill.emulator.faults import ServerFaults, StoreFaults
 from yokesill.loadgen.checkers import check_outcomes
-from yokesill.loadgen.outcomes import Outcome, fill_from_final
-from yokesill.simulation.cluster import SimulatedCluster
+from yokesill.loadgen.outcomes import Outcome
 from yokesill.store.base import Machine
 from yokesill.store.changes import Accepted
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -5,8 +5,7 @@
 
 from conftest import make_scenario, run_cluster
 from helpers import HOURS, ask_many, assert_whole
-
-from yokesill.simulation.cluster import SimulatedCluster
+from simulation.cluster import SimulatedCluster
 
 
 def used(cluster: SimulatedCluster) -> list[list[int]]:
