--- a/src/yokesill/query/calls.py
+++ b/src/yokesill/query/calls.py
@@ -31,6 +31,14 @@
         return cbor2.dumps([str(self.service), self.request_class, self.payload, self.key, self.repeatable])
 
 
+def decode_message(data: bytes) -> Any:
+    """Decode what a peer sent; raises ``ValueError`` when it is no CBOR."""
+    try:
+        return cbor2.loads(data)
+    except (cbor2.CBORDecodeError, RecursionError) as error:
+        raise ValueError(f"undecodable message: {error}") from error
+
+
 def encode_call(call: QueryCall) -> bytes:
     """Return the call's bytes."""
     return cbor2.dumps(
@@ -51,7 +59,7 @@
 
 def decode_call(data: bytes) -> QueryCall:
     """Read a call; raises ``ValueError`` or ``TypeError`` when it is malformed."""
-    namespace, service, *rest = cbor2.loads(data)
+    namespace, service, *rest = decode_message(data)
     return QueryCall(ServiceName(namespace, service), *rest)
 
 
@@ -68,7 +76,7 @@
 
 def decode_final(data: bytes) -> Answer | Refuse:
     """Read a final answer; raises ``ValueError`` or ``TypeError`` when it is malformed."""
-    tag, query_id, *rest = cbor2.loads(data)
+    tag, query_id, *rest = decode_message(data)
     if tag == "a":
         snapshot, coverage, results = rest
         covered = _coverage_from_wire(coverage)
--- a/src/yokesill/query/owned.py
+++ b/src/yokesill/query/owned.py
@@ -9,7 +9,14 @@
 from yokesill.comm.base import Transport
 from yokesill.comm.sealing import Sealer
 from yokesill.membership.table import MemberTable
-from yokesill.query.calls import QueryCall, decode_call, decode_final, encode_call, encode_final
+from yokesill.query.calls import (
+    QueryCall,
+    decode_call,
+    decode_final,
+    decode_message,
+    encode_call,
+    encode_final,
+)
 from yokesill.query.idempotency import IdempotencyTable, Record, RecordKey
 from yokesill.routing.events import Answer, Refuse
 from yokesill.verdict import Failure, Reason, Verdict
@@ -49,7 +56,7 @@
     async def answer(self, kind: str, body: bytes) -> bytes | None:
         """Answer a peer's opened request; ``None`` when the kind is not this part's."""
         if kind == OWNED_QUERY:
-            query_id, encoded = cbor2.loads(body)
+            query_id, encoded = decode_message(body)
             return encode_final(await self._run_for_peer(decode_call(encoded), query_id))
         if kind == RESERVE:
             return self._reserved(body)
@@ -148,7 +155,7 @@
         if opened is None:
             detail = f"backup {backup} of the key does not answer"
             return _refusal(nonce, Reason.OWNER_UNREACHABLE, Verdict.NOT_RUN, detail)
-        state, encoded = cbor2.loads(opened)
+        state, encoded = decode_message(opened)
         if state == "done":
             return decode_final(encoded)
         if state == "reused":
@@ -161,7 +168,7 @@
     # --- the backup ---
 
     def _reserved(self, body: bytes) -> bytes:
-        key, fingerprint, nonce = cbor2.loads(body)
+        key, fingerprint, nonce = decode_message(body)
         record_key: RecordKey = (key[0], key[1], key[2])
         now = anyio.current_time()
         record = self.records.get(record_key, now)
@@ -175,7 +182,7 @@
         return cbor2.dumps(["running", b""])
 
     def _settled(self, body: bytes) -> None:
-        key, nonce, encoded = cbor2.loads(body)
+        key, nonce, encoded = decode_message(body)
         record_key: RecordKey = (key[0], key[1], key[2])
         record = self.records.get(record_key, anyio.current_time())
         if record is None or record.nonce != nonce:
