--- a/src/yokesill/callers/application.py
+++ b/src/yokesill/callers/application.py
@@ -26,8 +26,11 @@
 RunElsewhere = Callable[[GatewayRequest], Awaitable[HttpAnswer | GatewayRequest]]
 
 BAD_REQUEST, TOO_LARGE, HEADERS_TOO_LARGE = 400, 413, 431
-MAXIMUM_REQUEST_ID = 128
-FIRST_LEARNING_PATIENCE = 0.12
+# Bounds what a caller can put into each log line of its request. Chosen, not measured.
+REQUEST_ID_LIMIT_BYTES = 128
+# A request that arrives just before a starting node is ready is answered instead of refused; the wait takes
+# from the request's latency objective. Chosen, not measured: below the objectives in use (140 ms and more).
+FIRST_CONFIGURATION_WAIT_S = 0.12
 
 
 class CallerGoneError(Exception):
@@ -42,10 +45,10 @@
 
 
 class GatewayApplication:
-    """Answers callers; ``stopping`` makes every answer close its connection, and so does ``cut_off``.
+    """Answers callers; ``stopping`` makes every answer close its connection, and so does ``partitioned``.
 
-    ``known`` is set once there is a configuration: what comes just before waits for it a moment.
-    ``hand_over`` runs a caller's request at another node where that is better.
+    ``synchronised`` is set once requests can be served; those that arrive before wait for it, within
+    ``FIRST_CONFIGURATION_WAIT_S``. ``forward`` runs a caller's request at another node where that is better.
     """
 
     def __init__(
@@ -54,18 +57,18 @@
         names: HeaderNames,
         observer: Observer,
         prefix: str,
-        hand_over: RunElsewhere | None = None,
+        forward: RunElsewhere | None = None,
     ) -> None:
         self.stopping = False
-        # Callers on an open connection stay with this node until it is closed.
-        self.cut_off = False
-        self.known = anyio.Event()
+        # While this node is partitioned from the other zones callers reconnect, perhaps to another node.
+        self.partitioned = False
+        self.synchronised = anyio.Event()
         self.in_flight = 0
         self._driver = driver
         self._names = names
         self._observer = observer
         self._prefix = prefix
-        self._hand_over = hand_over
+        self._forward = forward
         self._numbers = itertools.count(1)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
@@ -80,9 +83,9 @@
 
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         arrived_at = anyio.current_time()
-        if not self.known.is_set():
-            with anyio.move_on_after(FIRST_LEARNING_PATIENCE):
-                await self.known.wait()
+        if not self.synchronised.is_set():
+            with anyio.move_on_after(FIRST_CONFIGURATION_WAIT_S):
+                await self.synchronised.wait()
         try:
             read = await self._read(scope, receive, arrived_at)
         except CallerGoneError:
@@ -92,9 +95,9 @@
             body = f"{read.detail}\n".encode()
             await self._send(send, HttpAnswer(read.status, (), body, "rejected"), close=True)
             return
-        answer = await self.run(read, receive, self._hand_over)
+        answer = await self.run(read, receive, self._forward)
         if answer is not None:
-            await self._send(send, answer, close=self.stopping or self.cut_off)
+            await self._send(send, answer, close=self.stopping or self.partitioned)
 
     # --- reading ---
 
@@ -109,7 +112,7 @@
             return BadRequest(TOO_LARGE, "the body is too large")
         values = dict(headers)
         request_id = values.get(self._names.request_id, b"").decode("latin-1")
-        if not 0 < len(request_id) <= MAXIMUM_REQUEST_ID:
+        if not 0 < len(request_id) <= REQUEST_ID_LIMIT_BYTES:
             return BadRequest(BAD_REQUEST, f"a {self._names.request_id.decode()} header is needed")
         query = scope["query_string"]
         return GatewayRequest(
@@ -122,7 +125,7 @@
             headers=end_to_end_headers(headers),
             body=body,
             arrived_at_s=arrived_at,
-            caller_timeout_s=_patience(values.get(self._names.deadline)),
+            caller_timeout_s=_timeout_s(values.get(self._names.deadline)),
             fresh_connection=scope.get(FRESH_CONNECTION, True),
         )
 
@@ -133,7 +136,7 @@
         return f"{self._prefix}-{next(self._numbers)}"
 
     async def run(
-        self, request: GatewayRequest, receive: Receive, hand_over: RunElsewhere | None = None
+        self, request: GatewayRequest, receive: Receive, forward: RunElsewhere | None = None
     ) -> HttpAnswer | None:
         """Run a request, elsewhere if that is better.
 
@@ -151,18 +154,18 @@
 
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(watch_caller)
-            answer = await self._answer(request, hand_over)
+            answer = await self._answer(request, forward)
             task_group.cancel_scope.cancel()
         if answer is None:
             self._observer.caller_left(request)
         return answer
 
-    async def _answer(self, request: GatewayRequest, hand_over: RunElsewhere | None) -> HttpAnswer:
-        if hand_over is not None:
-            handed = await hand_over(request)
-            if isinstance(handed, HttpAnswer):
-                return handed
-            request = handed
+    async def _answer(self, request: GatewayRequest, forward: RunElsewhere | None) -> HttpAnswer:
+        if forward is not None:
+            forwarded = await forward(request)
+            if isinstance(forwarded, HttpAnswer):
+                return forwarded
+            request = forwarded
         final = await self._driver.execute(request)
         answer = to_http(final, request.request_id, self._names)
         self._observer.answered(request, final, answer.status, answer.outcome)
@@ -201,7 +204,7 @@
     return value.decode("latin-1").rpartition("@")[2].split(":")[0].lower()
 
 
-def _patience(value: bytes | None) -> float | None:
+def _timeout_s(value: bytes | None) -> float | None:
     """Read milliseconds; ``None`` when the caller did not say how long it waits."""
     if value is None or not value.isdigit():
         return None
--- a/src/yokesill/platform/main.py
+++ b/src/yokesill/platform/main.py
@@ -44,13 +44,13 @@
         return INVALID
     settings = replace(settings, switched_off=switched_off)
     output = logs.configure(settings.log_level)
-    process = GatewayProcess(settings, _surroundings(settings, listening), random.Random(), output)
-    follower = SettingsFollower(path, settings, load_settings, process.take_settings)
+    process = GatewayProcess(settings, _dependencies(settings, listening), random.Random(), output)
+    follower = SettingsFollower(path, settings, load_settings, process.apply_settings)
     run_steadily(run_until_stopped, process, follower)
     return OK
 
 
-def _surroundings(settings: GatewaySettings, listening: socket.socket | None) -> Dependencies:
+def _dependencies(settings: GatewaySettings, listening: socket.socket | None) -> Dependencies:
     client = ApiClient(settings.registry)
     store = MetadataStore(client)
     return Dependencies(
--- /dev/null
+++ b/src/yokesill/serving/builder.py
@@ -0,0 +1,316 @@
+"""Makes the components of one gateway node and connects them, each after those that it uses.
+
+Owns nothing: ``process`` runs what is made here. Two connections are made late, since the components need
+each other: the roll-out link and the callers' listener subscribe to ``FeedUpdates``, and ``Findings`` sets
+the driver's callbacks.
+"""
+
+import random
+from functools import partial
+from typing import NamedTuple
+
+import anyio
+
+from yokesill.callers.application import GatewayApplication
+from yokesill.callers.listener import Listener, create_listener
+from yokesill.coordinators.client import CoordinatorClient
+from yokesill.coordinators.coordinator import CoordinatorApplication
+from yokesill.coordinators.forwarding import Forwarder
+from yokesill.coordinators.remote_coordinators import RemoteCoordinators
+from yokesill.gateway.events import ConfigurationLearnt, Event, NodesCounted
+from yokesill.gateway.forwarding import CoordinatorChoice
+from yokesill.gateway.messages import GatewayRequest
+from yokesill.gateway.options import GatewayOptions
+from yokesill.gateway.router import GatewayRouter
+from yokesill.logs import LogOutput, get_logger
+from yokesill.quarantine.judge import QuarantineStatus
+from yokesill.registry.awaited_connection import connect_tcp
+from yokesill.registry.feed_states import CONFIGURATION, EVACUATIONS, QUARANTINE, ROLLOUTS, SERVERS
+from yokesill.registry.following import FollowedFeed, RegistryFollowing
+from yokesill.registry.node_count import NodeCounter
+from yokesill.registry.peers import PeerLearner
+from yokesill.serving.dependencies import Dependencies
+from yokesill.serving.driver import GatewayDriver
+from yokesill.serving.feed_updates import FeedUpdates
+from yokesill.serving.findings import Findings
+from yokesill.serving.gauges import GaugeSources, render_figures
+from yokesill.serving.life_cycle import LifeCycle
+from yokesill.serving.peer_application import PeerApplication
+from yokesill.serving.peer_changes import PeerChanges
+from yokesill.serving.probes import ProbeApplication
+from yokesill.serving.reachability import Reachability
+from yokesill.serving.rollout_link import RolloutLink
+from yokesill.serving.rollout_part import create_rollout_link
+from yokesill.serving.settings import GatewaySettings
+from yokesill.serving.state_snapshot import configuration_version, snapshot_of, whole_feed
+from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.observer import Observer
+from yokesill.upstreams.server_client import ServerClient
+
+
+class NodeComponents(NamedTuple):
+    """What one node consists of; nothing runs yet."""
+
+    life_cycle: LifeCycle
+    figures: GatewayFigures
+    router: GatewayRouter
+    driver: GatewayDriver
+    updates: FeedUpdates
+    following: RegistryFollowing
+    counter: NodeCounter
+    findings: Findings
+    rollouts: RolloutLink | None
+    reachability: Reachability
+    learner: PeerLearner
+    application: GatewayApplication
+    listener: Listener
+    coordinator: CoordinatorApplication
+    probes: ProbeApplication
+    peers: PeerApplication
+
+
+class _Core(NamedTuple):
+    """What all other components are built on."""
+
+    settings: GatewaySettings
+    dependencies: Dependencies
+    options: GatewayOptions
+    source: random.Random
+    figures: GatewayFigures
+    observer: Observer
+    router: GatewayRouter
+    client: ServerClient
+    driver: GatewayDriver
+    key_prefix: str
+
+
+class _Registry(NamedTuple):
+    """What keeps the router up to date, and finds coordinators by it."""
+
+    updates: FeedUpdates
+    following: RegistryFollowing
+    remote_coordinators: RemoteCoordinators
+
+
+class _Callers(NamedTuple):
+    """What serves callers."""
+
+    application: GatewayApplication
+    listener: Listener
+
+
+class _Exchanges(NamedTuple):
+    """What a node does together with the others."""
+
+    findings: Findings
+    rollouts: RolloutLink | None
+    reachability: Reachability
+    learner: PeerLearner
+    counter: NodeCounter
+
+
+class _SideServices(NamedTuple):
+    """What serves other nodes and operators."""
+
+    coordinator: CoordinatorApplication
+    probes: ProbeApplication
+    peers: PeerApplication
+
+
+def build_node(
+    settings: GatewaySettings,
+    dependencies: Dependencies,
+    life_cycle: LifeCycle,
+    source: random.Random,
+    output: LogOutput,
+    now: float,
+) -> NodeComponents:
+    """Return the components of a node that starts at ``now``, in seconds of its clock.
+
+    Raises
+    ------
+    ValueError
+        A name in ``settings.switched_off`` is no switch.
+    """
+    core = _create_core(settings, dependencies, source, now)
+    registry = _create_registry(core)
+    callers = _create_callers(core, registry)
+    exchanges = _create_exchanges(core, registry, callers, life_cycle)
+    side = _create_side_services(core, registry, callers, exchanges, life_cycle, output)
+    return NodeComponents(
+        life_cycle=life_cycle,
+        figures=core.figures,
+        router=core.router,
+        driver=core.driver,
+        updates=registry.updates,
+        following=registry.following,
+        **callers._asdict(),
+        **exchanges._asdict(),
+        **side._asdict(),
+    )
+
+
+def _create_core(
+    settings: GatewaySettings, dependencies: Dependencies, source: random.Random, now: float
+) -> _Core:
+    options = settings.options()
+    figures = GatewayFigures()
+    observer = Observer(get_logger("requests"), figures)
+    router = GatewayRouter(options, source, now)
+    client = ServerClient(dependencies.names)
+    driver = GatewayDriver(router, client, observer.note)
+    key_prefix = f"{settings.node}-{source.getrandbits(32):08x}"
+    return _Core(
+        settings, dependencies, options, source, figures, observer, router, client, driver, key_prefix
+    )
+
+
+def _create_registry(core: _Core) -> _Registry:
+    dependencies = core.dependencies
+    updates = FeedUpdates(
+        core.driver,
+        awaits_quarantine=dependencies.quarantine is not None,
+        awaits_rollouts=dependencies.rollouts is not None,
+    )
+    following = RegistryFollowing(
+        core.settings,
+        _followed_feeds(dependencies, core.driver, updates),
+        partial(whole_feed, core.router),
+        core.options.few_watchers,
+        core.source,
+    )
+    return _Registry(updates, following, RemoteCoordinators(core.options, core.router.servers))
+
+
+def _followed_feeds(
+    dependencies: Dependencies, driver: GatewayDriver, updates: FeedUpdates
+) -> dict[str, FollowedFeed]:
+    feeds = {
+        CONFIGURATION: FollowedFeed(dependencies.configuration, updates.apply),
+        SERVERS: FollowedFeed(dependencies.servers, driver.feed),
+    }
+    if dependencies.evacuations is not None:
+        feeds[EVACUATIONS] = FollowedFeed(dependencies.evacuations, driver.feed)
+    if dependencies.quarantine is not None:
+        feeds[QUARANTINE] = FollowedFeed(dependencies.quarantine, driver.feed)
+    if dependencies.rollouts is not None:
+        feeds[ROLLOUTS] = FollowedFeed(dependencies.rollouts, updates.apply)
+    return feeds
+
+
+def _create_callers(core: _Core, registry: _Registry) -> _Callers:
+    forwarder = None
+    if core.options.hands_over:
+        forwarder = Forwarder(
+            CoordinatorChoice(core.settings.node),
+            CoordinatorClient(),
+            registry.following.coordinators,
+            lambda: core.router.configuration,
+            core.observer,
+            registry.remote_coordinators,
+            partial(_is_suspected, core.router),
+        )
+    application = GatewayApplication(
+        core.driver, core.dependencies.names, core.observer, core.key_prefix, forwarder
+    )
+    listener = create_listener(application)
+    return _Callers(application, listener)
+
+
+def _is_suspected(router: GatewayRouter, request: GatewayRequest) -> bool:
+    """Whether a request may crash servers: if a coordinator failed, two nodes would send it."""
+    return router.quarantine.standing(request, anyio.current_time()) > QuarantineStatus.CLEAR
+
+
+def _create_exchanges(
+    core: _Core, registry: _Registry, callers: _Callers, life_cycle: LifeCycle
+) -> _Exchanges:
+    driver, source, contact = core.driver, core.source, registry.following.contact
+    records = core.dependencies.quarantine_records
+    findings = Findings(contact, core.settings.datagrams, driver, records, source)
+    rollouts = _create_rollout_link(core, registry.following)
+    if rollouts is not None:
+        registry.updates.subscribe(rollouts.take)
+    registry.updates.subscribe(partial(_apply_connection_limits, callers.listener, core.router))
+    reachability = _create_reachability(core, callers.application, life_cycle)
+    learner = _create_peer_learner(core, registry)
+    peer_changes = PeerChanges(
+        driver, registry.following, registry.remote_coordinators, findings, rollouts, reachability
+    )
+    counter = NodeCounter(
+        core.dependencies.nodes,
+        contact,
+        lambda count: driver.feed(NodesCounted(count)),
+        source,
+        peer_changes.peers_changed,
+    )
+    return _Exchanges(findings, rollouts, reachability, learner, counter)
+
+
+def _create_rollout_link(core: _Core, following: RegistryFollowing) -> RolloutLink | None:
+    limits, records = core.settings.rollouts, core.dependencies.rollout_records
+    if limits is None or records is None:
+        return None
+    return create_rollout_link(
+        following.contact, limits, core.driver, records, lambda: following.reaches_registry, core.source
+    )
+
+
+def _apply_connection_limits(listener: Listener, router: GatewayRouter, event: Event) -> None:
+    if isinstance(event, ConfigurationLearnt) and router.configuration is not None:
+        limits = router.configuration.limits
+        listener.set_limits(limits.header_timeout_s, limits.idle_timeout_s)
+
+
+def _create_reachability(core: _Core, application: GatewayApplication, life_cycle: LifeCycle) -> Reachability:
+    driver = core.driver
+
+    def partition_changed(partitioned: bool) -> None:
+        application.partitioned = partitioned
+        life_cycle.enter("cut_off" if partitioned else "reached")
+
+    return Reachability(
+        core.settings.zone,
+        core.router,
+        lambda: driver.answered_at_s,
+        connect_tcp,
+        partition_changed,
+        core.source,
+    )
+
+
+def _create_peer_learner(core: _Core, registry: _Registry) -> PeerLearner:
+    updates, following = registry.updates, registry.following
+
+    def apply_from_peer(event: Event) -> None:
+        if following.lacks(event):
+            updates.apply(event)
+
+    return PeerLearner(core.settings.seeds, connect_tcp, updates.synchronised, apply_from_peer, core.source)
+
+
+def _create_side_services(
+    core: _Core,
+    registry: _Registry,
+    callers: _Callers,
+    exchanges: _Exchanges,
+    life_cycle: LifeCycle,
+    output: LogOutput,
+) -> _SideServices:
+    router, following, rollouts = core.router, registry.following, exchanges.rollouts
+
+    def is_peer(host: str) -> bool:
+        return following.is_member(host) or registry.remote_coordinators.knows(host)
+
+    version = partial(configuration_version, router)
+    coordinator = CoordinatorApplication(callers.application, is_peer, version, lambda: router.lateness)
+    sources = GaugeSources(life_cycle, router, coordinator, core.client, output, following)
+    probes = ProbeApplication(
+        core.dependencies.ready_path,
+        life_cycle.is_ready,
+        partial(render_figures, core.figures, sources),
+        partial(snapshot_of, router),
+        following.state,
+        rollouts.view if rollouts is not None else lambda: None,
+    )
+    return _SideServices(coordinator, probes, PeerApplication(coordinator, probes))
--- /dev/null
+++ b/src/yokesill/serving/peer_changes.py
@@ -0,0 +1,50 @@
+"""Tells a node's components which nodes can be reached, after each reading of the directory of nodes.
+
+Owns nothing; ``registry.node_count`` calls it. The order matters: the router learns which nodes gather wide
+requests only after ``RemoteCoordinators`` knows the nodes.
+"""
+
+from collections.abc import Iterable
+
+from yokesill.coordinators.remote_coordinators import RemoteCoordinators
+from yokesill.gateway.events import NodesMet
+from yokesill.registry.feeds import NodeContact
+from yokesill.registry.following import RegistryFollowing
+from yokesill.serving.driver import GatewayDriver
+from yokesill.serving.findings import Findings
+from yokesill.serving.reachability import Reachability
+from yokesill.serving.rollout_link import RolloutLink
+
+
+class PeerChanges:
+    """Passes the contacts of all nodes on; see ``peers_changed``."""
+
+    __slots__ = ("_driver", "_findings", "_following", "_reachability", "_remote_coordinators", "_rollouts")
+
+    def __init__(
+        self,
+        driver: GatewayDriver,
+        following: RegistryFollowing,
+        remote_coordinators: RemoteCoordinators,
+        findings: Findings,
+        rollouts: RolloutLink | None,
+        reachability: Reachability,
+    ) -> None:
+        self._driver = driver
+        self._following = following
+        self._remote_coordinators = remote_coordinators
+        self._findings = findings
+        self._rollouts = rollouts
+        self._reachability = reachability
+
+    def peers_changed(self, contacts: Iterable[NodeContact]) -> None:
+        """Exchange findings and requests with these nodes from now on."""
+        contacts = tuple(contacts)
+        self._following.set_nodes(contacts)
+        if self._rollouts is not None:
+            self._rollouts.set_nodes(contacts)
+        self._reachability.set_nodes(contacts)
+        self._remote_coordinators.set_nodes(contacts)
+        coordinators = self._remote_coordinators.gathering(contacts)
+        self._driver.feed(NodesMet(frozenset(each.node for each in contacts), coordinators))
+        self._findings.set_nodes(contacts)
--- a/src/yokesill/serving/state_snapshot.py
+++ b/src/yokesill/serving/state_snapshot.py
@@ -38,3 +38,8 @@
         return QuarantineReplaced(router.quarantine.judge.recorded)
     configuration = router.configuration
     return ConfigurationLearnt(configuration) if configuration is not None else None
+
+
+def configuration_version(router: GatewayRouter) -> int:
+    """Return the version of the configuration in force; 0 without one."""
+    return router.configuration.version if router.configuration is not None else 0
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -47,9 +47,10 @@
 from yokesill.resources import hashing
 from yokesill.rollouts import messages as rollouts, order_progress, orders
 from yokesill.serving import rollout_view
+from yokesill.serving.builder import build_node
 from yokesill.serving.header_names import HeaderNames
-from yokesill.serving.probes import ProbeApplication
-from yokesill.serving.process import GatewayProcess
+from yokesill.serving.life_cycle import LifeCycle
+from yokesill.serving.probes import METRICS_PATH, ProbeApplication
 from yokesill.serving.settings import Address
 from yokesill.telemetry.figures import GatewayFigures
 from yokesill.telemetry.observer import Observer
@@ -348,7 +349,7 @@
 
     async def main() -> list[Any]:
         served = callers.GatewayApplication(driver, names.HEADER_NAMES, observer, "n1")
-        served.known.set()
+        served.synchronised.set()
         return await _asked(served, "GET", "/x/a", headers, body)
 
     return [asyncio.run(main()), seen]
@@ -377,24 +378,25 @@
     read: Any = settings.parse_settings(text)
 
     async def main() -> Any:
-        surroundings = platform_main._surroundings(read, None)
-        process = GatewayProcess(read, surroundings, random.Random(1), logs.LogOutput(1))
-        process._build(anyio.current_time())
-        return await act(process)
+        dependencies = platform_main._dependencies(read, None)
+        life_cycle = LifeCycle(logs.get_logger("gateway"))
+        source, output = random.Random(1), logs.LogOutput(1)
+        node = build_node(read, dependencies, life_cycle, source, output, anyio.current_time())
+        return await act(node)
 
     return asyncio.run(main())
 
 
-async def _learn(process: Any, snapshot: bytes) -> None:
+async def _learn(node: Any, snapshot: bytes) -> None:
     for event in snapshots.decode_snapshot(snapshot) if snapshot else ():
-        process.driver.feed(event)
+        node.driver.feed(event)
 
 
 def _probe(text: str, path: str, state: str, snapshot: bytes) -> Any:
-    async def ask(process: Any) -> list[Any]:
-        process.state = state
-        await _learn(process, snapshot)
-        status, headers, body = await _asked(process._probes, "GET", path, [], b"")
+    async def ask(node: Any) -> list[Any]:
+        node.life_cycle.state = state
+        await _learn(node, snapshot)
+        status, headers, body = await _asked(node.probes, "GET", path, [], b"")
         return [status, headers, body] if len(body) < LONG else [status, headers[0]]
 
     return _with_node(ask, text)
@@ -407,12 +409,12 @@
 
 
 def _coordinate(text: str, path: str, body: bytes, member: bool, stopping: bool, snapshot: bytes) -> Any:
-    async def ask(process: Any) -> Any:
-        process._application.stopping = stopping
-        process._coordinator._is_member = lambda _host: member
-        await _learn(process, snapshot)
+    async def ask(node: Any) -> Any:
+        node.application.stopping = stopping
+        node.coordinator._is_member = lambda _host: member
+        await _learn(node, snapshot)
         with anyio.fail_after(5):
-            return (await _asked(process._coordinator, "POST", path, [], body))[0]
+            return (await _asked(node.peers, "POST", path, [], body))[0]
 
     return _with_node(ask, text)
 
@@ -435,10 +437,12 @@
 
 
 def _gateway_figures(text: str) -> Any:
-    async def render(process: Any) -> str:
-        process.figures.count_note(ev.LogEvent("hedged", {}))
-        process.figures.count_request("wide", "answered", _SUMMARY)
-        return str(process._render_figures().decode())
+    async def render(node: Any) -> str:
+        node.figures.count_note(ev.LogEvent("hedged", {}))
+        node.figures.count_request("wide", "answered", _SUMMARY)
+        status, _headers, body = await _asked(node.probes, "GET", METRICS_PATH, [], b"")
+        assert status == 200
+        return str(body.decode())
 
     return _families(_with_node(render, text))
 
--- a/tests/serving/test_application.py
+++ b/tests/serving/test_application.py
@@ -79,7 +79,7 @@
     def learn(self, known: Configuration) -> None:
         self.driver.feed(ev.ConfigurationLearnt(known))
         self.driver.feed(ev.ServerListed(server("i-1", "desk")))
-        self.application.known.set()
+        self.application.synchronised.set()
 
     async def ask(
         self,
@@ -230,7 +230,7 @@
 
 def test_while_cut_off_every_answer_closes_its_connection() -> None:
     async def main(served: Served) -> None:
-        served.application.cut_off = True
+        served.application.partitioned = True
         assert (await served.ask()).headers[b"connection"] == b"close"
 
     serving(main)
--- a/tests/serving/test_coordinator.py
+++ b/tests/serving/test_coordinator.py
@@ -441,7 +441,6 @@
     async def run() -> None:
         application = CoordinatorApplication(
             running,  # type: ignore[arg-type]
-            lambda *_: anyio.lowlevel.checkpoint(),
             lambda each: each == "10.0.0.3",
             lambda: version,
             lambda: lateness_s,
@@ -459,8 +458,8 @@
             for _ in range(at_once):
                 tasks.start_soon(application, scope, receive, send)
             await anyio.sleep(0.05)
-            counts.append(application.under_way)
-        counts.append(application.under_way)
+            counts.append(application.in_flight)
+        counts.append(application.in_flight)
 
     run_virtual(run)
     return sent, running, counts
--- a/tests/serving/test_gathering_elsewhere.py
+++ b/tests/serving/test_gathering_elsewhere.py
@@ -86,7 +86,7 @@
             writer.close()
             tasks.cancel_scope.cancel()
         server.close()
-        return answer, near._coordinator.taken
+        return answer, near.node.coordinator.accepted
 
     answer, taken = anyio.run(run)
     assert answer.startswith(b"HTTP/1.1 200 OK\r\n")
--- a/tests/serving/test_process.py
+++ b/tests/serving/test_process.py
@@ -186,7 +186,7 @@
 
     async def main(node: Node) -> None:
         await node.until(node.ready)
-        assert node.process.router.open_orders() == (order,)
+        assert node.process.node.router.open_orders() == (order,)
         state = await node.talk(b"GET /snapshot HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.peers)
         events = decode_snapshot(state.partition(b"\r\n\r\n")[2])
         assert RolloutsReplaced((order,)) in events
@@ -197,10 +197,10 @@
 
 def test_a_node_waits_for_the_orders_of_roll_outs() -> None:
     async def main(node: Node) -> None:
-        node.process.router.rollouts.told = False
-        assert not node.process._knows_enough()
-        node.process.driver.feed(RolloutsReplaced(()))
-        assert node.process._knows_enough()
+        node.process.node.router.rollouts.told = False
+        assert not node.process.node.updates.synchronised()
+        node.process.node.driver.feed(RolloutsReplaced(()))
+        assert node.process.node.updates.synchronised()
 
     with_node(main, order=RolloutOrder("desk", "v2", 12.0, 5, 6))
 
@@ -208,11 +208,10 @@
 def test_a_node_waits_for_the_requests_that_are_kept_from_servers() -> None:
     async def main(node: Node) -> None:
         await node.until(node.ready)
-        around = replace(node.process._surroundings, quarantine=FixedFeed("quarantine"))
-        node.process._surroundings = around
-        assert not node.process._knows_enough()
-        node.process.driver.feed(QuarantineReplaced(frozenset()))
-        assert node.process._knows_enough()
+        node.process.node.updates.awaits_quarantine = True
+        assert not node.process.node.updates.synchronised()
+        node.process.node.driver.feed(QuarantineReplaced(frozenset()))
+        assert node.process.node.updates.synchronised()
 
     with_node(main)
 
@@ -227,11 +226,11 @@
 
         peer = await asyncio.start_server(tell, LOOPBACK, 0)
         seed = Address(LOOPBACK, peer.sockets[0].getsockname()[1])
-        while not len(node.process.router.servers):
+        while not len(node.process.node.router.servers):
             await anyio.sleep(0.02)
-        node.process.take_settings(replace(node.settings, seeds=(seed,)))
+        node.process.apply_settings(replace(node.settings, seeds=(seed,)))
         await node.until(node.ready)
-        assert [each.instance for each in node.process.router.servers.records()] == ["i-1"]
+        assert [each.instance for each in node.process.node.router.servers.records()] == ["i-1"]
         assert (await node.ask()).startswith(b"HTTP/1.1 200")
         peer.close()
 
@@ -284,10 +283,10 @@
 def test_a_node_that_is_cut_off_says_that_it_is_not_ready_and_still_serves_who_comes() -> None:
     async def main(node: Node) -> None:
         await node.until(node.ready)
-        node.process._enter("cut_off")
+        node.process.life_cycle.enter("cut_off")
         assert not await node.ready()
         assert (await node.ask()).startswith(b"HTTP/1.1 200")
-        node.process._enter("reached")
+        node.process.life_cycle.enter("reached")
         assert await node.ready()
 
     with_node(main)
@@ -308,7 +307,7 @@
         for answer in (await in_flight, await late):
             assert answer.startswith(b"HTTP/1.1 200 OK\r\n")
             assert b"connection: close" in answer.lower()
-        while node.process.state != "stopped":
+        while node.process.life_cycle.state != "stopped":
             await asyncio.sleep(0.02)
         with pytest.raises(ConnectionError):
             await node.ask()
