--- a/src/yokesill/callers/answers.py
+++ b/src/yokesill/callers/answers.py
@@ -1,16 +1,18 @@
-"""Turns a final answer into an HTTP status, headers and body."""
+"""Turns a request's final answer into an HTTP status, headers and body.
+
+The one place that maps a refusal to a status: 503 promises that no server ran the request, 502 and 504 say
+that one may have. Relies on the verdict that the gateway's decisions put into each failure.
+"""
 
 from typing import NamedTuple
 
 from yokesill.callers.headers import end_to_end_headers
+from yokesill.comm.http_status import BAD_GATEWAY, GATEWAY_TIMEOUT, NOT_FOUND, OK, UNAVAILABLE
 from yokesill.gateway.events import FinalAnswer, Gathered, PassOn, Refuse
 from yokesill.gateway.messages import Headers
 from yokesill.serving.header_names import HeaderNames
 from yokesill.verdict import Reason, Verdict
 
-NOT_FOUND, BAD_GATEWAY, UNAVAILABLE, GATEWAY_TIMEOUT = 404, 502, 503, 504
-OK = 200
-
 
 class HttpAnswer(NamedTuple):
     """What is sent to a caller; ``outcome`` names it in logs and metrics."""
--- a/src/yokesill/callers/application.py
+++ b/src/yokesill/callers/application.py
@@ -12,6 +12,7 @@
 
 from yokesill.callers.answers import HttpAnswer, to_http
 from yokesill.callers.headers import end_to_end_headers
+from yokesill.comm.http_status import BAD_REQUEST, CONTENT_TOO_LARGE, HEADERS_TOO_LARGE
 from yokesill.gateway.documents import RequestLimits
 from yokesill.gateway.messages import GatewayRequest, Headers
 from yokesill.serving.driver import GatewayDriver
@@ -25,7 +26,6 @@
 # Returns another node's final answer, or the request as this node must run it itself.
 RunElsewhere = Callable[[GatewayRequest], Awaitable[HttpAnswer | GatewayRequest]]
 
-BAD_REQUEST, TOO_LARGE, HEADERS_TOO_LARGE = 400, 413, 431
 # Bounds what a caller can put into each log line of its request. Chosen, not measured.
 REQUEST_ID_LIMIT_BYTES = 128
 # A request that arrives just before a starting node is ready is answered instead of refused; the wait takes
@@ -109,7 +109,7 @@
             return BadRequest(HEADERS_TOO_LARGE, f"the headers are larger than {limits.header_bytes} bytes")
         body = await read_body(receive, (limits or RequestLimits()).body_bytes)
         if body is None:
-            return BadRequest(TOO_LARGE, "the body is too large")
+            return BadRequest(CONTENT_TOO_LARGE, "the body is too large")
         values = dict(headers)
         request_id = values.get(self._names.request_id, b"").decode("latin-1")
         if not 0 < len(request_id) <= REQUEST_ID_LIMIT_BYTES:
--- a/src/yokesill/cli/apply.py
+++ b/src/yokesill/cli/apply.py
@@ -6,11 +6,9 @@
 
 from yokesill.cli.base import NODE_OPTIONS, ApiClient, ApiReply, BaseCommand, ExitCode
 from yokesill.cli.documents import KeyedDocument, read_documents
+from yokesill.comm import http_status
 from yokesill.verdict import Failure
 
-HTTP_ACCEPTED = 202
-HTTP_NOT_FOUND = 404
-
 
 class ApplyCommand(BaseCommand):
     """Submits every document of a file, each taking hold fully or rejected."""
@@ -34,7 +32,7 @@
             reply = await apply_document(client, each, bool(self.option("dry-run")))
             if isinstance(reply, Failure):
                 return self.fail_unreachable(client, reply)
-            if reply.status == HTTP_ACCEPTED:
+            if reply.status == http_status.ACCEPTED:
                 message = f"{each.key}: in doubt; ask with: yokesill get --change {reply.body['change_id']}"
                 return self.fail(ExitCode.IN_DOUBT, message)
             if not reply.ok:
@@ -58,7 +56,7 @@
         if current.body["document"] == each.value:
             return ApiReply(200, {}, {"outcome": "unchanged", "revision": current.body["revision"]})
         headers["If-Match"] = current.headers["etag"]
-    elif current.status != HTTP_NOT_FOUND:
+    elif current.status != http_status.NOT_FOUND:
         return current
     suffix = "?dry_run=1" if dry_run else ""
     return await client.call("PUT", f"/v1/{each.key}{suffix}", each.value, headers)
--- a/src/yokesill/cli/base.py
+++ b/src/yokesill/cli/base.py
@@ -12,6 +12,7 @@
 from cleo.ui.table import Table
 
 from yokesill.clock import run_steadily
+from yokesill.comm import http_status
 from yokesill.comm.http_client import HttpClient
 from yokesill.resources.validation import DocumentError
 from yokesill.verdict import Failure
@@ -45,7 +46,7 @@
     @property
     def ok(self) -> bool:
         """Whether the call did what it was asked to."""
-        return self.status == 200
+        return self.status == http_status.OK
 
 
 class ApiClient:
--- /dev/null
+++ b/src/yokesill/comm/http_status.py
@@ -0,0 +1,21 @@
+"""HTTP statuses by name, as plain numbers: they go into CBOR messages, JSON logs and byte strings.
+
+The only copy in the package. ``http.HTTPStatus`` is an enumeration, whose members print and encode otherwise.
+"""
+
+OK = 200
+CREATED = 201
+ACCEPTED = 202
+BAD_REQUEST = 400
+FORBIDDEN = 403
+NOT_FOUND = 404
+CONFLICT = 409
+GONE = 410
+CONTENT_TOO_LARGE = 413
+MISDIRECTED = 421
+TOO_MANY_REQUESTS = 429
+HEADERS_TOO_LARGE = 431
+SERVER_ERROR = 500
+BAD_GATEWAY = 502
+UNAVAILABLE = 503
+GATEWAY_TIMEOUT = 504
--- a/src/yokesill/comm/network.py
+++ b/src/yokesill/comm/network.py
@@ -6,13 +6,12 @@
 import anyio
 import anyio.abc
 
+from yokesill.comm import http_status
 from yokesill.comm.base import Transport
 from yokesill.comm.http_client import HttpClient
 from yokesill.verdict import Failure, Reason, Verdict
 
 INTERNAL_PATH = "/internal/v1/"
-HTTP_OK = 200
-HTTP_UNAVAILABLE = 503
 MAXIMUM_PEER_CONNECTIONS = 64
 
 
@@ -56,7 +55,7 @@
         if isinstance(reply, Failure):
             return reply
         self.bytes_received += len(reply.body)
-        if reply.status == HTTP_OK:
+        if reply.status == http_status.OK:
             return reply.body
-        verdict = Verdict.NOT_RUN if reply.status == HTTP_UNAVAILABLE else Verdict.MAY_HAVE_RUN
+        verdict = Verdict.NOT_RUN if reply.status == http_status.UNAVAILABLE else Verdict.MAY_HAVE_RUN
         return Failure(Reason.NOT_READY, verdict, f"{address} answered {reply.status} to {kind}")
--- a/src/yokesill/coordinators/__init__.py
+++ b/src/yokesill/coordinators/__init__.py
@@ -1,1 +1,1 @@
-"""Hands wide requests to the strongest nodes of the zone, and gathers those of others."""
+"""Forwards wide requests to the strongest nodes of a zone, its coordinators; serves those of other nodes."""
--- a/src/yokesill/coordinators/client.py
+++ b/src/yokesill/coordinators/client.py
@@ -1,21 +1,25 @@
-"""Hands a wide request to a coordinator and waits for its answer.
+"""Sends a wide request to a coordinator over HTTP/1.1 and waits for its answer.
 
-A coordinator acknowledges by the head of its reply, at once. A node that sees no acknowledgement
-goes around it and gathers itself; so it does when the connection breaks.
+A coordinator acknowledges at once by the head of its reply; the body follows when the answer is complete.
+Without an acknowledgement, or when the connection breaks, the call fails; ``forwarding`` decides what next.
+Owns the idle connections to coordinators. Relies on ``upstreams.connections`` for the bytes.
 """
 
 import anyio
 
 from yokesill.comm.http_reply import HttpReplyReader
+from yokesill.comm.http_status import OK
 from yokesill.coordinators.messages import GatheredAnswer, decode_answer
 from yokesill.upstreams.connections import ServerConnection
 from yokesill.upstreams.wires import Dial, dial_tcp
 from yokesill.verdict import Failure, Reason, Verdict
 
 COORDINATE_PATH = "/coordinate"
+# Bounds what a dead coordinator costs a request. Chosen, not measured: the hop to another zone is counted
+# as 12 ms until it is measured.
 CONNECT_TIMEOUT_S = 0.04
-REST_S = 8.0
-OK = 200
+# Less than the 15 s after which a coordinator closes an idle connection (``callers.listener``).
+IDLE_LIMIT_S = 8.0
 
 
 class CoordinatorClient:
@@ -25,8 +29,8 @@
         self._dial = dial
         self._idle: dict[str, list[ServerConnection]] = {}
 
-    async def ask(
-        self, address: str, request_id: str, message: bytes, acknowledge_s: float, until: float
+    async def send(
+        self, address: str, request_id: str, message: bytes, acknowledge_within_s: float, deadline_at_s: float
     ) -> GatheredAnswer | Failure:
         """Return the coordinator's final answer.
 
@@ -35,18 +39,18 @@
         address
             ``HOST:PORT``.
         request_id
-            Whose answer it must be.
+            The id that the answer must carry.
         message
             The request, encoded.
-        acknowledge_s
-            How long the coordinator may take to say that it has the request.
-        until
-            When to give it up, in seconds of the node's clock.
+        acknowledge_within_s
+            How long the coordinator may take to acknowledge the request.
+        deadline_at_s
+            When to give the call up, in seconds of the node's clock.
 
         Returns
         -------
         GatheredAnswer or Failure
-            A failure with verdict ``NOT_RUN`` if the coordinator surely asked no server.
+            A failure with verdict ``NOT_RUN`` if the coordinator sent nothing to servers.
         """
         connection = await self._connect(address)
         if isinstance(connection, Failure):
@@ -58,24 +62,24 @@
             outcome.append(result)
             ended.set()
 
-        kept = False
+        reusable = False
         try:
             connection.start(_encode(address, message), False, end)
-            with anyio.move_on_after(acknowledge_s):
+            with anyio.move_on_after(acknowledge_within_s):
                 await ended.wait()
             if not connection.reply_begun and not outcome:
-                self._forget(address)
+                self._close_idle(address)
                 return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, "no acknowledgement")
-            with anyio.move_on_after(until - anyio.current_time()):
+            with anyio.move_on_after(deadline_at_s - anyio.current_time()):
                 await ended.wait()
             if not outcome:
                 return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, "no answer in time")
             answer = _read(outcome[0], request_id)
-            kept = isinstance(outcome[0], HttpReplyReader) and outcome[0].keep_alive
+            reusable = isinstance(outcome[0], HttpReplyReader) and outcome[0].keep_alive
             return answer
         finally:
-            if kept and connection.is_open:
-                self._keep(address, connection)
+            if reusable and connection.is_open:
+                self._put_idle(address, connection)
             else:
                 connection.close()
 
@@ -87,7 +91,7 @@
             if now < connection.reusable_until and connection.quiet():
                 return connection
             connection.close()
-        connection = ServerConnection(self._lost)
+        connection = ServerConnection(self._closed)
         host, _, port = address.rpartition(":")
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
@@ -96,16 +100,16 @@
             return Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, repr(error))
         return connection
 
-    def _keep(self, address: str, connection: ServerConnection) -> None:
-        connection.reusable_until = anyio.current_time() + REST_S
+    def _put_idle(self, address: str, connection: ServerConnection) -> None:
+        connection.reusable_until = anyio.current_time() + IDLE_LIMIT_S
         self._idle.setdefault(address, []).append(connection)
 
-    def _forget(self, address: str) -> None:
+    def _close_idle(self, address: str) -> None:
         """Close the idle connections to a coordinator: they may have gone silent like the one just used."""
         for connection in self._idle.pop(address, []):
             connection.close()
 
-    def _lost(self, connection: ServerConnection) -> None:
+    def _closed(self, connection: ServerConnection) -> None:
         for idle in self._idle.values():
             if connection in idle:
                 idle.remove(connection)
--- a/src/yokesill/coordinators/coordinator.py
+++ b/src/yokesill/coordinators/coordinator.py
@@ -1,4 +1,9 @@
-"""A coordinator's side: gathers wide requests that other nodes hand over."""
+"""Serves wide requests that other nodes forward to this one, its coordinator.
+
+Admission stands here alone: a request is refused before anything is sent to servers if its sender is no node
+of the region, or this node is stopping, has an older configuration, or is too busy. Relies on
+``callers.application`` to run what is accepted.
+"""
 
 from collections.abc import Callable
 
@@ -12,12 +17,15 @@
     Send,
     read_body,
 )
-from yokesill.coordinators.messages import GatheredAnswer, decode_handed, encode_answer
+from yokesill.comm.http_status import BAD_REQUEST, FORBIDDEN, OK, UNAVAILABLE
+from yokesill.coordinators.messages import GatheredAnswer, decode_forwarded, encode_answer
 
-OK, BAD_REQUEST, FORBIDDEN, UNAVAILABLE = 200, 400, 403, 503
-LARGEST_MESSAGE_BYTES = 4 * 1024 * 1024
-# Beyond this a node's own processor makes everybody late; who is refused gathers for itself.
-MOST_AT_ONCE, MOST_LATENESS_S = 12, 0.02
+# Bounds the memory that one message can use. Chosen, not measured.
+MESSAGE_LIMIT_BYTES = 4 * 1024 * 1024
+# Beyond either limit this node's processor makes all its requests late; a node whose request is refused
+# gathers it itself. Chosen, not measured: a wide request uses some ten milliseconds of a core.
+IN_FLIGHT_LIMIT = 12
+LATENESS_LIMIT_S = 0.02
 
 
 class CoordinatorApplication:
@@ -26,13 +34,18 @@
     Parameters
     ----------
     application
-        Runs requests. Those under way are counted here, for a planned stop to wait for them.
+        Runs requests.
     is_member
         Whether a host is a node of this zone, or of another one of this region.
     version
-        Which configuration is in force here; 0 while none is known.
+        Returns the version of the configuration in force here; 0 without one.
     lateness_s
-        How late this node's own timers come.
+        Returns by how much this node's own timers are late, in seconds.
+
+    Notes
+    -----
+    ``in_flight`` counts requests without an answer, for a planned stop to wait for; ``accepted`` counts those
+    that were not refused.
     """
 
     def __init__(
@@ -59,40 +72,41 @@
         try:
             await self._coordinate(receive, send)
         except CallerGoneError:
+            # Not logged here: the forwarding node logs it, as ``coordinator_missed``.
             pass
         finally:
             self.in_flight -= 1
 
     async def _coordinate(self, receive: Receive, send: Send) -> None:
         accepted_at_s = anyio.current_time()
-        data = await read_body(receive, LARGEST_MESSAGE_BYTES)
+        data = await read_body(receive, MESSAGE_LIMIT_BYTES)
         try:
-            handed = decode_handed(data or b"", self._application.next_key(), accepted_at_s)
+            forwarded = decode_forwarded(data or b"", self._application.next_key(), accepted_at_s)
         except ValueError as error:
             await _refuse(send, BAD_REQUEST, str(error))
             return
-        refusal = self._refusal(handed.version)
+        refusal = self._refusal(forwarded.version)
         if refusal:
             await _refuse(send, UNAVAILABLE, refusal)
             return
         self.accepted += 1
         # The head is the acknowledgement; the answer follows.
         await send({"type": "http.response.start", "status": OK, "headers": []})
-        answer = await self._application.run(handed.request, receive)
+        answer = await self._application.run(forwarded.request, receive)
         if answer is not None:
             gathered = GatheredAnswer(answer, anyio.current_time() - accepted_at_s)
-            body = encode_answer(handed.request.request_id, gathered)
+            body = encode_answer(forwarded.request.request_id, gathered)
             await send({"type": "http.response.body", "body": body})
 
     def _refusal(self, version: int) -> str:
-        """Return why a request can't be taken; empty if it can."""
+        """Return why a request forwarded under configuration ``version`` is refused; empty if accepted."""
         if self._application.stopping:
             return "stopping"
         if self._version() < version:
             return f"knows version {self._version()} only"
-        if self.in_flight > MOST_AT_ONCE:
+        if self.in_flight > IN_FLIGHT_LIMIT:
             return f"{self.in_flight} under way"
-        if self._lateness_s() > MOST_LATENESS_S:
+        if self._lateness_s() > LATENESS_LIMIT_S:
             return f"{self._lateness_s() * 1000:.0f} ms late"
         return ""
 
--- a/src/yokesill/coordinators/fallback.py
+++ b/src/yokesill/coordinators/fallback.py
@@ -1,23 +1,26 @@
-"""Whether a coordinator's refusal tells of its own view rather than of the servers.
+"""Decides whether a coordinator's refusal goes to the caller, or another node runs the request.
 
-A coordinator whose list of servers has a hole refuses what its neighbours could serve. Its refusal is
-passed on only where theirs would be the same: when servers failed or are ejected, where it knows more than
-a node that meets few wide requests.
+A coordinator whose list of servers is incomplete refuses requests that other nodes could serve. Its refusal
+is final only where theirs would be the same: when servers failed or are ejected, of which it knows more than
+a node that sees few wide requests. Inputs: the refusal, the route, the time left in seconds. Reason and
+cases: ``docs/design/placement.md``.
 """
 
-from yokesill.callers.answers import BAD_GATEWAY, UNAVAILABLE, HttpAnswer
+from yokesill.callers.answers import HttpAnswer
+from yokesill.comm.http_status import BAD_GATEWAY, UNAVAILABLE
 from yokesill.gateway.documents import Route
 from yokesill.verdict import Reason, Verdict
 
-# It knows no server of a service, or no configuration. What it sent somewhere it has counted towards the
-# budget of extra attempts, so that another node must not count it once more as new.
-OWN_VIEW = frozenset({Reason.NO_REPLICA.value, Reason.NOT_READY.value})
-# Gathering anew takes about half of the aim; with less time left than that the refusal stands.
-LEAST_TIME_SHARE = 0.5
+# The coordinator knows no server of a service, or no configuration. A request that it sent to servers has
+# been counted towards the budget of extra attempts and must not be counted as new again.
+INCOMPLETE_VIEW = frozenset({Reason.NO_REPLICA.value, Reason.NOT_READY.value})
+# Share of the latency objective that a second run needs; with less time left the refusal is final. Chosen,
+# not measured.
+RERUN_SHARE = 0.5
 
 
-def should_retry_elsewhere(answer: HttpAnswer, route: Route, left_s: float) -> Verdict | None:
-    """Return whether a refused request may have run, if another node should try it; else ``None``.
+def fallback_verdict(answer: HttpAnswer, route: Route, left_s: float) -> Verdict | None:
+    """Return the verdict under which another node runs a refused request; ``None`` if the answer is final.
 
     Parameters
     ----------
@@ -26,11 +29,11 @@
     route
         The request's route.
     left_s
-        How long its caller still waits, in seconds.
+        How long the caller still waits, in seconds.
     """
-    if left_s < LEAST_TIME_SHARE * route.objective_s:
+    if left_s < RERUN_SHARE * route.objective_s:
         return None
-    if answer.status == UNAVAILABLE and answer.outcome in OWN_VIEW:
+    if answer.status == UNAVAILABLE and answer.outcome in INCOMPLETE_VIEW:
         return Verdict.NOT_RUN
     may_repeat = route.repeatable and route.max_attempts > 1
     if answer.status == BAD_GATEWAY and answer.outcome == Reason.NO_REPLICA.value and may_repeat:
--- a/src/yokesill/coordinators/forwarding.py
+++ b/src/yokesill/coordinators/forwarding.py
@@ -1,4 +1,10 @@
-"""Hands wide requests over to the zone's coordinators, or back to this node when none takes them."""
+"""Forwards wide requests to coordinators, and returns them to this node when no coordinator serves them.
+
+Decides in this order: does the request run here; which coordinator gets it (of another zone first, if this
+zone has no servers of the route, then of this zone); is the coordinator's answer final (``fallback``); may a
+second coordinator be tried. Times in seconds of the node's clock. Relies on ``gateway.forwarding`` for the
+choice among coordinators and on ``client`` for the call.
+"""
 
 from collections.abc import Callable, Mapping
 from dataclasses import replace
@@ -8,8 +14,8 @@
 
 from yokesill.callers.answers import HttpAnswer
 from yokesill.coordinators.client import CoordinatorClient
-from yokesill.coordinators.fallback import should_retry_elsewhere
-from yokesill.coordinators.messages import GatheredAnswer, HandedRequest, encode_handed
+from yokesill.coordinators.fallback import fallback_verdict
+from yokesill.coordinators.messages import ForwardedRequest, GatheredAnswer, encode_forwarded
 from yokesill.coordinators.remote_coordinators import RemoteCoordinators
 from yokesill.gateway.documents import Configuration, Route
 from yokesill.gateway.events import LogEvent
@@ -18,17 +24,17 @@
 from yokesill.telemetry.observer import CoordinatedEnding, Observer
 from yokesill.verdict import Failure, Reason, Verdict
 
-# So long before its time is over a caller gets an answer, whatever the coordinator does.
-LAST_MOMENT_S = 0.012
-# How much of the aim may pass until a coordinator says that it has a request: what is left must be
-# enough to gather here.
+# Time kept before the deadline to answer the caller, whatever the coordinator does. Chosen, not measured.
+ANSWER_MARGIN_S = 0.012
+# Share of the latency objective within which a coordinator must acknowledge a request: the rest must be
+# enough to gather it here. Also the share within which a second coordinator may be tried.
 ACKNOWLEDGE_SHARE = 0.35
-# Each one asked in vain costs a hop; a third would come too late for a first answer in time.
-MOST_COORDINATORS = 2
+# Each coordinator that doesn't serve a request costs a hop; a third would answer after the objective.
+COORDINATORS_TRIED = 2
 
 
-class _Chosen(NamedTuple):
-    """A coordinator, and whose choice it was."""
+class _Target(NamedTuple):
+    """A coordinator, and the choice that it came from, which learns how the call went."""
 
     node: str
     coordinator: Coordinator
@@ -36,25 +42,25 @@
 
 
 class Forwarder:
-    """Runs a request at a coordinator if one should and does take it.
+    """Runs a request at a coordinator if one should and does serve it.
 
     Parameters
     ----------
     choice
-        Decides which coordinator, if any.
+        Decides which coordinator of this zone, if any.
     client
         Calls it.
     coordinators
-        Return the zone's coordinators that live.
+        Returns the zone's live coordinators.
     configuration
-        Return the configuration in force here.
+        Returns the configuration in force here.
     observer
-        Is told how it ended.
-    near_servers
-        Knows the coordinators of zones that have a request's servers, if this node's has none.
+        Logs and counts how requests ended.
+    remote_coordinators
+        Knows the coordinators of zones that have a request's servers, if this node's zone has none.
     runs_here
-        Whether a request is not to be handed on: one that is suspected of ending servers would be sent by
-        two nodes where the coordinator is lost.
+        Whether a request must not be forwarded, since servers may have crashed under it: if the coordinator
+        failed, two nodes would send it.
     """
 
     def __init__(
@@ -64,7 +70,7 @@
         coordinators: Callable[[], Mapping[str, Coordinator]],
         configuration: Callable[[], Configuration | None],
         observer: Observer,
-        near_servers: RemoteCoordinators | None = None,
+        remote_coordinators: RemoteCoordinators | None = None,
         runs_here: Callable[[GatewayRequest], bool] = lambda _request: False,
     ) -> None:
         self._choice = choice
@@ -72,7 +78,7 @@
         self._coordinators = coordinators
         self._configuration = configuration
         self._observer = observer
-        self._near_servers = near_servers
+        self._remote_coordinators = remote_coordinators
         self._runs_here = runs_here
 
     async def __call__(self, request: GatewayRequest) -> HttpAnswer | GatewayRequest:
@@ -81,93 +87,91 @@
         route = configuration.find(request.host, request.path) if configuration else None
         if configuration is None or route is None or self._runs_here(request):
             return request
-        for number in range(MOST_COORDINATORS):
+        for number in range(COORDINATORS_TRIED):
             now = anyio.current_time()
             if number and now - request.arrived_at_s > ACKNOWLEDGE_SHARE * route.objective_s:
                 return request
-            chosen = self._choose(route, number == 0, now)
-            if chosen is None:
+            target = self._select(route, number == 0, now)
+            if target is None:
                 return request
-            gathered = await self._ask(chosen, request, route, configuration.version, now)
-            answered = isinstance(gathered, GatheredAnswer)
-            outcome = self._judge(request, route, chosen, gathered, now)
+            reply = await self._send(target, request, route, configuration.version, now)
+            outcome = self._outcome(request, route, target, reply, now)
             if isinstance(outcome, HttpAnswer):
                 return outcome
-            request = self._go_around(chosen, request, outcome, answered)
+            request = self._fall_back(target, request, outcome, isinstance(reply, GatheredAnswer))
             if request.asked_before or outcome.reason is Reason.DEADLINE_EXCEEDED:
                 return request
         return request
 
-    def _choose(self, route: Route, first: bool, now: float) -> _Chosen | None:
-        """Return who is to gather: near the servers if that is not here, else in this zone, or nobody."""
-        if first and self._near_servers is not None and is_wide(route):
-            elsewhere = self._near_servers.coordinators(route, now)
-            node = self._near_servers.choice.choose(route, elsewhere, now)
+    def _select(self, route: Route, first: bool, now: float) -> _Target | None:
+        """Return the coordinator to try: near the servers if they are elsewhere, else of this zone."""
+        remote = self._remote_coordinators
+        if first and remote is not None and is_wide(route):
+            elsewhere = remote.coordinators(route, now)
+            node = remote.choice.choose(route, elsewhere, now)
             if node is not None:
-                return _Chosen(node, elsewhere[node], self._near_servers.choice)
+                return _Target(node, elsewhere[node], remote.choice)
         coordinators = self._coordinators()
         node = self._choice.choose(route, coordinators, now)
-        return None if node is None else _Chosen(node, coordinators[node], self._choice)
+        return None if node is None else _Target(node, coordinators[node], self._choice)
 
-    def _judge(
+    async def _send(
+        self, target: _Target, request: GatewayRequest, route: Route, version: int, now: float
+    ) -> GatheredAnswer | Failure:
+        caller_timeout_s = _caller_timeout_s(request, route)
+        waited_s = now - request.arrived_at_s + target.choice.hop_s
+        deadline_at_s = _deadline_at_s(request, route)
+        if waited_s >= caller_timeout_s or now >= deadline_at_s:
+            return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "no time is left")
+        forwarded = ForwardedRequest(version, waited_s, replace(request, caller_timeout_s=caller_timeout_s))
+        return await self._client.send(
+            target.coordinator.address,
+            request.request_id,
+            encode_forwarded(forwarded),
+            ACKNOWLEDGE_SHARE * route.objective_s,
+            deadline_at_s,
+        )
+
+    def _outcome(
         self,
         request: GatewayRequest,
         route: Route,
-        chosen: _Chosen,
-        gathered: GatheredAnswer | Failure,
-        asked_at: float,
+        target: _Target,
+        reply: GatheredAnswer | Failure,
+        sent_at_s: float,
     ) -> HttpAnswer | Failure:
-        """Return the answer to pass on, or why this node doesn't leave it at that."""
-        if isinstance(gathered, Failure):
-            return gathered
+        """Return the answer if it is final, or why another node runs the request."""
+        if isinstance(reply, Failure):
+            return reply
         now = anyio.current_time()
-        chosen.choice.took(now - asked_at - gathered.gathering_s, chosen.node)
-        answer = gathered.answer
-        verdict = should_retry_elsewhere(answer, route, _until(request, route) - now)
+        target.choice.took(now - sent_at_s - reply.gathering_s, target.node)
+        answer = reply.answer
+        verdict = fallback_verdict(answer, route, _deadline_at_s(request, route) - now)
         if verdict is not None:
             return Failure(Reason(answer.outcome), verdict, f"{answer.status}: {answer.outcome}")
-        self._tell(request, route, chosen.node, gathered, now)
-        return answer
-
-    async def _ask(
-        self, chosen: _Chosen, request: GatewayRequest, route: Route, version: int, now: float
-    ) -> GatheredAnswer | Failure:
-        patience = request.caller_timeout_s if request.caller_timeout_s is not None else route.timeout_s
-        waited_s = now - request.arrived_at_s + chosen.choice.hop_s
-        until = _until(request, route)
-        if waited_s >= patience or now >= until:
-            return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "no time is left")
-        message = encode_handed(HandedRequest(version, waited_s, replace(request, caller_timeout_s=patience)))
-        acknowledge_s = ACKNOWLEDGE_SHARE * route.objective_s
-        address = chosen.coordinator.address
-        return await self._client.ask(address, request.request_id, message, acknowledge_s, until)
-
-    def _tell(
-        self, request: GatewayRequest, route: Route, node: str, gathered: GatheredAnswer, now: float
-    ) -> None:
-        answer = gathered.answer
         ending = CoordinatedEnding(
             route=route.name,
             status=answer.status,
             outcome=answer.outcome,
-            coordinator=node,
+            coordinator=target.node,
             elapsed_s=now - request.arrived_at_s,
-            gathering_s=gathered.gathering_s,
+            gathering_s=reply.gathering_s,
         )
         self._observer.coordinated(request, ending)
+        return answer
 
-    def _go_around(
-        self, chosen: _Chosen, request: GatewayRequest, failure: Failure, answered: bool
+    def _fall_back(
+        self, target: _Target, request: GatewayRequest, failure: Failure, answered: bool
     ) -> GatewayRequest:
-        """Return the request as it is run elsewhere; ``answered``: the coordinator works, without servers."""
+        """Return the request for the next node; ``answered``: the coordinator works but lacks servers."""
         now = anyio.current_time()
         if answered or failure.reason is Reason.OVERLOADED:
-            chosen.choice.refused(chosen.node, now)
+            target.choice.refused(target.node, now)
         elif failure.reason is not Reason.DEADLINE_EXCEEDED:
-            chosen.choice.lost(chosen.node, now, chosen.coordinator.zone)
+            target.choice.lost(target.node, now, target.coordinator.zone)
         details: dict[str, object] = {
             "request": request.request_id,
-            "coordinator": chosen.node,
+            "coordinator": target.node,
             "reason": failure.reason.value,
             "verdict": failure.verdict.label,
             "detail": failure.detail,
@@ -176,7 +180,11 @@
         return request if failure.verdict is Verdict.NOT_RUN else replace(request, asked_before=True)
 
 
-def _until(request: GatewayRequest, route: Route) -> float:
-    """Return when a request's caller must have its answer, in seconds of the node's clock."""
-    patience = request.caller_timeout_s if request.caller_timeout_s is not None else route.timeout_s
-    return request.arrived_at_s + min(route.timeout_s, patience) - LAST_MOMENT_S
+def _caller_timeout_s(request: GatewayRequest, route: Route) -> float:
+    return request.caller_timeout_s if request.caller_timeout_s is not None else route.timeout_s
+
+
+def _deadline_at_s(request: GatewayRequest, route: Route) -> float:
+    """Return when a coordinator's answer must be here."""
+    timeout_s = min(route.timeout_s, _caller_timeout_s(request, route))
+    return request.arrived_at_s + timeout_s - ANSWER_MARGIN_S
--- a/src/yokesill/coordinators/messages.py
+++ b/src/yokesill/coordinators/messages.py
@@ -1,4 +1,7 @@
-"""What a node and a coordinator say to each other of one wide request, in CBOR."""
+"""The two messages of a forwarded wide request, in CBOR: the request and the coordinator's final answer.
+
+Nodes of different releases exchange them during a rolling restart: the forms are pinned by ``tests/forms``.
+"""
 
 from typing import Any, NamedTuple
 
@@ -7,14 +10,15 @@
 from yokesill.callers.answers import HttpAnswer
 from yokesill.gateway.messages import GatewayRequest
 
+# First item of both messages; a node refuses any other.
 FORMAT = 1
 
 
-class HandedRequest(NamedTuple):
+class ForwardedRequest(NamedTuple):
     """A caller's request as another node read it.
 
-    ``waited_s`` is how long ago it arrived there; ``version`` the configuration that node knows:
-    a coordinator must not answer by an older one.
+    ``waited_s`` is how long ago it arrived there, in seconds; ``version`` is the configuration in force
+    there: a coordinator must not answer by an older one.
     """
 
     version: int
@@ -23,22 +27,22 @@
 
 
 class GatheredAnswer(NamedTuple):
-    """A coordinator's final answer, and how long it had the request, in seconds."""
+    """A coordinator's final answer, and how long the coordinator had the request, in seconds."""
 
     answer: HttpAnswer
     gathering_s: float
 
 
-def encode_handed(handed: HandedRequest) -> bytes:
+def encode_forwarded(forwarded: ForwardedRequest) -> bytes:
     """Return a request's message."""
-    request = handed.request
+    request = forwarded.request
     what = [request.method, request.host, request.path, request.target, request.headers, request.body]
-    times = [handed.waited_s, request.caller_timeout_s, request.fresh_connection]
-    return cbor2.dumps([FORMAT, handed.version, request.request_id, *what, *times])
+    times = [forwarded.waited_s, request.caller_timeout_s, request.fresh_connection]
+    return cbor2.dumps([FORMAT, forwarded.version, request.request_id, *what, *times])
 
 
-def decode_handed(data: bytes, key: str, now: float) -> HandedRequest:
-    """Read a request's message; it gets the name ``key`` here.
+def decode_forwarded(data: bytes, key: str, now: float) -> ForwardedRequest:
+    """Read a request's message; its key at this node is ``key``.
 
     Raises
     ------
@@ -46,10 +50,10 @@
         It is malformed.
     """
     try:
-        form, version, request_id, *what, waited_s, patience, fresh = cbor2.loads(data)
+        form, version, request_id, *what, waited_s, timeout_s, fresh = cbor2.loads(data)
         method, host, path, target, headers, body = what
-        if form != FORMAT or type(version) is not int or not 0 <= waited_s <= patience:
-            raise ValueError(f"format {form!r}, version {version!r}, waited {waited_s!r} of {patience!r}")
+        if form != FORMAT or type(version) is not int or not 0 <= waited_s <= timeout_s:
+            raise ValueError(f"format {form!r}, version {version!r}, waited {waited_s!r} of {timeout_s!r}")
         request = GatewayRequest(
             key=key,
             request_id=request_id,
@@ -60,12 +64,12 @@
             headers=_pairs(headers),
             body=body,
             arrived_at_s=now - waited_s,
-            caller_timeout_s=patience,
+            caller_timeout_s=timeout_s,
             fresh_connection=bool(fresh),
         )
     except (TypeError, ValueError, cbor2.CBORDecodeError) as error:
         raise ValueError(f"a malformed request: {error!r}") from error
-    return HandedRequest(version, waited_s, request)
+    return ForwardedRequest(version, waited_s, request)
 
 
 def encode_answer(request_id: str, gathered: GatheredAnswer) -> bytes:
--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -1,7 +1,8 @@
 """The coordinators of other zones, for a node whose own zone has no servers of a wide request.
 
-No reports come from other zones: their strong nodes are taken from the directory of nodes and simply
-asked. One that does not let itself be connected to, or does not acknowledge, is gone around, with its zone.
+No heartbeats come from other zones: their strong nodes are read from the directory of nodes and tried. One
+that can't be connected to, or doesn't acknowledge, is skipped for a while, and its zone with it. Owns the
+measurement of the hop to them; relies on ``gateway.servers.server_zones`` for where servers are.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,12 +15,15 @@
 from yokesill.registry.feeds import NodeContact
 from yokesill.watchers.capacity_rank import gathering_nodes, strong_nodes
 
-# Nobody says that a coordinator elsewhere lives again: it is tried after so long.
-LOST_PAUSE_S = 2.0
-# What the hop to another zone takes until it was measured, in seconds.
+# No heartbeat says that a coordinator elsewhere is back: it is tried again after this time. Chosen, not
+# measured; each try of a dead one costs a request ``client.CONNECT_TIMEOUT_S``.
+RETRY_PAUSE_S = 2.0
+# What the hop to another zone is assumed to take until it has been measured.
 FIRST_HOP_S = 0.012
-# A hop that takes more of the aim leaves too little for gathering; it is measured again now and then.
-MOST_HOP_SHARE, MEASURE_AGAIN_S = 0.35, 5.0
+# Share of the latency objective that the hop may use: the rest must be enough to gather. Where it is more,
+# one request in each interval measures it again.
+HOP_SHARE_LIMIT = 0.35
+HOP_MEASURE_INTERVAL_S = 5.0
 
 
 class RemoteCoordinators:
@@ -29,13 +33,13 @@
         self.choice = CoordinatorChoice(options.node, FIRST_HOP_S)
         self._options = options
         self._servers = servers
-        self._places = ServerZones(options, servers)
+        self._server_zones = ServerZones(options, servers)
         self._strong: dict[str, list[NodeContact]] = {}
         self._hosts: frozenset[str] = frozenset()
-        self._tried_at_s = float("-inf")
+        self._measured_at_s = float("-inf")
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Take which nodes there are."""
+        """Replace the nodes that are known."""
         regions, own = self._options.regions, self._options.zone
         by_zone: dict[str, list[NodeContact]] = {}
         for each in contacts:
@@ -48,7 +52,7 @@
             self._strong[zone] = [each for each in nodes if each.node in strong]
 
     def gathering(self, contacts: Iterable[NodeContact]) -> frozenset[str]:
-        """Return the nodes that gather wide requests for others, so that servers are shared among them.
+        """Return the nodes that gather wide requests for others; servers' capacity is divided among them.
 
         Strong nodes of a zone without servers gather only when nobody elsewhere does.
         """
@@ -57,29 +61,29 @@
         if not self._options.gathers_near_servers:
             return gathering
         zones = {each.zone for each in self._servers.records()}
-        beside = {each.node for each in contacts if each.zone in zones}
-        return gathering & beside or gathering
+        near_servers = {each.node for each in contacts if each.zone in zones}
+        return gathering & near_servers or gathering
 
     def knows(self, host: str) -> bool:
         """Whether a host is a node of another zone of this region."""
         return host in self._hosts
 
     def coordinators(self, route: Route, now: float) -> Mapping[str, Coordinator]:
-        """Return who may gather a wide request near its servers; nobody where that is no better."""
-        if not self._options.gathers_near_servers or not self._quick_enough(route, now):
+        """Return who may gather a wide request near its servers; empty where that is no better."""
+        if not self._options.gathers_near_servers or not self._hop_is_short(route, now):
             return {}
-        heard_at_s = now - LOST_PAUSE_S
+        heard_at_s = now - RETRY_PAUSE_S
         return {
             each.node: Coordinator(each.peers, heard_at_s, zone)
-            for zone in self._places.zones(route, now)
+            for zone in self._server_zones.zones(route, now)
             for each in self._strong.get(zone, ())
         }
 
-    def _quick_enough(self, route: Route, now: float) -> bool:
+    def _hop_is_short(self, route: Route, now: float) -> bool:
         if (
-            self.choice.hop_s > MOST_HOP_SHARE * route.objective_s
-            and now - self._tried_at_s < MEASURE_AGAIN_S
+            self.choice.hop_s > HOP_SHARE_LIMIT * route.objective_s
+            and now - self._measured_at_s < HOP_MEASURE_INTERVAL_S
         ):
             return False
-        self._tried_at_s = now
+        self._measured_at_s = now
         return True
--- a/src/yokesill/platform/rollouts.py
+++ b/src/yokesill/platform/rollouts.py
@@ -3,10 +3,11 @@
 from collections.abc import Mapping
 from typing import Any
 
+from yokesill.comm.http_status import CONFLICT, NOT_FOUND
 from yokesill.gateway.events import RolloutOrdered, RolloutsReplaced, RolloutWithdrawn
 from yokesill.platform.feeds import StoreFeed
 from yokesill.platform.names import ROLLOUTS_KIND
-from yokesill.platform.store import CONFLICT, NOT_FOUND, MetadataStore, StoredItem, StoreView, item_of
+from yokesill.platform.store import MetadataStore, StoredItem, StoreView, item_of
 from yokesill.registry.feeds import Batch, RolloutRecords
 from yokesill.rollouts.orders import Overtaken, RolloutOrder, RolloutState
 from yokesill.serving.object_fields import ObjectError, number, take, text, version
--- a/src/yokesill/platform/store.py
+++ b/src/yokesill/platform/store.py
@@ -3,12 +3,19 @@
 from typing import Any, NamedTuple
 from urllib.parse import quote
 
+from yokesill.comm.http_status import (
+    CONFLICT,
+    CREATED,
+    GONE,
+    NOT_FOUND,
+    OK,
+    TOO_MANY_REQUESTS,
+    UNAVAILABLE,
+)
 from yokesill.registry.api_client import ApiClient, ApiReply
 from yokesill.registry.feeds import HistoryLost
 from yokesill.verdict import Failure, Reason, Verdict
 
-OK, CREATED, NOT_FOUND, CONFLICT, GONE = 200, 201, 404, 409, 410
-TOO_MANY, UNAVAILABLE = 429, 503
 CALL_TIMEOUT = 2.0
 WATCH_MARGIN, STALE_TIMEOUT = 2.0, 1.0
 
@@ -120,6 +127,6 @@
 def _failure(reply: ApiReply | Failure) -> Failure:
     if isinstance(reply, Failure):
         return reply
-    refused = reply.status in (TOO_MANY, UNAVAILABLE)
+    refused = reply.status in (TOO_MANY_REQUESTS, UNAVAILABLE)
     verdict = Verdict.NOT_RUN if refused else Verdict.MAY_HAVE_RUN
     return Failure(Reason.BACKEND_ERROR, verdict, f"the store answered {reply.status}")
--- a/src/yokesill/registry/peers.py
+++ b/src/yokesill/registry/peers.py
@@ -5,6 +5,7 @@
 
 import anyio
 
+from yokesill.comm.http_status import OK
 from yokesill.gateway.events import Event
 from yokesill.logs import get_logger
 from yokesill.registry.api_client import ApiClient
@@ -17,7 +18,6 @@
 PATIENCE = 0.8
 ASK_TIMEOUT = 1.0
 PAUSE = 0.5
-OK = 200
 
 
 class PeerLearner:
--- a/src/yokesill/serving/probes.py
+++ b/src/yokesill/serving/probes.py
@@ -4,10 +4,10 @@
 from collections.abc import Callable, Mapping
 
 from yokesill.callers.application import Receive, Scope, Send
+from yokesill.comm.http_status import NOT_FOUND, OK, UNAVAILABLE
 from yokesill.registry.peers import SNAPSHOT_PATH
 from yokesill.registry.watch_link import STATE_PATH
 
-OK, NOT_FOUND, UNAVAILABLE = 200, 404, 503
 METRICS_PATH, ROLLOUTS_PATH = "/metrics", "/rollouts"
 TEXT, CBOR, JSON = b"text/plain; version=0.0.4", b"application/cbor", b"application/json"
 
--- a/src/yokesill/upstreams/attempt_bytes.py
+++ b/src/yokesill/upstreams/attempt_bytes.py
@@ -4,11 +4,11 @@
 from typing import Any
 
 from yokesill.comm.http_reply import HttpReplyReader
+from yokesill.comm.http_status import MISDIRECTED, SERVER_ERROR
 from yokesill.gateway.messages import Attempt, GatewayRequest, Load, ServerReply
 from yokesill.serving.header_names import HeaderNames
 from yokesill.verdict import Failure, Reason, Verdict
 
-MISDIRECTED, SERVER_ERROR = 421, 500
 LOAD_FIELDS, LOAD_FIELDS_WITH_PACE = 3, 4
 
 
--- a/src/yokesill/upstreams/server_client.py
+++ b/src/yokesill/upstreams/server_client.py
@@ -11,11 +11,12 @@
 from yokesill.charts.flat import transition_table
 from yokesill.clock import Clock, running_clock
 from yokesill.comm.http_reply import HttpReplyReader, ReplyError
+from yokesill.comm.http_status import MISDIRECTED
 from yokesill.gateway.events import AttemptAnswered, AttemptFailed
 from yokesill.gateway.messages import Attempt
 from yokesill.serving.header_names import HeaderNames
 from yokesill.timers import Timers
-from yokesill.upstreams.attempt_bytes import MISDIRECTED, encode_attempt, read_reply
+from yokesill.upstreams.attempt_bytes import encode_attempt, read_reply
 from yokesill.upstreams.connections import ConnectionSet, ResetBeforeReplyError, ServerConnection, idle_time_s
 from yokesill.upstreams.opening import OpeningFailure, open_connection
 from yokesill.upstreams.wires import Dial, dial_tcp
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -98,7 +98,7 @@
     ),
     "registry.snapshot": Codec(snapshots.decode_snapshot, _encode_snapshot),
     "coordinators.request": Codec(
-        lambda data: handed.decode_handed(data, "n1-1", 100.0), handed.encode_handed
+        lambda data: handed.decode_forwarded(data, "n1-1", 100.0), handed.encode_forwarded
     ),
     "coordinators.answer": Codec(
         lambda data: handed.decode_answer(data, "req-1"),
--- a/tests/serving/test_coordinator.py
+++ b/tests/serving/test_coordinator.py
@@ -16,12 +16,12 @@
 from yokesill.coordinators.coordinator import CoordinatorApplication
 from yokesill.coordinators.forwarding import Forwarder
 from yokesill.coordinators.messages import (
+    ForwardedRequest,
     GatheredAnswer,
-    HandedRequest,
     decode_answer,
-    decode_handed,
+    decode_forwarded,
     encode_answer,
-    encode_handed,
+    encode_forwarded,
 )
 from yokesill.gateway.events import LogEvent
 from yokesill.gateway.forwarding import LEAST_SERVICES, Coordinator, CoordinatorChoice
@@ -60,7 +60,7 @@
 
 def test_a_request_and_its_answer_come_back_as_they_were() -> None:
     request = a_request(100.0)
-    handed = decode_handed(encode_handed(HandedRequest(7, 0.02, request)), "k9", 205.0)
+    handed = decode_forwarded(encode_forwarded(ForwardedRequest(7, 0.02, request)), "k9", 205.0)
     assert handed.version == 7
     assert handed.request == replace(request, key="k9", arrived_at_s=205.0 - 0.02)
     assert decode_answer(encode_answer("id-1", GATHERED), "id-1") == GATHERED
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize("data", [b"", b"\xff", encode_answer("id-1", GATHERED), b"\x81\x01"])
 def test_a_malformed_request_is_refused(data: bytes) -> None:
     with pytest.raises(ValueError, match="malformed"):
-        decode_handed(data, "k", 0.0)
+        decode_forwarded(data, "k", 0.0)
 
 
 def test_an_answer_to_another_request_is_none() -> None:
@@ -94,9 +94,9 @@
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             started = anyio.current_time()
             for _ in range(times):
-                message = encode_handed(HandedRequest(7, 0.0, a_request()))
+                message = encode_forwarded(ForwardedRequest(7, 0.0, a_request()))
                 until = anyio.current_time() + 1.0
-                outcomes.append(await client.ask(ADDRESS, "id-1", message, ACKNOWLEDGE_S, until))
+                outcomes.append(await client.send(ADDRESS, "id-1", message, ACKNOWLEDGE_S, until))
             took = anyio.current_time() - started
             await anyio.sleep(0.05)
             tasks.cancel_scope.cancel()
@@ -191,7 +191,7 @@
 
             async def ask_once() -> GatheredAnswer | Failure:
                 until = anyio.current_time() + 1.0
-                return await client.ask(ADDRESS, "id-1", b"x", ACKNOWLEDGE_S, until)
+                return await client.send(ADDRESS, "id-1", b"x", ACKNOWLEDGE_S, until)
 
             async with anyio.create_task_group() as two:
                 for _ in range(2):
@@ -219,7 +219,7 @@
             server = MemoryServer(silent, tasks)
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             with anyio.move_on_after(0.02):
-                await client.ask(ADDRESS, "id-1", b"x", 1.0, anyio.current_time() + 1.0)
+                await client.send(ADDRESS, "id-1", b"x", 1.0, anyio.current_time() + 1.0)
             await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
         return server.closed
@@ -447,7 +447,7 @@
         )
 
         async def receive() -> MutableMapping[str, Any]:
-            body = encode_handed(HandedRequest(7, 0.0, a_request()))
+            body = encode_forwarded(ForwardedRequest(7, 0.0, a_request()))
             return {"type": "http.request", "body": body, "more_body": False}
 
         async def send(message: MutableMapping[str, Any]) -> None:
--- a/tests/serving/test_near_servers.py
+++ b/tests/serving/test_near_servers.py
@@ -15,7 +15,11 @@
 from yokesill.coordinators.client import CONNECT_TIMEOUT_S, CoordinatorClient
 from yokesill.coordinators.forwarding import Forwarder
 from yokesill.coordinators.messages import GatheredAnswer, encode_answer
-from yokesill.coordinators.remote_coordinators import LOST_PAUSE_S, MEASURE_AGAIN_S, RemoteCoordinators
+from yokesill.coordinators.remote_coordinators import (
+    HOP_MEASURE_INTERVAL_S,
+    RETRY_PAUSE_S,
+    RemoteCoordinators,
+)
 from yokesill.gateway.forwarding import LEAST_SERVICES, Coordinator, CoordinatorChoice
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.options import GatewayOptions
@@ -75,7 +79,7 @@
         near.choice.took(0.2)
     assert near.coordinators(ROUTE, 10.0) != {}
     assert near.coordinators(ROUTE, 10.1) == {}
-    assert near.coordinators(ROUTE, 10.0 + MEASURE_AGAIN_S) != {}
+    assert near.coordinators(ROUTE, 10.0 + HOP_MEASURE_INTERVAL_S) != {}
 
 
 def test_strong_nodes_of_zones_without_servers_take_no_coordinators_part() -> None:
@@ -203,4 +207,4 @@
     endings = hand_over({"a": "dark", "b": "dark"}, times=40, pause_s=0.05)
     waited = [ending for ending in endings if ending.took_s > CONNECT_TIMEOUT_S / 2]
     assert all(ending.result == ANSWER for ending in endings)
-    assert len(waited) <= 4 * (1 + (40 * 0.1) / LOST_PAUSE_S)
+    assert len(waited) <= 4 * (1 + (40 * 0.1) / RETRY_PAUSE_S)
