--- a/src/yokesill/callers/headers.py
+++ b/src/yokesill/callers/headers.py
@@ -1,4 +1,7 @@
-"""Which headers are passed on: all but those that concern one connection only."""
+"""Which headers a gateway passes on: all but the hop-by-hop ones, which concern one connection only.
+
+Used in both directions, for requests to servers and for answers to callers. RFC 9110, section 7.6.1.
+"""
 
 from collections.abc import Iterable
 
--- a/src/yokesill/callers/sockets.py
+++ b/src/yokesill/callers/sockets.py
@@ -1,8 +1,12 @@
-"""Opens listening sockets; imports next to nothing, since a starting node does this first of all."""
+"""Opens listening sockets.
+
+Imports next to nothing: a starting node opens the callers' socket before it loads everything else.
+"""
 
 import socket
 import sys
 
+# Callers that connect while a node starts wait in this queue (``platform.start``). Chosen, not measured.
 BACKLOG = 512
 
 
@@ -27,7 +31,7 @@
 def listen_early(address: str) -> socket.socket | None:
     """Return a socket that listens on ``HOST:PORT``.
 
-    ``None`` when it can't be had: the settings' reader and the listener then say what is wrong.
+    ``None``, with a line on standard error, if it can't be opened: the listener tries again later.
     """
     host, _, port = address.rpartition(":")
     try:
--- a/src/yokesill/cli/apply.py
+++ b/src/yokesill/cli/apply.py
@@ -4,7 +4,8 @@
 
 from cleo.helpers import argument, option
 
-from yokesill.cli.base import NODE_OPTIONS, ApiClient, ApiReply, BaseCommand, ExitCode
+from yokesill.cli.admin_client import AdminClient, AdminReply
+from yokesill.cli.base import NODE_OPTIONS, BaseCommand, ExitCode
 from yokesill.cli.documents import KeyedDocument, read_documents
 from yokesill.comm import http_status
 from yokesill.verdict import Failure
@@ -46,7 +47,7 @@
         return int(ExitCode.OK)
 
 
-async def apply_document(client: ApiClient, each: KeyedDocument, dry_run: bool) -> ApiReply | Failure:
+async def apply_document(client: AdminClient, each: KeyedDocument, dry_run: bool) -> AdminReply | Failure:
     """Replace whatever stands at the document's key now."""
     current = await client.call("GET", f"/v1/{each.key}")
     if isinstance(current, Failure):
@@ -54,7 +55,9 @@
     headers = {}
     if current.ok:
         if current.body["document"] == each.value:
-            return ApiReply(200, {}, {"outcome": "unchanged", "revision": current.body["revision"]})
+            return AdminReply(
+                http_status.OK, {}, {"outcome": "unchanged", "revision": current.body["revision"]}
+            )
         headers["If-Match"] = current.headers["etag"]
     elif current.status != http_status.NOT_FOUND:
         return current
--- a/src/yokesill/cli/base.py
+++ b/src/yokesill/cli/base.py
@@ -1,23 +1,24 @@
-"""What the subcommands share: exit codes, one-line errors, and calls to a node's API."""
+"""What the subcommands share: exit codes, options that name a node, one-line errors, tables and JSON.
+
+Exit codes, option names and environment variables are relied on by operators' scripts (``tests/forms``).
+Calls to a node are made by ``admin_client``.
+"""
 
 import enum
 import json
 import os
 from collections.abc import Awaitable, Callable, Sequence
-from dataclasses import dataclass
 from typing import Any
 
 from cleo.commands.command import Command
 from cleo.helpers import option
 from cleo.ui.table import Table
 
+from yokesill.cli.admin_client import AdminClient, AdminReply
 from yokesill.clock import run_steadily
-from yokesill.comm import http_status
-from yokesill.comm.http_client import HttpClient
 from yokesill.resources.validation import DocumentError
 from yokesill.verdict import Failure
 
-CALL_TIMEOUT = 10.0
 TOKEN_VARIABLE = "YOKESILL_TOKEN"
 NODE_VARIABLE = "YOKESILL_NODE"
 DEFAULT_NODE = "127.0.0.1:7101"
@@ -35,50 +36,6 @@
     IN_DOUBT = 6
 
 
-@dataclass(frozen=True, slots=True)
-class ApiReply:
-    """A node's reply; ``body`` is the decoded JSON."""
-
-    status: int
-    headers: dict[str, str]
-    body: Any
-
-    @property
-    def ok(self) -> bool:
-        """Whether the call did what it was asked to."""
-        return self.status == http_status.OK
-
-
-class ApiClient:
-    """Calls one node's API with one token."""
-
-    def __init__(self, node: str, token: str) -> None:
-        self.node = node
-        self.token = token
-        self._client = HttpClient()
-
-    async def call(
-        self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
-    ) -> ApiReply | Failure:
-        """Send one request; a failure means that no reply came."""
-        content = b"" if body is None else json.dumps(body).encode()
-        all_headers = {"Authorization": f"Bearer {self.token}", **(headers or {})}
-        reply = await self._client.call(
-            method, f"http://{self.node}{path}", CALL_TIMEOUT, content, all_headers
-        )
-        if isinstance(reply, Failure):
-            return reply
-        try:
-            decoded = json.loads(reply.body) if reply.body else None
-        except ValueError:
-            decoded = {"detail": reply.body.decode(errors="replace").strip()}
-        return ApiReply(reply.status, reply.headers, decoded)
-
-    async def aclose(self) -> None:
-        """Close the connections."""
-        await self._client.aclose()
-
-
 NODE_OPTIONS = [
     option("node", None, f"IP:PORT of a node (or ${NODE_VARIABLE})", flag=False),
     option("token", None, f"bearer token (or ${TOKEN_VARIABLE})", flag=False),
@@ -89,11 +46,11 @@
 class BaseCommand(Command):
     """A subcommand; errors go to standard error on one line that says what to do."""
 
-    def client(self) -> ApiClient:
+    def client(self) -> AdminClient:
         """Return a client of the node that was named by flag or environment."""
         node = self.option("node") or os.environ.get(NODE_VARIABLE) or DEFAULT_NODE
         token = self.option("token") or os.environ.get(TOKEN_VARIABLE) or ""
-        return ApiClient(node, token)
+        return AdminClient(node, token)
 
     @property
     def wants_json(self) -> bool:
@@ -111,12 +68,12 @@
             self.line_error(f"<error>error:</error> {source}: {each}")
         return int(ExitCode.INVALID)
 
-    def fail_unreachable(self, client: ApiClient, failure: Failure) -> int:
+    def fail_unreachable(self, client: AdminClient, failure: Failure) -> int:
         """Say that no reply came, and what can be done."""
         message = f"node {client.node} does not answer ({failure.reason}); try another with --node"
         return self.fail(ExitCode.UNREACHABLE, message)
 
-    def fail_with_reply(self, what: str, reply: ApiReply) -> int:
+    def fail_with_reply(self, what: str, reply: AdminReply) -> int:
         """Say what a node refused and why."""
         body = reply.body if isinstance(reply.body, dict) else {}
         for each in body.get("errors", []):
--- a/src/yokesill/cli/demo_queries.py
+++ b/src/yokesill/cli/demo_queries.py
@@ -10,8 +10,9 @@
 
 from yokesill import logs
 from yokesill.access import hash_token
+from yokesill.cli.admin_client import AdminClient, AdminReply
 from yokesill.cli.apply import apply_document
-from yokesill.cli.base import ApiClient, ApiReply, BaseCommand, ExitCode
+from yokesill.cli.base import BaseCommand, ExitCode
 from yokesill.cli.documents import KeyedDocument
 from yokesill.cli.serve import build_node
 from yokesill.emulator.running import build_models, start_backends, start_server, start_store
@@ -70,7 +71,7 @@
 
     async def _use(self, node: Node, scenario: Scenario, documents: dict[str, dict[str, Any]]) -> int:
         """Apply the configuration and query; return how many calls failed."""
-        client = ApiClient(node.settings.node.address, DEMO_TOKEN)
+        client = AdminClient(node.settings.node.address, DEMO_TOKEN)
         with anyio.fail_after(READY_TIMEOUT):
             while not node.ready:
                 await anyio.sleep(READY_POLL)
@@ -84,7 +85,7 @@
         await client.aclose()
         return failed
 
-    async def _apply(self, client: ApiClient, key: str, value: dict[str, Any]) -> int:
+    async def _apply(self, client: AdminClient, key: str, value: dict[str, Any]) -> int:
         parsed_key = parse_key(key)
         document = parse_document(parsed_key, value) if parsed_key else []
         if isinstance(document, list):
@@ -97,7 +98,7 @@
         self.line(f"applied {key}: {reply.body['outcome']} at revision {reply.body.get('revision')}")
         return 0
 
-    async def _query_all(self, client: ApiClient, scenario: Scenario) -> int:
+    async def _query_all(self, client: AdminClient, scenario: Scenario) -> int:
         failed = 0
         rows = []
         for service in scenario.services:
@@ -133,7 +134,7 @@
     )
 
 
-def _row(reply: ApiReply | Failure) -> list[str]:
+def _row(reply: AdminReply | Failure) -> list[str]:
     if isinstance(reply, Failure):
         return [reply.verdict.label, "-", "-", "-", reply.detail]
     body = reply.body
--- a/src/yokesill/cli/explain.py
+++ b/src/yokesill/cli/explain.py
@@ -41,6 +41,7 @@
         try:
             fields = json.loads(brace + rest)
         except ValueError:
+            # Not ours: log files also hold lines of the machine, and a last line that was cut off.
             continue
         machine = prefix.split()[-1] if prefix.split() else source
         yield LogLine(str(fields.get("timestamp", "")), machine, fields)
--- a/src/yokesill/cli/get.py
+++ b/src/yokesill/cli/get.py
@@ -3,7 +3,8 @@
 import yaml
 from cleo.helpers import argument, option
 
-from yokesill.cli.base import NODE_OPTIONS, ApiReply, BaseCommand, ExitCode
+from yokesill.cli.admin_client import AdminReply
+from yokesill.cli.base import NODE_OPTIONS, BaseCommand, ExitCode
 from yokesill.verdict import Failure
 
 
@@ -45,7 +46,7 @@
             return "/v1/namespaces"
         return f"/v1/history/{key}" if self.option("history") else f"/v1/{key}"
 
-    def _print(self, reply: ApiReply) -> None:
+    def _print(self, reply: AdminReply) -> None:
         body = reply.body
         if "objects" in body:
             self.print_table(["key", "revision"], [[key, str(rev)] for key, rev in body["objects"].items()])
--- a/src/yokesill/frontend/server.py
+++ b/src/yokesill/frontend/server.py
@@ -10,6 +10,16 @@
 import uvicorn
 
 POLL = 0.01
+# The same for every listener of the package: one event loop, no logs but our own, no headers nobody reads.
+UVICORN_OPTIONS: dict[str, Any] = {
+    "loop": "asyncio",
+    "ws": "none",
+    "lifespan": "off",
+    "log_config": None,
+    "access_log": False,
+    "proxy_headers": False,
+    "server_header": False,
+}
 
 
 class EmbeddedServer(uvicorn.Server):
@@ -75,15 +85,9 @@
         app,
         host=host,
         port=port,
-        loop="asyncio",
         http="httptools",
-        ws="none",
-        lifespan="off",
-        log_config=None,
-        access_log=False,
-        proxy_headers=False,
-        server_header=False,
         timeout_keep_alive=60,
         backlog=1024,
+        **UVICORN_OPTIONS,
     )
     return EmbeddedServer(config)
