--- a/src/yokesill/coordinators/coordinator.py
+++ b/src/yokesill/coordinators/coordinator.py
@@ -1,6 +1,11 @@
-"""A coordinator's side: gathers wide requests that other nodes hand over."""
+"""Serves wide requests that other nodes forward to this one, its coordinator.
 
-from collections.abc import Awaitable, Callable
+Admission stands here alone: a request is refused before anything is sent to servers if its sender is no node
+of the region, or this node is stopping, has an older configuration, or is too busy. Relies on
+``callers.application`` to run what is accepted.
+"""
+
+from collections.abc import Callable
 
 import anyio
 
@@ -12,95 +17,96 @@
     Send,
     read_body,
 )
-from yokesill.coordinators.client import COORDINATE_PATH
-from yokesill.coordinators.messages import GatheredAnswer, decode_handed, encode_answer
+from yokesill.comm.http_status import BAD_REQUEST, FORBIDDEN, OK, UNAVAILABLE
+from yokesill.coordinators.messages import GatheredAnswer, decode_forwarded, encode_answer
 
-OK, BAD_REQUEST, FORBIDDEN, UNAVAILABLE = 200, 400, 403, 503
-LARGEST_MESSAGE_BYTES = 4 * 1024 * 1024
-# Beyond this a node's own processor makes everybody late; who is refused gathers for itself.
-MOST_AT_ONCE, MOST_LATENESS_S = 12, 0.02
+# Bounds the memory that one message can use. Chosen, not measured.
+MESSAGE_LIMIT_BYTES = 4 * 1024 * 1024
+# Beyond either limit this node's processor makes all its requests late; a node whose request is refused
+# gathers it itself. Chosen, not measured: a wide request uses some ten milliseconds of a core.
+IN_FLIGHT_LIMIT = 12
+LATENESS_LIMIT_S = 0.02
 
 
 class CoordinatorApplication:
-    """Serves ``COORDINATE_PATH`` for other nodes, and everything else by ``rest``.
+    """Serves ``COORDINATE_PATH`` for other nodes.
 
     Parameters
     ----------
     application
-        Runs requests. Those under way are counted here, for a planned stop to wait for them.
-    rest
-        What else is served on this address.
+        Runs requests.
     is_member
         Whether a host is a node of this zone, or of another one of this region.
     version
-        Which configuration is in force here; 0 while none is known.
+        Returns the version of the configuration in force here; 0 without one.
     lateness_s
-        How late this node's own timers come.
+        Returns by how much this node's own timers are late, in seconds.
+
+    Notes
+    -----
+    ``in_flight`` counts requests without an answer, for a planned stop to wait for; ``accepted`` counts those
+    that were not refused.
     """
 
     def __init__(
         self,
         application: GatewayApplication,
-        rest: Callable[[Scope, Receive, Send], Awaitable[None]],
         is_member: Callable[[str], bool],
         version: Callable[[], int],
         lateness_s: Callable[[], float],
     ) -> None:
-        self.under_way = 0
-        self.taken = 0
+        self.in_flight = 0
+        self.accepted = 0
         self._application = application
-        self._rest = rest
         self._is_member = is_member
         self._version = version
         self._lateness_s = lateness_s
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
-        if scope["type"] != "http" or scope["path"] != COORDINATE_PATH:
-            await self._rest(scope, receive, send)
-            return
         host = (scope.get("client") or ("",))[0]
         if not self._is_member(host):
             await _refuse(send, FORBIDDEN, "no node of this region")
             return
-        self.under_way += 1
+        self.in_flight += 1
         try:
             await self._coordinate(receive, send)
         except CallerGoneError:
+            # Not logged here: the forwarding node logs it, as ``coordinator_missed``.
             pass
         finally:
-            self.under_way -= 1
+            self.in_flight -= 1
 
     async def _coordinate(self, receive: Receive, send: Send) -> None:
-        taken_at = anyio.current_time()
-        data = await read_body(receive, LARGEST_MESSAGE_BYTES)
+        accepted_at_s = anyio.current_time()
+        data = await read_body(receive, MESSAGE_LIMIT_BYTES)
         try:
-            handed = decode_handed(data or b"", self._application.next_key(), taken_at)
+            forwarded = decode_forwarded(data or b"", self._application.next_key(), accepted_at_s)
         except ValueError as error:
             await _refuse(send, BAD_REQUEST, str(error))
             return
-        why_not = self._why_not(handed.version)
-        if why_not:
-            await _refuse(send, UNAVAILABLE, why_not)
+        refusal = self._refusal(forwarded.version)
+        if refusal:
+            await _refuse(send, UNAVAILABLE, refusal)
             return
-        self.taken += 1
+        self.accepted += 1
         # The head is the acknowledgement; the answer follows.
         await send({"type": "http.response.start", "status": OK, "headers": []})
-        answer = await self._application.run(handed.request, receive)
+        answer = await self._application.run(forwarded.request, receive)
         if answer is not None:
-            gathered = GatheredAnswer(answer, anyio.current_time() - taken_at)
-            body = encode_answer(handed.request.request_id, gathered)
+            gathered = GatheredAnswer(answer, anyio.current_time() - accepted_at_s)
+            body = encode_answer(forwarded.request.request_id, gathered)
             await send({"type": "http.response.body", "body": body})
 
-    def _why_not(self, version: int) -> str:
-        """Return why a request can't be taken; empty if it can."""
+    def _refusal(self, version: int) -> str:
+        """Return why a request forwarded under configuration ``version`` is refused; empty if accepted."""
         if self._application.stopping:
             return "stopping"
         if self._version() < version:
             return f"knows version {self._version()} only"
-        if self.under_way > MOST_AT_ONCE:
-            return f"{self.under_way} under way"
-        if self._lateness_s() > MOST_LATENESS_S:
+        if self.in_flight > IN_FLIGHT_LIMIT:
+            return f"{self.in_flight} under way"
+        if self._lateness_s() > LATENESS_LIMIT_S:
             return f"{self._lateness_s() * 1000:.0f} ms late"
         return ""
 
