--- a/bench/quarantine_cost.py
+++ b/bench/quarantine_cost.py
@@ -14,8 +14,8 @@
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.requests.fingerprints import fingerprint
 from yokesill.outliers.spreading import Peer
+from yokesill.quarantine.detector import MOST_RECORDS, CrashDetector, Loss, QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
-from yokesill.quarantine.judge import MOST_RECORDS, CrashDetector, Loss, QuarantineStatus
 from yokesill.quarantine.messages import LossReport, QuarantineFinding
 
 NODES, ZONES, SHARDS = 770, 7, 130
--- a/src/yokesill/gateway/crash_events.py
+++ b/src/yokesill/gateway/crash_events.py
@@ -2,7 +2,7 @@
 
 from typing import NamedTuple
 
-from yokesill.quarantine.judge import Loss, QuarantineStatus
+from yokesill.quarantine.detector import Loss, QuarantineStatus
 
 # --- events ---
 
--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -3,7 +3,7 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.requests.fingerprints import fingerprint
-from yokesill.quarantine.judge import CrashDetector, Loss, QuarantineStatus
+from yokesill.quarantine.detector import CrashDetector, Loss, QuarantineStatus
 from yokesill.verdict import Failure, Reason, Verdict
 
 # Nothing is gained by coming back before somebody has looked at the request or at the servers' software.
@@ -19,13 +19,17 @@
     """
 
     def __init__(self) -> None:
-        self.judge = CrashDetector()
+        self.detector = CrashDetector()
         self.told = False
         self.newly_quarantined: set[str] = set()
 
     def standing(self, request: GatewayRequest, now: float) -> QuarantineStatus:
         """Return what holds for a request."""
-        return self.judge.standing(fingerprint(request), now) if len(self.judge) else QuarantineStatus.CLEAR
+        return (
+            self.detector.standing(fingerprint(request), now)
+            if len(self.detector)
+            else QuarantineStatus.CLEAR
+        )
 
     # --- what this node saw ---
 
@@ -35,7 +39,7 @@
         A suspicion stays here: the request may be answered yet. Who judges it for all is told of its losses
         once it has failed, so that a loss of many servers at once makes no messages for all that was there.
         """
-        standing = self.judge.lost(name, loss, now)
+        standing = self.detector.lost(name, loss, now)
         if standing is not None:
             self._changed(name, standing, "found", actions)
         if standing is QuarantineStatus.QUARANTINED:
@@ -43,13 +47,13 @@
 
     def tell(self, name: str, loss: Loss, actions: list[ev.Action]) -> None:
         """Have those told who judge a request that failed."""
-        self.judge.share(name)
+        self.detector.share(name)
         actions.append(ev.LossObserved(name, loss))
 
     def answered(self, name: str, service: str, trial: bool, actions: list[ev.Action]) -> None:
         """Take that a server answered it."""
-        shared = self.judge.shared(name)
-        if self.judge.answered(name, service, trial):
+        shared = self.detector.shared(name)
+        if self.detector.answered(name, service, trial):
             if shared:
                 actions.append(ev.AnswerObserved(name, service, trial))
             if trial:
@@ -59,8 +63,8 @@
 
     def loss_reported(self, event: ev.LossReported, now: float, actions: list[ev.Action]) -> None:
         """Take what another node saw; what comes of it, all nodes are told."""
-        standing = self.judge.lost(event.fingerprint, event.loss, now)
-        self.judge.share(event.fingerprint)
+        standing = self.detector.lost(event.fingerprint, event.loss, now)
+        self.detector.share(event.fingerprint)
         if standing is not None:
             self._changed(event.fingerprint, standing, "found", actions)
             actions.append(ev.RequestJudged(event.fingerprint, standing))
@@ -69,13 +73,13 @@
         self, event: ev.QuarantineStatusReceived, now: float, actions: list[ev.Action]
     ) -> None:
         """Take what another node found."""
-        if self.judge.told(event.fingerprint, event.standing, now):
+        if self.detector.told(event.fingerprint, event.standing, now):
             self._changed(event.fingerprint, event.standing, "told", actions)
 
     def record(self, fingerprints: frozenset[str], actions: list[ev.Action]) -> None:
         """Take which requests the registry records."""
-        before, self.told = self.judge.recorded, True
-        self.judge.record(fingerprints)
+        before, self.told = self.detector.recorded, True
+        self.detector.record(fingerprints)
         for each in sorted(fingerprints - before):
             self._changed(each, QuarantineStatus.QUARANTINED, "recorded", actions)
         for each in sorted(before - fingerprints):
--- a/src/yokesill/gateway/requests/isolation.py
+++ b/src/yokesill/gateway/requests/isolation.py
@@ -4,7 +4,7 @@
 
 from yokesill.gateway.requests.pacing_queue import QueuedRequest
 from yokesill.gateway.requests.service_call import ServiceCall
-from yokesill.quarantine.judge import Loss
+from yokesill.quarantine.detector import Loss
 
 # Lost attempts at one service are an everyday matter, and repeating them at once is worth a caller's time.
 SERVICES_LOST_TO_HOLD = 2
--- a/src/yokesill/gateway/requests/losses.py
+++ b/src/yokesill/gateway/requests/losses.py
@@ -7,7 +7,7 @@
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.requests.fingerprints import fingerprint
 from yokesill.gateway.requests.service_call import ServiceCall
-from yokesill.quarantine.judge import Loss, QuarantineStatus
+from yokesill.quarantine.detector import Loss, QuarantineStatus
 
 
 class RequestLosses:
@@ -29,12 +29,12 @@
 
     def suspected(self, now: float) -> bool:
         """Whether servers are suspected to end by it."""
-        judge = self._crashes.judge
+        judge = self._crashes.detector
         return len(judge) > 0 and judge.standing(self.fingerprint, now) is QuarantineStatus.SUSPECTED
 
     def suspects_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
         """Return calls in the order in which to try them: services first whose servers ended."""
-        lost = self._crashes.judge.suspected_services(self.fingerprint)
+        lost = self._crashes.detector.suspected_services(self.fingerprint)
         return sorted(calls, key=lambda call: call.service not in lost)
 
     def add(self, losses: list[Loss], now: float, actions: list[Action]) -> None:
--- a/src/yokesill/gateway/requests/request.py
+++ b/src/yokesill/gateway/requests/request.py
@@ -19,7 +19,7 @@
 from yokesill.gateway.requests.refusals import shared_reason
 from yokesill.gateway.requests.retry_after import FAILED_RETRY_AFTER_MS
 from yokesill.gateway.requests.service_call import NEVER, ServiceCall
-from yokesill.quarantine.judge import Loss
+from yokesill.quarantine.detector import Loss
 from yokesill.verdict import Failure, Reason, Verdict, join
 
 # Where more than half of a request's attempts are late at once, this node's own delay is the likelier
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -19,7 +19,7 @@
 from yokesill.gateway.servers.server_state import ACTIVE
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.gateway.state_updates import StateUpdates, apply_update
-from yokesill.quarantine.judge import QuarantineStatus
+from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.rollouts.messages import OrderReport
 from yokesill.rollouts.node_orders import NodeOrders
 from yokesill.rollouts.orders import RolloutOrder
@@ -188,7 +188,7 @@
             self._context.rollouts.ended(server, machine.route, reply.succeeded, attempt.sent_at_s, late, now)
         self._note_state(attempt, state, reply.status, now, actions)
         self._evidence.tell(attempt, now, actions)
-        if len(self._context.crashes.judge):
+        if len(self._context.crashes.detector):
             service = server.record.service
             self._context.crashes.answered(machine.fingerprint, service, attempt.trial, actions)
         machine.answered(event.number, reply, now, actions)
--- a/src/yokesill/gateway/state_updates.py
+++ b/src/yokesill/gateway/state_updates.py
@@ -174,7 +174,7 @@
 
 @apply_update.register
 def _(event: ev.AnswerReported, learning: StateUpdates, now: float, actions: Actions) -> None:
-    learning.context.crashes.judge.answered(event.fingerprint, event.service, event.trial)
+    learning.context.crashes.detector.answered(event.fingerprint, event.service, event.trial)
 
 
 @apply_update.register
@@ -185,13 +185,13 @@
 @apply_update.register
 def _(event: ev.RequestQuarantined, learning: StateUpdates, now: float, actions: Actions) -> None:
     crashes = learning.context.crashes
-    crashes.record(crashes.judge.recorded | {event.fingerprint}, actions)
+    crashes.record(crashes.detector.recorded | {event.fingerprint}, actions)
 
 
 @apply_update.register
 def _(event: ev.QuarantineLifted, learning: StateUpdates, now: float, actions: Actions) -> None:
     crashes = learning.context.crashes
-    crashes.record(crashes.judge.recorded - {event.fingerprint}, actions)
+    crashes.record(crashes.detector.recorded - {event.fingerprint}, actions)
 
 
 @apply_update.register
--- a/src/yokesill/outliers/exchange.py
+++ b/src/yokesill/outliers/exchange.py
@@ -6,7 +6,7 @@
 from functools import singledispatchmethod
 from typing import Any
 
-from yokesill.outliers.judge import OutlierDetector
+from yokesill.outliers.detector import OutlierDetector
 from yokesill.outliers.messages import (
     Observation,
     Observations,
@@ -35,7 +35,7 @@
     def __init__(self, own: Peer, source: random.Random) -> None:
         self._own = own
         self._spreading = Spreading(own, source)
-        self._judge = OutlierDetector()
+        self._detector = OutlierDetector()
         self._told_at: dict[str, float] = {}
         self._observed: dict[str, list[Observation]] = defaultdict(list)
         self._found: list[Suspicion] = []
@@ -114,7 +114,7 @@
         return list(message.suspicions)
 
     def _judged(self, observation: Observation, now: float) -> list[Suspicion]:
-        suspicion = self._judge.observe(observation, now)
+        suspicion = self._detector.observe(observation, now)
         if suspicion is None:
             return []
         self._found.append(suspicion)
--- a/src/yokesill/quarantine/exchange.py
+++ b/src/yokesill/quarantine/exchange.py
@@ -12,7 +12,7 @@
 
 from yokesill.outliers.messages import in_datagrams
 from yokesill.outliers.spreading import Datagram, Peer, Spreading
-from yokesill.quarantine.judge import QuarantineStatus
+from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.messages import (
     ENTRIES_PER_DATAGRAM,
     AnswerReport,
--- a/src/yokesill/quarantine/messages.py
+++ b/src/yokesill/quarantine/messages.py
@@ -5,7 +5,7 @@
 
 import cbor2
 
-from yokesill.quarantine.judge import Loss, QuarantineStatus
+from yokesill.quarantine.detector import Loss, QuarantineStatus
 
 _LOST, _ANSWERED, _JUDGED = 3, 4, 5
 QUARANTINE_KINDS = frozenset({_LOST, _ANSWERED, _JUDGED})
--- a/src/yokesill/rollouts/decider.py
+++ b/src/yokesill/rollouts/decider.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Mapping
 from typing import Any
 
-from yokesill.rollouts.duty import DeciderDuty
+from yokesill.rollouts.decider_role import DeciderDuty
 from yokesill.rollouts.messages import RolloutDecisions, RolloutReport
 from yokesill.rollouts.order_progress import OrderFigures, OrderProgress
 from yokesill.rollouts.orders import Overtaken, RolloutLimits, RolloutOrder, RolloutState
--- a/src/yokesill/rollouts/observations.py
+++ b/src/yokesill/rollouts/observations.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
+from yokesill.rollouts.assessment import LATEST_TURNS, Cell, Kind, Verdict, judge
 from yokesill.rollouts.messages import Sample
-from yokesill.rollouts.verdict import LATEST_TURNS, Cell, Kind, Verdict, judge
 
 # Answers are compared with the old version's of the same two seconds: what hits both (a zone cut off, a
 # burst) says nothing of a version. Shorter slices hold too few: 20 requests a second make 40.
--- a/src/yokesill/rollouts/order_progress.py
+++ b/src/yokesill/rollouts/order_progress.py
@@ -2,13 +2,13 @@
 
 from typing import Any, NamedTuple
 
+from yokesill.rollouts.assessment import Finding, Verdict
 from yokesill.rollouts.barrier import Barrier
 from yokesill.rollouts.exposure import ExposureCounts, allowed_share
 from yokesill.rollouts.messages import OrderDecision, OrderReport
 from yokesill.rollouts.observations import Observations
 from yokesill.rollouts.orders import OrderId, Overtaken, RolloutLimits, RolloutOrder, RolloutState
 from yokesill.rollouts.stages import FEED_S, Circumstances, Stage, Wanted, wanted_record
-from yokesill.rollouts.verdict import Finding, Verdict
 from yokesill.verdict import Failure, Verdict as Ran
 
 # What the second decider leaves the first to do: a slow write of the registry (0.25 s) and its word. With 1 s
--- a/src/yokesill/rollouts/stages.py
+++ b/src/yokesill/rollouts/stages.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple
 
+from yokesill.rollouts.assessment import Verdict
 from yokesill.rollouts.exposure import SWITCH_S, Totals
 from yokesill.rollouts.orders import RolloutOrder, RolloutState
-from yokesill.rollouts.verdict import Verdict
 
 # What passes between an operator's call and a decider's hearing of it: a feed's wait and its telling.
 FEED_S = 0.5
--- a/src/yokesill/serving/gauges.py
+++ b/src/yokesill/serving/gauges.py
@@ -26,7 +26,7 @@
     gauge("yokesill_servers", "Servers known", len(router.servers))
     gauge("yokesill_nodes", "Nodes that share the budgets", router.nodes)
     gauge("yokesill_in_flight", "Requests without a final answer", router.in_flight)
-    gauge("yokesill_quarantined", "Requests kept from servers", len(router.quarantine.judge.quarantined))
+    gauge("yokesill_quarantined", "Requests kept from servers", len(router.quarantine.detector.quarantined))
     gauge("yokesill_coordinated", "Requests gathered here for other nodes", coordinator.taken)
     gauge("yokesill_connections_opened", "Connections to servers", client.connections_opened)
     gauge("yokesill_log_lines_dropped", "Log lines that did not fit", output.dropped)
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -22,7 +22,7 @@
 from yokesill.gateway.forwarding import CoordinatorChoice
 from yokesill.gateway.router import GatewayRouter
 from yokesill.logs import LogOutput, get_logger
-from yokesill.quarantine.judge import QuarantineStatus
+from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.registry.awaited_connection import connect_tcp
 from yokesill.registry.feed_states import CONFIGURATION, EVACUATIONS, QUARANTINE, ROLLOUTS, SERVERS
 from yokesill.registry.feeds import NodeContact
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -9,8 +9,8 @@
 from yokesill.gateway.crash_tracker import CrashTracker
 from yokesill.logs import get_logger
 from yokesill.outliers.spreading import Datagram
+from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
-from yokesill.quarantine.judge import QuarantineStatus
 from yokesill.quarantine.messages import (
     AnswerReport,
     Answers,
@@ -119,7 +119,7 @@
             task_group.start_soon(self._lift_old, self._records)
 
     def _record_soon(self, fingerprint: str, standing: QuarantineStatus) -> None:
-        if standing is QuarantineStatus.QUARANTINED and fingerprint not in self._crashes.judge.recorded:
+        if standing is QuarantineStatus.QUARANTINED and fingerprint not in self._crashes.detector.recorded:
             self._unrecorded[fingerprint] = None
             self._record_wanted.set()
 
@@ -130,7 +130,7 @@
             self._record_wanted = anyio.Event()
             while self._unrecorded:
                 fingerprint = next(iter(self._unrecorded))
-                known = fingerprint in self._crashes.judge.recorded
+                known = fingerprint in self._crashes.detector.recorded
                 failure = None if known else await records.record(fingerprint)
                 if failure is None:
                     self._unrecorded.pop(fingerprint, None)
@@ -142,7 +142,7 @@
         """Take requests off the record that have been on it for long; each one's judges see to it."""
         while True:
             await anyio.sleep(LOOK_S * (0.5 + self._random.random()))
-            now, recorded = anyio.current_time(), self._crashes.judge.recorded
+            now, recorded = anyio.current_time(), self._crashes.detector.recorded
             self._recorded_at_s = {each: self._recorded_at_s.get(each, now) for each in recorded}
             for fingerprint, since_s in self._recorded_at_s.items():
                 if now - since_s >= KEPT_S and self._exchange.judges(fingerprint):
--- a/src/yokesill/serving/state_snapshot.py
+++ b/src/yokesill/serving/state_snapshot.py
@@ -22,7 +22,7 @@
     if configuration is None or (follows and not router.rollouts.told):
         return None
     rollouts = (router.rollouts.recorded(), servers.versions.established())
-    quarantined = router.quarantine.judge.quarantined
+    quarantined = router.quarantine.detector.quarantined
     return encode_snapshot(configuration, servers.records(), servers.evacuated, *rollouts, quarantined)
 
 
@@ -35,6 +35,6 @@
     if feed == ROLLOUTS:
         return RolloutsReplaced(router.rollouts.recorded())
     if feed == QUARANTINE:
-        return QuarantineReplaced(router.quarantine.judge.recorded)
+        return QuarantineReplaced(router.quarantine.detector.recorded)
     configuration = router.configuration
     return ConfigurationLearnt(configuration) if configuration is not None else None
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -7,7 +7,7 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.requests.fingerprints import fingerprint
-from yokesill.quarantine.judge import QuarantineStatus
+from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.verdict import Verdict
 
 SHARDS = ("s1", "s2", "s3", "s4")
@@ -168,9 +168,9 @@
     key = harness.arrive()
     harness.answer(harness.of(key)[0])
     lose(harness, key, "s2", "s3", "s4")
-    assert len(harness.router.quarantine.judge) == 0
+    assert len(harness.router.quarantine.detector) == 0
     lose(harness, key, "s3")
-    assert harness.router.quarantine.judge.suspected_services(name) == {"s3"}
+    assert harness.router.quarantine.detector.suspected_services(name) == {"s3"}
 
 
 def test_others_are_told_of_what_failed_only() -> None:
--- a/tests/outliers/test_judging.py
+++ b/tests/outliers/test_judging.py
@@ -4,8 +4,8 @@
 
 import pytest
 
+from yokesill.outliers.detector import OutlierDetector
 from yokesill.outliers.exchange import OutlierExchange
-from yokesill.outliers.judge import OutlierDetector
 from yokesill.outliers.messages import Observation, Observations, Suspicion, Suspicions, decode, encode
 from yokesill.outliers.spreading import Peer
 
--- a/tests/quarantine/test_crash_judge.py
+++ b/tests/quarantine/test_crash_judge.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from yokesill.quarantine.judge import (
+from yokesill.quarantine.detector import (
     EVIDENCE_S,
     LOST_TO_SUSPECT,
     MOST_RECORDS,
--- a/tests/quarantine/test_quarantine_exchange.py
+++ b/tests/quarantine/test_quarantine_exchange.py
@@ -6,8 +6,8 @@
 
 from yokesill.outliers.messages import kind_of
 from yokesill.outliers.spreading import Peer
+from yokesill.quarantine.detector import Loss, QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
-from yokesill.quarantine.judge import Loss, QuarantineStatus
 from yokesill.quarantine.messages import (
     QUARANTINE_KINDS,
     AnswerReport,
--- a/tests/rollouts/test_duty.py
+++ b/tests/rollouts/test_duty.py
@@ -2,7 +2,7 @@
 
 import random
 
-from yokesill.rollouts.duty import INTERVAL_S, PAUSE_S, DeciderDuty
+from yokesill.rollouts.decider_role import INTERVAL_S, PAUSE_S, DeciderDuty
 
 NAMES = [f"n{number}" for number in range(6)]
 PATIENCE_S = 3 * INTERVAL_S
--- a/tests/rollouts/test_verdict.py
+++ b/tests/rollouts/test_verdict.py
@@ -2,9 +2,9 @@
 
 import random
 
+from yokesill.rollouts.assessment import Finding, Kind
 from yokesill.rollouts.messages import Sample
 from yokesill.rollouts.observations import Observations
-from yokesill.rollouts.verdict import Finding, Kind
 
 SERVERS = ("a", "b", "c")
 
--- a/tests/serving/test_quarantine_link.py
+++ b/tests/serving/test_quarantine_link.py
@@ -8,8 +8,8 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.crash_tracker import CrashTracker
 from yokesill.outliers.spreading import Peer
+from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
-from yokesill.quarantine.judge import QuarantineStatus
 from yokesill.registry.feeds import QuarantineRecords
 from yokesill.serving.quarantine_link import KEPT_S, LOOK_S, QuarantineLink
 from yokesill.verdict import Failure, Reason, Verdict
