--- a/bench/quarantine_cost.py
+++ b/bench/quarantine_cost.py
@@ -13,7 +13,7 @@
 
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.requests.fingerprints import fingerprint
-from yokesill.outliers.spreading import Peer
+from yokesill.peers.dissemination import Peer
 from yokesill.quarantine.detector import MOST_RECORDS, CrashDetector, Loss, QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.quarantine.messages import LossReport, QuarantineFinding
@@ -44,9 +44,9 @@
     name = "0123456789abcdef01234567"
     if standing is None:
         for number in range(SHARDS):
-            exchange.lost(LossReport(name, Loss(f"i-{number:010x}", f"shard-{number:03d}")))
+            exchange.report_loss(LossReport(name, Loss(f"i-{number:010x}", f"shard-{number:03d}")))
     else:
-        exchange.found(QuarantineFinding(name, standing))
+        exchange.announce(QuarantineFinding(name, standing))
     datagrams = exchange.flush()
     return len(datagrams), sum(len(each.data) for each in datagrams)
 
--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -11,8 +11,8 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.gateway.servers.server_zones import ServerZones
+from yokesill.peers.capacity_rank import gathering_nodes, strong_nodes
 from yokesill.registry.feeds import NodeContact
-from yokesill.watchers.capacity_rank import gathering_nodes, strong_nodes
 
 # Nobody says that a coordinator elsewhere lives again: it is tried after so long.
 LOST_PAUSE_S = 2.0
--- a/src/yokesill/outliers/messages.py
+++ b/src/yokesill/outliers/messages.py
@@ -1,27 +1,22 @@
-"""What nodes tell one another of servers, as CBOR datagrams of at most ``DATAGRAM_BYTES``."""
+"""What nodes tell each other of slow and failing servers: observations, and suspicions found from them."""
 
-from collections.abc import Iterable, Iterator
-from functools import singledispatch
+from collections.abc import Callable
 from typing import Any, NamedTuple
 
-import cbor2
+from yokesill.peers.frame import Kind, count, decode_frame, encode_frame, text
 
-DATAGRAM_BYTES = 1200
-# An instance name and its share of the frame; names of the usual 12 bytes leave room to spare.
+# An instance name and its share of the frame: names of the usual 12 bytes leave half of 1,200 bytes free.
 ENTRIES_PER_DATAGRAM = 30
+# Datagrams carry no signature, so none may move traffic for longer than this; the detector gives 3 s at most.
 LONGEST_SUSPICION_S = 5.0
-_OBSERVED, _SUSPECTED = 1, 2
-# CBOR's first byte of an array of two or three items; a number up to 23 is one byte by itself.
-_ARRAYS, _LARGEST_KIND = (0x82, 0x83), 23
-# The kinds of messages that come over the same socket begin with these numbers.
-OUTLIER_KINDS = frozenset({_OBSERVED, _SUSPECTED})
+OUTLIER_KINDS = frozenset({Kind.OBSERVATIONS, Kind.SUSPICIONS})
 
 
 class Observation(NamedTuple):
     """A server answered late, failed or is silent.
 
-    ``good_answers`` are those that the same node had from it in the last second or so, and has not
-    told of yet: a busy server has some late answers among many good ones.
+    ``good_answers`` are those that the same node had from it in the last second or so and has not
+    reported yet: a busy server has some late answers among many good ones.
     """
 
     instance: str
@@ -35,14 +30,14 @@
 
 
 class Suspicion(NamedTuple):
-    """A server to go around for a while."""
+    """A server to avoid for a while."""
 
     instance: str
     for_s: float
 
 
 class Suspicions(NamedTuple):
-    """A judge's findings; with ``relay`` the receiver hands them on within its zone."""
+    """An owner's findings; with ``relay`` the receiver passes them on within its zone."""
 
     suspicions: tuple[Suspicion, ...]
     relay: bool
@@ -51,21 +46,12 @@
 Message = Observations | Suspicions
 
 
-@singledispatch
-def encode(message: Any) -> bytes:
+def encode(message: Message) -> bytes:
     """Return a message's datagram."""
-    raise TypeError(f"no datagram for {type(message).__name__}")
-
-
-@encode.register
-def _(message: Observations) -> bytes:
-    return cbor2.dumps([_OBSERVED, [list(each) for each in message.observations]])
-
-
-@encode.register
-def _(message: Suspicions) -> bytes:
+    if isinstance(message, Observations):
+        return encode_frame(Kind.OBSERVATIONS, [list(each) for each in message.observations])
     pairs = [[each.instance, round(each.for_s * 1000)] for each in message.suspicions]
-    return cbor2.dumps([_SUSPECTED, pairs, message.relay])
+    return encode_frame(Kind.SUSPICIONS, pairs, message.relay)
 
 
 def decode(data: bytes) -> Message:
@@ -76,53 +62,22 @@
     ValueError
         It is no message of this version.
     """
-    try:
-        kind, entries, *rest = cbor2.loads(data)
-        if kind == _OBSERVED:
-            return Observations(tuple(_observation(each) for each in entries))
-        if kind == _SUSPECTED:
-            return Suspicions(tuple(_suspicion(each) for each in entries), bool(rest[0]))
-    except (TypeError, ValueError, IndexError, cbor2.CBORDecodeError) as error:
-        raise ValueError(f"a malformed datagram: {error!r}") from error
-    raise ValueError(f"a datagram of kind {kind!r}")
+    return decode_frame(data, _READERS)
 
 
-def kind_of(data: bytes) -> int:
-    """Return the number by which a datagram's kind is told, without reading the rest.
-
-    Raises
-    ------
-    ValueError
-        It is no datagram of ours: an array that begins with a small number.
-    """
-    if len(data) < 2 or data[0] not in _ARRAYS or data[1] > _LARGEST_KIND:
-        raise ValueError("no array that begins with a kind")
-    return data[1]
+def _observations(entries: Any, *_later: Any) -> Observations:
+    return Observations(tuple(Observation(text(instance), count(good)) for instance, good in entries))
 
 
-def _observation(item: Any) -> Observation:
-    instance, good_answers = item
-    if isinstance(good_answers, bool) or not isinstance(good_answers, int) or good_answers < 0:
-        raise ValueError("a count is needed")
-    return Observation(_text(instance), good_answers)
+def _suspicions(entries: Any, relay: Any, *_later: Any) -> Suspicions:
+    return Suspicions(tuple(_suspicion(*each) for each in entries), bool(relay))
 
 
-def _suspicion(item: Any) -> Suspicion:
-    instance, for_ms = item
+def _suspicion(instance: Any, for_ms: Any) -> Suspicion:
     for_s = float(for_ms) / 1000
     if not 0 <= for_s <= LONGEST_SUSPICION_S:
         raise ValueError(f"a suspicion of {for_s} s")
-    return Suspicion(_text(instance), for_s)
-
-
-def _text(value: Any) -> str:
-    if not isinstance(value, str):
-        raise ValueError("a text is needed")
-    return value
+    return Suspicion(text(instance), for_s)
 
 
-def in_datagrams(entries: Iterable[Any], most: int = ENTRIES_PER_DATAGRAM) -> Iterator[tuple[Any, ...]]:
-    """Split entries into tuples that fit into one datagram each: ``most`` of them."""
-    rest = tuple(entries)
-    for start in range(0, len(rest), most):
-        yield rest[start : start + most]
+_READERS: dict[int, Callable[..., Message]] = {Kind.OBSERVATIONS: _observations, Kind.SUSPICIONS: _suspicions}
--- a/src/yokesill/outliers/spreading.py
+++ b/src/yokesill/peers/dissemination.py
@@ -1,8 +1,9 @@
-"""Who judges a subject among the nodes, and how a finding reaches all of them.
+"""Which nodes own a subject, and how a finding reaches all nodes.
 
-Each subject has two judges, by rendezvous hash, so that what many nodes see of it comes together and nobody
-is in charge; two, since one may be gone. A finding goes to the nodes of the finder's own zone, and to two
-nodes of each other zone, which hand it on within theirs: zones are dear to cross.
+A subject (a server, a request's fingerprint) has two owners, by rendezvous hash over all nodes: what many
+nodes see of it comes together there, and nobody is in charge of all. A finding goes to every node of the
+finder's zone and to two relays in each other zone, which pass it on within theirs, since traffic between
+zones is priced.
 """
 
 import random
@@ -12,10 +13,13 @@
 
 from yokesill.rendezvous import name_hash, weight
 
-JUDGES = 2
+# One of a subject's owners may be gone. A third would add a datagram to each report.
+OWNERS = 2
+# A zone learns a finding although one of its relays is gone. Chosen, not measured.
 RELAYS_PER_ZONE = 2
-# Who judged what is kept for so many subjects; working it out anew costs a hash for each node.
-MOST_KEPT = 20_000
+# Owners are cached for so many subjects (a large site has some thousand servers); ranking the nodes for one
+# anew costs a hash for each node.
+OWNERS_CACHED = 20_000
 
 
 class Peer(NamedTuple):
@@ -27,13 +31,13 @@
 
 
 class Datagram(NamedTuple):
-    """What to send where."""
+    """What to send where; ``address`` is ``IP:PORT``."""
 
     address: str
     data: bytes
 
 
-class Spreading:
+class Dissemination:
     """One node's view of the nodes that share findings.
 
     Parameters
@@ -50,17 +54,17 @@
         self._peers: dict[str, Peer] = {}
         self._addresses: frozenset[str] = frozenset()
         self._hashes: dict[str, int] = {own.node: name_hash(own.node)}
-        self._judges: dict[str, tuple[str, ...]] = {}
+        self._owners: dict[str, tuple[str, ...]] = {}
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
-        """Take the other nodes."""
+        """Set the other nodes."""
         known = {peer.node: peer for peer in peers if peer.node != self.own.node}
         if known == self._peers:
             return
         self._peers = known
         self._addresses = frozenset(peer.address for peer in known.values())
         self._hashes = {node: name_hash(node) for node in (*known, self.own.node)}
-        self._judges.clear()
+        self._owners.clear()
 
     def knows(self, address: str) -> bool:
         """Whether a node is reached at an address."""
@@ -71,39 +75,39 @@
         peer = self._peers.get(node)
         return None if peer is None else peer.address
 
-    def judges_of(self, subject: str) -> tuple[str, ...]:
-        """Return the nodes that judge a subject, this one perhaps among them."""
-        judges = self._judges.get(subject)
-        if judges is None:
+    def owners_of(self, subject: str) -> tuple[str, ...]:
+        """Return the nodes that own a subject, this one perhaps among them."""
+        owners = self._owners.get(subject)
+        if owners is None:
             hashed = name_hash(subject)
             ranked = sorted(self._hashes, key=lambda node: weight(self._hashes[node], hashed))
-            if len(self._judges) >= MOST_KEPT:
-                self._judges.clear()
-            judges = self._judges[subject] = tuple(ranked[:JUDGES])
-        return judges
+            if len(self._owners) >= OWNERS_CACHED:
+                self._owners.clear()
+            owners = self._owners[subject] = tuple(ranked[:OWNERS])
+        return owners
 
     def forget(self, subject: str) -> None:
-        """Drop what is kept of a subject that is gone."""
-        self._judges.pop(subject, None)
+        """Drop what is cached of a subject that is gone."""
+        self._owners.pop(subject, None)
 
     def within_zone(self, data: bytes) -> list[Datagram]:
-        """Return a message for each other node of this zone."""
+        """Return a datagram for each other node of this zone."""
         near = (peer for peer in self._peers.values() if peer.zone == self.own.zone)
         return [Datagram(peer.address, data) for peer in near]
 
     def everywhere(self, data: bytes) -> list[Datagram]:
-        """Return a message for each other node."""
+        """Return a datagram for each other node."""
         return [Datagram(peer.address, data) for peer in self._peers.values()]
 
     def to_other_zones(self, data: bytes) -> list[Datagram]:
-        """Return a message for some nodes of each other zone, which hand it on."""
+        """Return a datagram for some relays in each other zone."""
         zones: dict[str, list[Peer]] = defaultdict(list)
         for peer in self._peers.values():
             if peer.zone != self.own.zone:
                 zones[peer.zone].append(peer)
-        chosen = [
+        relays = [
             peer
             for peers in zones.values()
             for peer in self._random.sample(peers, min(RELAYS_PER_ZONE, len(peers)))
         ]
-        return [Datagram(peer.address, data) for peer in chosen]
+        return [Datagram(peer.address, data) for peer in relays]
--- a/src/yokesill/quarantine/exchange.py
+++ b/src/yokesill/quarantine/exchange.py
@@ -1,17 +1,16 @@
-"""One node's part in finding requests that end servers: what it saw goes to each request's judges.
+"""Whom one node tells about requests that crash servers.
 
-What comes of it, the router's judge decides; this only knows whom to tell. A finding is told to all nodes: a
-suspicion by way of a few nodes of each zone, a quarantine directly and at once, since the request's caller
-comes back within milliseconds, at any node. Such findings are few: one for each request that ends servers.
+Losses and answers go to the request's owners. What follows from them is the router's ``CrashDetector`` to
+decide; this only knows whom to tell. A finding goes to all nodes: a suspicion by way of relays, a quarantine
+directly and at once, since the request's caller retries within milliseconds, at any node. Such findings are
+few: one for each request that crashes servers.
 """
 
 import random
-from collections import defaultdict
-from collections.abc import Iterable, Iterator
-from typing import Any
+from collections.abc import Iterable
 
-from yokesill.outliers.messages import in_datagrams
-from yokesill.outliers.spreading import Datagram, Peer, Spreading
+from yokesill.peers.dissemination import Datagram, Dissemination, Peer
+from yokesill.peers.exchange import FindingQueue, ReportQueue
 from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.messages import (
     ENTRIES_PER_DATAGRAM,
@@ -28,7 +27,7 @@
 
 
 class QuarantineExchange:
-    """What one node tells the others of requests under which servers ended.
+    """What one node tells the others about requests that crash servers.
 
     Parameters
     ----------
@@ -40,85 +39,70 @@
 
     def __init__(self, own: Peer, source: random.Random) -> None:
         self._own = own
-        self._spreading = Spreading(own, source)
-        self._lost: dict[str, list[LossReport]] = defaultdict(list)
-        self._answered: dict[str, list[AnswerReport]] = defaultdict(list)
-        self._found: list[QuarantineFinding] = []
-        self._relayed: list[QuarantineFinding] = []
+        self._nodes = nodes = Dissemination(own, source)
+        self._losses: ReportQueue[LossReport] = ReportQueue(
+            nodes, ENTRIES_PER_DATAGRAM, lambda entries: encode(Losses(entries))
+        )
+        self._answers: ReportQueue[AnswerReport] = ReportQueue(
+            nodes, ENTRIES_PER_DATAGRAM, lambda entries: encode(Answers(entries))
+        )
+        self._findings: FindingQueue[QuarantineFinding] = FindingQueue(
+            nodes,
+            ENTRIES_PER_DATAGRAM,
+            lambda entries, relay: encode(QuarantineFindings(entries, relay)),
+            lambda finding: finding.standing is QuarantineStatus.QUARANTINED,
+        )
 
     @property
     def urgent(self) -> bool:
         """Whether something is to be sent that can't wait for more to go with it."""
-        return any(each.standing is QuarantineStatus.QUARANTINED for each in self._found)
+        return self._findings.urgent
 
     @property
     def pending(self) -> bool:
-        """Whether ``flush`` would send anything."""
-        return bool(self._lost or self._answered or self._found or self._relayed)
+        """Whether ``flush`` would return anything."""
+        return self._losses.pending or self._answers.pending or self._findings.pending
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
-        """Take the other nodes."""
-        self._spreading.set_peers(peers)
+        """Set the other nodes."""
+        self._nodes.set_peers(peers)
 
-    def judges(self, fingerprint: str) -> bool:
-        """Whether this node is one of a request's judges."""
-        return self._own.node in self._spreading.judges_of(fingerprint)
+    def owns(self, fingerprint: str) -> bool:
+        """Whether this node is one of a request's owners."""
+        return self._own.node in self._nodes.owners_of(fingerprint)
 
-    def lost(self, told: LossReport) -> None:
-        """Tell the other judges that a server ended under a request."""
-        for node in self._others(told.fingerprint):
-            self._lost[node].append(told)
+    def report_loss(self, report: LossReport) -> None:
+        """Tell the other owners that a server was lost under a request."""
+        for node in self._other_owners(report.fingerprint):
+            self._losses.add(node, report)
 
-    def answered(self, told: AnswerReport) -> None:
-        """Tell the other judges that a server answered it."""
-        for node in self._others(told.fingerprint):
-            self._answered[node].append(told)
+    def report_answer(self, report: AnswerReport) -> None:
+        """Tell the other owners that a server answered a request."""
+        for node in self._other_owners(report.fingerprint):
+            self._answers.add(node, report)
 
-    def found(self, told: QuarantineFinding) -> None:
+    def announce(self, finding: QuarantineFinding) -> None:
         """Tell all nodes what this one found."""
-        self._found.append(told)
+        self._findings.add(finding)
 
     def receive(self, data: bytes, sender: str) -> Message:
-        """Take a datagram from ``sender`` (``IP:PORT``); return what it tells.
+        """Read a datagram from ``sender`` (``IP:PORT``).
 
         Raises
         ------
         ValueError
-            It is no message, or comes from no node: a stranger could have any request refused.
+            It is no message, or its sender is no node: a stranger could have any request refused.
         """
-        if not self._spreading.knows(sender):
+        if not self._nodes.knows(sender):
             raise ValueError("it comes from no node that is known")
         message = decode(data)
         if isinstance(message, QuarantineFindings) and message.relay:
-            self._relayed += message.standings
+            self._findings.relay(message.standings)
         return message
 
     def flush(self) -> list[Datagram]:
         """Return what is to be sent now."""
-        datagrams: list[Datagram] = []
-        for node, losses in self._lost.items():
-            datagrams += self._to(node, (encode(Losses(each)) for each in _in_datagrams(losses)))
-        for node, answers in self._answered.items():
-            datagrams += self._to(node, (encode(Answers(each)) for each in _in_datagrams(answers)))
-        urgent = [each for each in self._found if each.standing is QuarantineStatus.QUARANTINED]
-        for chunk in _in_datagrams(urgent):
-            datagrams += self._spreading.everywhere(encode(QuarantineFindings(chunk, relay=False)))
-        others = [each for each in self._found if each.standing is not QuarantineStatus.QUARANTINED]
-        for chunk in _in_datagrams(others):
-            datagrams += self._spreading.to_other_zones(encode(QuarantineFindings(chunk, relay=True)))
-        for chunk in _in_datagrams([*others, *self._relayed]):
-            datagrams += self._spreading.within_zone(encode(QuarantineFindings(chunk, relay=False)))
-        for each in (self._lost, self._answered, self._found, self._relayed):
-            each.clear()
-        return datagrams
-
-    def _others(self, fingerprint: str) -> list[str]:
-        return [node for node in self._spreading.judges_of(fingerprint) if node != self._own.node]
-
-    def _to(self, node: str, messages: Iterable[bytes]) -> list[Datagram]:
-        address = self._spreading.address_of(node)
-        return [] if address is None else [Datagram(address, data) for data in messages]
-
-
-def _in_datagrams(entries: Iterable[Any]) -> Iterator[tuple[Any, ...]]:
-    return in_datagrams(entries, ENTRIES_PER_DATAGRAM)
+        return self._losses.flush() + self._answers.flush() + self._findings.flush()
+
+    def _other_owners(self, fingerprint: str) -> list[str]:
+        return [node for node in self._nodes.owners_of(fingerprint) if node != self._own.node]
--- a/src/yokesill/quarantine/messages.py
+++ b/src/yokesill/quarantine/messages.py
@@ -1,17 +1,16 @@
-"""What nodes tell one another of requests under which servers ended, as CBOR datagrams."""
+"""What nodes tell each other of requests that crash servers: losses, answers, and findings."""
 
-from functools import singledispatch
+from collections.abc import Callable
 from typing import Any, NamedTuple
 
-import cbor2
-
+from yokesill.peers.frame import Kind, decode_frame, encode_frame, name
 from yokesill.quarantine.detector import Loss, QuarantineStatus
 
-_LOST, _ANSWERED, _JUDGED = 3, 4, 5
-QUARANTINE_KINDS = frozenset({_LOST, _ANSWERED, _JUDGED})
+QUARANTINE_KINDS = frozenset({Kind.LOSSES, Kind.ANSWERS, Kind.QUARANTINE_FINDINGS})
 # A fingerprint, a server's and a service's name take some 60 bytes of the 1,200 of a datagram.
 ENTRIES_PER_DATAGRAM = 16
-LONGEST_NAME = 128
+# Bounds what strangers' bytes may cost in memory; chosen, not measured: names here have some 20 characters.
+LONGEST_NAME_CHARS = 128
 
 
 class LossReport(NamedTuple):
@@ -43,13 +42,13 @@
 
 
 class Answers(NamedTuple):
-    """What the sender saw answered just now, of what servers had ended under."""
+    """What the sender saw answered just now, of requests that servers had been lost under."""
 
     answers: tuple[AnswerReport, ...]
 
 
 class QuarantineFindings(NamedTuple):
-    """A judge's findings; with ``relay`` the receiver hands them on within its zone."""
+    """An owner's findings; with ``relay`` the receiver passes them on within its zone."""
 
     standings: tuple[QuarantineFinding, ...]
     relay: bool
@@ -58,26 +57,14 @@
 Message = Losses | Answers | QuarantineFindings
 
 
-@singledispatch
-def encode(message: Any) -> bytes:
+def encode(message: Message) -> bytes:
     """Return a message's datagram."""
-    raise TypeError(f"no datagram for {type(message).__name__}")
-
-
-@encode.register
-def _(message: Losses) -> bytes:
-    return cbor2.dumps([_LOST, [[each.fingerprint, *each.loss] for each in message.losses]])
-
-
-@encode.register
-def _(message: Answers) -> bytes:
-    return cbor2.dumps([_ANSWERED, [list(each) for each in message.answers]])
-
-
-@encode.register
-def _(message: QuarantineFindings) -> bytes:
+    if isinstance(message, Losses):
+        return encode_frame(Kind.LOSSES, [[each.fingerprint, *each.loss] for each in message.losses])
+    if isinstance(message, Answers):
+        return encode_frame(Kind.ANSWERS, [list(each) for each in message.answers])
     entries = [[each.fingerprint, int(each.standing)] for each in message.standings]
-    return cbor2.dumps([_JUDGED, entries, message.relay])
+    return encode_frame(Kind.QUARANTINE_FINDINGS, entries, message.relay)
 
 
 def decode(data: bytes) -> Message:
@@ -88,25 +75,36 @@
     ValueError
         It is no message of this version.
     """
-    try:
-        kind, entries, *rest = cbor2.loads(data)
-        if kind == _LOST:
-            return Losses(tuple(_loss(*each) for each in entries))
-        if kind == _ANSWERED:
-            return Answers(tuple(AnswerReport(_name(a), _name(b), bool(c)) for a, b, c in entries))
-        if kind == _JUDGED:
-            found = tuple(QuarantineFinding(_name(name), QuarantineStatus(value)) for name, value in entries)
-            return QuarantineFindings(found, bool(rest[0]))
-    except (TypeError, ValueError, IndexError, cbor2.CBORDecodeError) as error:
-        raise ValueError(f"a malformed datagram: {error!r}") from error
-    raise ValueError(f"a datagram of kind {kind!r}")
+    return decode_frame(data, _READERS)
+
+
+def _losses(entries: Any, *_later: Any) -> Losses:
+    return Losses(tuple(_loss(*each) for each in entries))
 
 
 def _loss(fingerprint: Any, instance: Any, service: Any, trial: Any) -> LossReport:
     return LossReport(_name(fingerprint), Loss(_name(instance), _name(service), bool(trial)))
 
 
+def _answers(entries: Any, *_later: Any) -> Answers:
+    return Answers(tuple(_answer(*each) for each in entries))
+
+
+def _answer(fingerprint: Any, service: Any, trial: Any) -> AnswerReport:
+    return AnswerReport(_name(fingerprint), _name(service), bool(trial))
+
+
+def _findings(entries: Any, relay: Any, *_later: Any) -> QuarantineFindings:
+    found = (QuarantineFinding(_name(fingerprint), QuarantineStatus(value)) for fingerprint, value in entries)
+    return QuarantineFindings(tuple(found), bool(relay))
+
+
 def _name(value: Any) -> str:
-    if not isinstance(value, str) or not 0 < len(value) <= LONGEST_NAME:
-        raise ValueError(f"a name of up to {LONGEST_NAME} signs is needed")
-    return value
+    return name(value, LONGEST_NAME_CHARS)
+
+
+_READERS: dict[int, Callable[..., Message]] = {
+    Kind.LOSSES: _losses,
+    Kind.ANSWERS: _answers,
+    Kind.QUARANTINE_FINDINGS: _findings,
+}
--- a/src/yokesill/registry/following.py
+++ b/src/yokesill/registry/following.py
@@ -89,9 +89,9 @@
         return sum(each.calls for each in self._followers.values())
 
     @property
-    def duty(self) -> str:
+    def role(self) -> str:
         """What this node does to keep up; empty where nodes don't watch for one another."""
-        return "" if self._watch is None else self._watch.duty
+        return "" if self._watch is None else self._watch.role
 
     @property
     def reaches_registry(self) -> bool:
--- a/src/yokesill/registry/zone_watch.py
+++ b/src/yokesill/registry/zone_watch.py
@@ -13,6 +13,7 @@
 
 from yokesill.gateway.forwarding import Coordinator
 from yokesill.logs import get_logger
+from yokesill.peers.capacity_rank import strong_nodes
 from yokesill.registry.feed_states import (
     SERVERS,
     WholeFeed,
@@ -25,10 +26,9 @@
 from yokesill.registry.follower import FeedFollower
 from yokesill.registry.view_check import ViewCheck
 from yokesill.verdict import Failure
-from yokesill.watchers.capacity_rank import strong_nodes
 from yokesill.watchers.digests import NOT_COMPARED
-from yokesill.watchers.group import Duty, WatcherGroup
 from yokesill.watchers.messages import FeedReport, Report, decode_report, encode_report
+from yokesill.watchers.role import WatchRole, create_group, watch_role
 from yokesill.watchers.timing import WatchTiming
 
 TICKS_PER_REPORT = 2
@@ -69,7 +69,7 @@
         terms: WatchTiming,
         source: random.Random,
     ) -> None:
-        self.duty = Duty.FOLLOWING
+        self.role = WatchRole.FOLLOWING
         self._own = own
         self._followers = followers
         self._whole = whole
@@ -77,7 +77,7 @@
         self._fetch = fetch
         self._terms = terms
         self._random = source
-        self._group = WatcherGroup(own.node, terms, source, anyio.current_time())
+        self._group = create_group(own.node, terms, source, anyio.current_time())
         self._members: dict[str, NodeContact] = {}
         self._strong: frozenset[str] = frozenset()
         self._unreported: dict[str, FeedReport] = {}
@@ -124,14 +124,14 @@
         }
 
     async def run(self) -> None:
-        """Do what this node's duty is until cancelled."""
+        """Do what this node's role is until cancelled."""
         async with anyio.create_task_group() as self._tasks:
             pause_s = self._terms.report_interval_s / TICKS_PER_REPORT
             while True:
                 # Before reporting: what is read while a report goes out asks for another one.
                 self._report_wanted = anyio.Event()
-                self._take_up(self._group.duty(anyio.current_time()))
-                if self.duty is Duty.WATCHING:
+                self._take_up(watch_role(self._group, anyio.current_time()))
+                if self.role is WatchRole.WATCHING:
                     await self._report_if_due()
                     self._look_for_holes(anyio.current_time())
                 else:
@@ -139,13 +139,13 @@
                 with anyio.move_on_after(pause_s):
                     await self._report_wanted.wait()
 
-    def _take_up(self, duty: Duty) -> None:
-        if duty is not self.duty:
+    def _take_up(self, role: WatchRole) -> None:
+        if role is not self.role:
             positions = {name: each.position for name, each in self._followers.items()}
-            self._log.info("duty", before=self.duty, duty=duty, positions=positions)
-            self.duty = duty
+            self._log.info("duty", before=self.role, duty=role, positions=positions)
+            self.role = role
         for follower in self._followers.values():
-            follower.set_watching(duty is not Duty.FOLLOWING)
+            follower.set_watching(role is not WatchRole.FOLLOWING)
 
     # --- telling ---
 
@@ -160,7 +160,7 @@
         """Report news at once, and a sign of life now and then while that is of use to others."""
         now = anyio.current_time()
         current = self._current(now)
-        useful = current or self._group.speaks(now)
+        useful = current or self._group.should_report(now)
         quiet = now - self._reported_at_s < self._terms.report_interval_s or not useful
         if quiet and not self._unreported and current == self._reported_current:
             return
@@ -221,7 +221,7 @@
             self._log.warning("datagram_rejected", sender=sender, problem=str(error))
             return
         if len(report.feeds) == len(self._followers):
-            self._group.heard(report.node, report.current, not behind, now)
+            self._group.received(report.node, report.current, not behind, now)
         for each in behind:
             self._fetch_soon(each.feed, member, False)
         for each in report.feeds:
@@ -239,7 +239,7 @@
             return
         follower = self._followers[feed]
         self._log.warning("view_differs", feed=feed, node=member.node, position=follower.position)
-        if not (self.duty is Duty.WATCHING and follower.list_anew()):
+        if not (self.role is WatchRole.WATCHING and follower.list_anew()):
             self._fetch_soon(feed, member, True)
 
     def _look_for_holes(self, now: float) -> None:
--- a/src/yokesill/rollouts/decider.py
+++ b/src/yokesill/rollouts/decider.py
@@ -4,7 +4,7 @@
 from collections.abc import Collection, Mapping
 from typing import Any
 
-from yokesill.rollouts.decider_role import DeciderDuty
+from yokesill.rollouts.decider_role import DeciderRole
 from yokesill.rollouts.messages import RolloutDecisions, RolloutReport
 from yokesill.rollouts.order_progress import OrderFigures, OrderProgress
 from yokesill.rollouts.orders import Overtaken, RolloutLimits, RolloutOrder, RolloutState
@@ -35,7 +35,7 @@
         self._own = own
         self._incarnation = incarnation
         self._terms = terms
-        self._duty = DeciderDuty(own, source, now)
+        self._role = DeciderRole(own, source, now)
         self._orders: dict[str, OrderProgress] = {}
         self._told: dict[str, RolloutState] = {}
         self._services: frozenset[str] | None = None
@@ -49,12 +49,12 @@
     @property
     def interval_s(self) -> float:
         """How often reports and words go out while there are open orders."""
-        return self._duty.interval_s
+        return self._role.interval_s
 
     @property
     def deciding(self) -> bool:
         """Whether this node decides now."""
-        return self._duty.on
+        return self._role.on
 
     def open_services(self, now: float) -> tuple[str, ...]:
         """Return the services with an order that is open or became final just now; others need no ticks."""
@@ -62,7 +62,7 @@
 
     def set_nodes(self, cores: Mapping[str, float]) -> None:
         """Take all nodes by name, with how much of a processor each has."""
-        self._duty.set_nodes(cores)
+        self._role.set_nodes(cores)
 
     def set_services(self, names: Collection[str]) -> None:
         """Take which services the configuration names."""
@@ -104,7 +104,7 @@
         """Take another decider's word."""
         if word.node == self._own:
             return
-        self._duty.heard(word.node, word.able, now)
+        self._role.heard(word.node, word.able, now)
         for each in word.orders:
             known = self._orders.get(each.order.service)
             if known is not None and known.order.id == each.order:
@@ -112,7 +112,7 @@
 
     def heard_report(self, report: RolloutReport, now: float) -> None:
         """Take a node's report, this node's own too."""
-        self._duty.reported(report.node, now)
+        self._role.reported(report.node, now)
         for each in report.orders:
             known = self._orders.get(each.order.service)
             if known is not None and known.order.id == each.order:
@@ -125,9 +125,9 @@
         then no other record of that service is returned.
         """
         telling = [each for each in self._orders.values() if each.telling(now)]
-        began = self._duty.look(bool(telling), now)
+        began = self._role.look(bool(telling), now)
         for progress in telling:
-            progress.follows_from_start &= self._duty.on and (
+            progress.follows_from_start &= self._role.on and (
                 not began or progress.state is RolloutState.ORDERED
             )
         if began:
@@ -135,7 +135,7 @@
             self._notes.append(
                 ("rollout_decider", {"incarnation": self._incarnation, "orders": len(telling)})
             )
-        if not self._duty.on:
+        if not self._role.on:
             return []
         records = []
         common = self._common(now)
@@ -176,7 +176,7 @@
         tells them.
         """
         self._urgent = False
-        if not self._duty.on:
+        if not self._role.on:
             return None
         common = self._common(now)
         words = [each.word(self._seen(each, common, now), now) for each in self._orders.values()]
@@ -185,15 +185,15 @@
             told = [each for each in told if each.state is not RolloutState.CANARY]
         if not told and self._able:
             return None
-        return RolloutDecisions(self._own, self._able, self._duty.patience_s, tuple(told))
+        return RolloutDecisions(self._own, self._able, self._role.patience_s, tuple(told))
 
     def urgent(self, now: float) -> bool:
         """Whether a word should go out at once."""
-        return self._urgent and self._duty.on
+        return self._urgent and self._role.on
 
     def reporting_to(self, now: float) -> tuple[str, ...]:
         """Return the nodes to send reports to; none while no order is open."""
-        return self._duty.reporting_to(now)
+        return self._role.reporting_to(now)
 
     def figures(self, now: float) -> tuple[OrderFigures, ...]:
         """Return how each order stands, by service."""
@@ -210,14 +210,14 @@
 
     def _common(self, now: float) -> Circumstances:
         """Return what holds around all orders."""
-        duty = self._duty
+        role = self._role
         return Circumstances(
-            seniors=duty.seniors(now),
+            seniors=role.seniors(now),
             able=self._able,
-            informed=duty.informed(now),
-            woken=duty.woken(now),
-            hears_most=duty.hears_most(now),
-            live=duty.live(now),
+            informed=role.informed(now),
+            woken=role.woken(now),
+            hears_most=role.hears_most(now),
+            live=role.live(now),
         )
 
     def _seen(self, progress: OrderProgress, common: Circumstances, now: float) -> Circumstances:
--- a/src/yokesill/rollouts/decider_role.py
+++ b/src/yokesill/rollouts/decider_role.py
@@ -7,10 +7,9 @@
 import random
 from collections.abc import Mapping
 
+from yokesill.peers.capacity_rank import strong_nodes
+from yokesill.peers.ranks import RankedGroup, RankTiming
 from yokesill.rollouts.barrier import LIVE_S
-from yokesill.watchers.capacity_rank import strong_nodes
-from yokesill.watchers.group import Duty, WatcherGroup
-from yokesill.watchers.timing import WatchTiming
 
 RANK_SUBJECT = "rollout-decider"
 DECIDERS = 2
@@ -28,7 +27,7 @@
 WAKE_S = 1.5
 
 
-class DeciderDuty:
+class DeciderRole:
     """One node's view of the deciders while there are open orders.
 
     Parameters
@@ -45,7 +44,7 @@
         self._own = own
         self._source = source
         self._cores: dict[str, float] = {own: 1.0}
-        self._group: WatcherGroup | None = None
+        self._group: RankedGroup | None = None
         self._began_at_s = now
         self._looked_at_s = now
         self._on_since_s: float | None = None
@@ -84,7 +83,7 @@
         (self._able_at_s if able else self._unable_at_s)[node] = now
         (self._unable_at_s if able else self._able_at_s).pop(node, None)
         if self._group is not None:
-            self._group.heard(node, able, True, now)
+            self._group.received(node, able, True, now)
 
     def reported(self, node: str, now: float) -> None:
         """Take a node's report."""
@@ -113,7 +112,7 @@
         if len(self._listed_at_s) < len(self._cores):
             self._listed_at_s = {node: self._listed_at_s.get(node, now) for node in self._cores}
         assert self._group is not None
-        if self._group.duty(now) is not Duty.WATCHING:
+        if not self._group.acts(now):
             self._on_since_s = None
             return False
         began = self._on_since_s is None
@@ -182,18 +181,15 @@
         return rank >= DECIDERS and node not in self._able_at_s.keys() | self._unable_at_s
 
     def _begin(self, now: float) -> None:
-        terms = WatchTiming(
-            report_interval_s=self.interval_s,
+        timing = RankTiming(
             takeover_s=self.patience_s,
             step_s=STEP_S,
             patience_s=self.patience_s,
-            age_limit_s=self.patience_s,
-            check_interval_s=self.patience_s,
             settle_s=0.0,
             strong_settle_s=0.0,
-            watchers=DECIDERS,
+            acting=DECIDERS,
         )
-        self._group = WatcherGroup(self._own, terms, self._source, now, RANK_SUBJECT)
+        self._group = RankedGroup(self._own, RANK_SUBJECT, timing, self._source, now)
         self._began_at_s = now
         self._able_at_s.clear()
         self._unable_at_s.clear()
--- a/src/yokesill/rollouts/messages.py
+++ b/src/yokesill/rollouts/messages.py
@@ -1,27 +1,15 @@
-"""What nodes and deciders tell one another of roll-outs, as CBOR datagrams of at most ``DATAGRAM_BYTES``.
+"""What nodes and deciders tell each other of roll-outs: reports and decisions.
 
-Nothing hangs on the arrival of one datagram: counts are totals, words are repeated, and a lost report costs
-some samples.
+Nothing depends on the arrival of one datagram: counts are totals, decisions are repeated, and a lost report
+costs some samples. ``rollouts/datagrams`` splits them.
 """
 
-from collections.abc import Iterable, Iterator
-from functools import singledispatch
-from typing import Any, NamedTuple, TypeVar
-
-import cbor2
+from collections.abc import Callable
+from typing import Any, NamedTuple
 
+from yokesill.peers.frame import Kind, count, decode_frame, encode_frame, text
 from yokesill.rollouts.orders import OrderId, RolloutState
 
-DATAGRAM_BYTES = 1200
-# Samples that an entry of a report carries, the latest ones: twelve in half a second are 24 requests a
-# second of one service through one node.
-SAMPLES_PER_ENTRY = 12
-# Kind, node's name (253 bytes at most, as names of hosts), incarnation and the heads of the lists.
-FRAME_BYTES = 290
-# More is no count of anything; times in milliseconds stay below it for 285,000 years.
-LARGEST_COUNT = 2**53
-_REPORT, _WORD = 11, 12
-
 
 class Sample(NamedTuple):
     """How one attempt ended.
@@ -40,8 +28,9 @@
 class OrderReport(NamedTuple):
     """What one node did and saw under one order since it learnt of it.
 
-    ``state`` is what the node obeys. ``sent_old`` and ``sent_new`` are totals of requests sent to servers
-    of the old and of the new version, and ``old_in_flight`` how many are under way at old ones.
+    ``state`` is the order's effective state at the node. ``sent_old`` and ``sent_new`` are totals
+    of requests sent to servers of the old and of the new version, and ``old_in_flight`` how many are under
+    way at old ones.
     """
 
     order: OrderId
@@ -75,7 +64,7 @@
 
 
 class RolloutDecisions(NamedTuple):
-    """A decider's word, which holds for ``valid_s`` from its arrival.
+    """A decider's decisions on orders, which hold for ``valid_s`` from their arrival.
 
     ``able``: it can reach the registry, so that others may leave deciding to it.
     """
@@ -89,22 +78,22 @@
 Message = RolloutReport | RolloutDecisions
 
 
-@singledispatch
-def encode(message: Any) -> bytes:
+def encode(message: Message) -> bytes:
     """Return a message's datagram."""
-    raise TypeError(f"no datagram for {type(message).__name__}")
-
-
-@encode.register
-def _(message: RolloutReport) -> bytes:
-    entries = [_entry(each) for each in message.orders]
-    return cbor2.dumps([_REPORT, message.node, message.incarnation, entries])
-
-
-@encode.register
-def _(message: RolloutDecisions) -> bytes:
-    entries = [_entry(each) for each in message.orders]
-    return cbor2.dumps([_WORD, message.node, message.able, round(message.valid_s * 1000), entries])
+    entries = [entry_to_wire(each) for each in message.orders]
+    if isinstance(message, RolloutReport):
+        return encode_frame(Kind.ROLLOUT_REPORT, message.node, message.incarnation, entries)
+    valid_ms = round(message.valid_s * 1000)
+    return encode_frame(Kind.ROLLOUT_DECISIONS, message.node, message.able, valid_ms, entries)
+
+
+def entry_to_wire(entry: OrderReport | OrderDecision) -> list[Any]:
+    """Return one order's entry as its message carries it."""
+    order = [list(entry.order), entry.state.value]
+    if isinstance(entry, OrderDecision):
+        return [*order, entry.share, round(entry.elapsed_s * 1000)]
+    samples = [_sample_to_wire(sample) for sample in entry.samples]
+    return [*order, entry.sent_old, entry.sent_new, entry.old_in_flight, samples]
 
 
 def decode(data: bytes) -> Message:
@@ -115,90 +104,7 @@
     ValueError
         It is no message of this version.
     """
-    try:
-        kind, node, *rest = cbor2.loads(data)
-        if kind == _REPORT:
-            incarnation, entries = rest
-            return RolloutReport(_text(node), _count(incarnation), tuple(_report(*each) for each in entries))
-        if kind == _WORD:
-            able, valid_ms, entries = rest
-            words = tuple(_word(*each) for each in entries)
-            return RolloutDecisions(_text(node), bool(able), _count(valid_ms) / 1000, words)
-    except (TypeError, ValueError, OverflowError, cbor2.CBORDecodeError) as error:
-        raise ValueError(f"a malformed datagram: {error!r}") from error
-    raise ValueError(f"a datagram of kind {kind!r}")
-
-
-_Entry = TypeVar("_Entry", OrderReport, OrderDecision)
-
-
-def in_datagrams(entries: Iterable[_Entry]) -> Iterator[tuple[_Entry, ...]]:
-    """Split the entries of a message into tuples that fit into one datagram each.
-
-    An entry with many samples is told in pieces with the same counts, which are totals: twice told is once.
-    Samples that don't fit beside their entry's counts are left out, the oldest first; counts never. Names
-    of up to 253 bytes are allowed for: a node's, a service's and a version's.
-    """
-    room = DATAGRAM_BYTES - FRAME_BYTES
-    batch: list[_Entry] = []
-    taken = 0
-    for entry in (piece for each in entries for piece in _pieces(each)):
-        fitting = _shortened(entry, room)
-        size = _size(fitting)
-        if batch and taken + size > room:
-            yield tuple(batch)
-            batch, taken = [], 0
-        batch.append(fitting)
-        taken += size
-    if batch:
-        yield tuple(batch)
-
-
-@singledispatch
-def _pieces(entry: Any) -> Iterator[Any]:
-    """Return an entry in pieces of as many samples as one may have."""
-    yield entry
-
-
-@_pieces.register
-def _(entry: OrderReport) -> Iterator[Any]:
-    for start in range(0, max(1, len(entry.samples)), SAMPLES_PER_ENTRY):
-        yield entry._replace(samples=entry.samples[start : start + SAMPLES_PER_ENTRY])
-
-
-@singledispatch
-def _shortened(entry: Any, room: int) -> Any:
-    """Return an entry without what may be left out beyond ``room`` bytes."""
-    return entry
-
-
-@_shortened.register
-def _(entry: OrderReport, room: int) -> Any:
-    entry = entry._replace(samples=entry.samples[-SAMPLES_PER_ENTRY:])
-    while entry.samples and _size(entry) > room:
-        entry = entry._replace(samples=entry.samples[1:])
-    return entry
-
-
-def _size(entry: Any) -> int:
-    return len(cbor2.dumps(_entry(entry)))
-
-
-@singledispatch
-def _entry(entry: Any) -> list[Any]:
-    raise TypeError(f"no entry of a datagram: {type(entry).__name__}")
-
-
-@_entry.register
-def _(entry: OrderReport) -> list[Any]:
-    counts = [entry.sent_old, entry.sent_new, entry.old_in_flight]
-    samples = [_sample_to_wire(sample) for sample in entry.samples]
-    return [list(entry.order), entry.state.value, *counts, samples]
-
-
-@_entry.register
-def _(entry: OrderDecision) -> list[Any]:
-    return [list(entry.order), entry.state.value, entry.share, round(entry.elapsed_s * 1000)]
+    return decode_frame(data, _READERS)
 
 
 def _sample_to_wire(sample: Sample) -> list[Any]:
@@ -206,36 +112,40 @@
     return [sample.route, sample.instance, sample.new, sample.succeeded, latency_ms]
 
 
-def _report(
+def _report(node: Any, incarnation: Any, entries: Any) -> RolloutReport:
+    orders = tuple(_order_report(*each) for each in entries)
+    return RolloutReport(text(node), count(incarnation), orders)
+
+
+def _order_report(
     order: Any, state: Any, sent_old: Any, sent_new: Any, in_flight: Any, samples: Any
 ) -> OrderReport:
-    counts = (_count(sent_old), _count(sent_new), _count(in_flight))
+    counts = (count(sent_old), count(sent_new), count(in_flight))
     return OrderReport(_order(order), RolloutState(state), *counts, tuple(_sample(*each) for each in samples))
 
 
 def _sample(route: Any, instance: Any, new: Any, succeeded: Any, latency_ms: Any) -> Sample:
     latency_s = None if latency_ms is None else float(latency_ms) / 1000
-    return Sample(_text(route), _text(instance), bool(new), bool(succeeded), latency_s)
+    return Sample(text(route), text(instance), bool(new), bool(succeeded), latency_s)
 
 
-def _word(order: Any, state: Any, share: Any, elapsed_ms: Any) -> OrderDecision:
+def _decisions(node: Any, able: Any, valid_ms: Any, entries: Any) -> RolloutDecisions:
+    orders = tuple(_decision(*each) for each in entries)
+    return RolloutDecisions(text(node), bool(able), count(valid_ms) / 1000, orders)
+
+
+def _decision(order: Any, state: Any, share: Any, elapsed_ms: Any) -> OrderDecision:
     if not 0.0 <= float(share) <= 1.0:
         raise ValueError(f"a share of {share!r}")
-    return OrderDecision(_order(order), RolloutState(state), float(share), _count(elapsed_ms) / 1000)
+    return OrderDecision(_order(order), RolloutState(state), float(share), count(elapsed_ms) / 1000)
 
 
 def _order(item: Any) -> OrderId:
     service, made, target = item
-    return OrderId(_text(service), _count(made), _text(target))
-
-
-def _text(value: Any) -> str:
-    if not isinstance(value, str):
-        raise ValueError("a text is needed")
-    return value
+    return OrderId(text(service), count(made), text(target))
 
 
-def _count(value: Any) -> int:
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= LARGEST_COUNT:
-        raise ValueError("a count is needed")
-    return value
+_READERS: dict[int, Callable[..., Message]] = {
+    Kind.ROLLOUT_REPORT: _report,
+    Kind.ROLLOUT_DECISIONS: _decisions,
+}
--- a/src/yokesill/serving/findings.py
+++ b/src/yokesill/serving/findings.py
@@ -8,7 +8,7 @@
 from yokesill.gateway.events import ServerSuspected
 from yokesill.outliers.exchange import OutlierExchange
 from yokesill.outliers.messages import Suspicion
-from yokesill.outliers.spreading import Peer
+from yokesill.peers.dissemination import Peer
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.registry.feeds import NodeContact, QuarantineRecords
 from yokesill.serving.driver import GatewayDriver
--- a/src/yokesill/serving/gauges.py
+++ b/src/yokesill/serving/gauges.py
@@ -8,7 +8,7 @@
 from yokesill.registry.following import RegistryFollowing
 from yokesill.telemetry.figures import GatewayFigures
 from yokesill.upstreams.server_client import ServerClient
-from yokesill.watchers.group import Duty
+from yokesill.watchers.role import WatchRole
 
 
 def render_figures(
@@ -31,7 +31,7 @@
     gauge("yokesill_connections_opened", "Connections to servers", client.connections_opened)
     gauge("yokesill_log_lines_dropped", "Log lines that did not fit", output.dropped)
     gauge("yokesill_registry_calls", "Calls that follow feeds", following.calls)
-    gauge("yokesill_registry_asking", "Whether this node asks it", following.duty != Duty.FOLLOWING)
+    gauge("yokesill_registry_asking", "Whether this node asks it", following.role != WatchRole.FOLLOWING)
     for feed, position in following.positions().items():
         gauge(f"yokesill_registry_{feed}_position", "Known up to here", position)
     # Loaded when somebody asks for the figures, not before: the library is priced in memory.
--- a/src/yokesill/serving/outlier_link.py
+++ b/src/yokesill/serving/outlier_link.py
@@ -10,8 +10,9 @@
 from yokesill.gateway.events import ServerObserved
 from yokesill.logs import get_logger
 from yokesill.outliers.exchange import OutlierExchange
-from yokesill.outliers.messages import OUTLIER_KINDS, Observation, Suspicion, kind_of
-from yokesill.outliers.spreading import Datagram
+from yokesill.outliers.messages import OUTLIER_KINDS, Observation, Suspicion
+from yokesill.peers.dissemination import Datagram
+from yokesill.peers.frame import kind_of
 from yokesill.serving.datagrams import open_datagrams, send_datagram
 from yokesill.serving.settings import Address
 
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -8,7 +8,7 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.crash_tracker import CrashTracker
 from yokesill.logs import get_logger
-from yokesill.outliers.spreading import Datagram
+from yokesill.peers.dissemination import Datagram
 from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.quarantine.messages import (
@@ -85,11 +85,11 @@
         """Take what this node's router found."""
         match finding:
             case ev.LossObserved(fingerprint, loss):
-                self._exchange.lost(LossReport(fingerprint, loss))
+                self._exchange.report_loss(LossReport(fingerprint, loss))
             case ev.AnswerObserved(fingerprint, service, trial):
-                self._exchange.answered(AnswerReport(fingerprint, service, trial))
+                self._exchange.report_answer(AnswerReport(fingerprint, service, trial))
             case ev.RequestJudged(fingerprint, standing):
-                self._exchange.found(QuarantineFinding(fingerprint, standing))
+                self._exchange.announce(QuarantineFinding(fingerprint, standing))
                 self._record_soon(fingerprint, standing)
         self.wanted()
 
@@ -105,7 +105,7 @@
             case QuarantineFindings(standings):
                 for fingerprint, standing in standings:
                     self._feed(ev.QuarantineStatusReceived(fingerprint, standing))
-                    if self._exchange.judges(fingerprint):
+                    if self._exchange.owns(fingerprint):
                         self._record_soon(fingerprint, standing)
 
     # --- the record ---
@@ -145,7 +145,7 @@
             now, recorded = anyio.current_time(), self._crashes.detector.recorded
             self._recorded_at_s = {each: self._recorded_at_s.get(each, now) for each in recorded}
             for fingerprint, since_s in self._recorded_at_s.items():
-                if now - since_s >= KEPT_S and self._exchange.judges(fingerprint):
+                if now - since_s >= KEPT_S and self._exchange.owns(fingerprint):
                     failure = await records.lift(fingerprint)
                     if failure is not None:
                         self._tell("quarantine_not_lifted", fingerprint, failure)
--- a/src/yokesill/serving/rollout_link.py
+++ b/src/yokesill/serving/rollout_link.py
@@ -13,6 +13,7 @@
 from yokesill.gateway.events import Event, RolloutOrdered, RolloutsReplaced, RolloutWithdrawn
 from yokesill.logs import get_logger
 from yokesill.registry.feeds import NodeContact, RolloutRecords
+from yokesill.rollouts.datagrams import in_datagrams
 from yokesill.rollouts.decider import RolloutDecider
 from yokesill.rollouts.messages import (
     OrderReport,
@@ -20,7 +21,6 @@
     RolloutReport,
     decode,
     encode,
-    in_datagrams,
 )
 from yokesill.rollouts.orders import RolloutOrder
 from yokesill.serving.datagrams import open_datagrams, send_datagram
--- a/src/yokesill/watchers/messages.py
+++ b/src/yokesill/watchers/messages.py
@@ -1,13 +1,9 @@
-"""What a watcher tells its zone, as CBOR datagrams of at most ``DATAGRAM_BYTES``."""
+"""What a watcher reports to its zone: a sign of life, and how far it knows each feed of the registry."""
 
 from typing import Any, NamedTuple
 
-import cbor2
-
-DATAGRAM_BYTES = 1200
-# What the names and numbers of a report take beside its changes, with room to spare.
-FRAME_BYTES = 200
-_REPORT = 4
+from yokesill.peers.chunks import DATAGRAM_BYTES
+from yokesill.peers.frame import WATCH_REPORT_KIND, decode_frame, encode_frame
 
 
 class FeedReport(NamedTuple):
@@ -42,7 +38,7 @@
 
 
 def _encode(report: Report) -> bytes:
-    return cbor2.dumps([_REPORT, report.node, report.current, [list(each) for each in report.feeds]])
+    return encode_frame(WATCH_REPORT_KIND, report.node, report.current, [list(each) for each in report.feeds])
 
 
 def _bare(feed: FeedReport) -> FeedReport:
@@ -57,13 +53,13 @@
     ValueError
         It is no report of this version.
     """
-    try:
-        kind, node, current, feeds = cbor2.loads(data)
-        if kind == _REPORT and isinstance(node, str) and isinstance(current, bool):
-            return Report(node, current, tuple(_feed(*each) for each in feeds))
-    except (TypeError, ValueError, cbor2.CBORDecodeError) as error:
-        raise ValueError(f"a malformed report: {error!r}") from error
-    raise ValueError("no report of this version")
+    return decode_frame(data, {WATCH_REPORT_KIND: _report})
+
+
+def _report(node: Any, current: Any, feeds: Any) -> Report:
+    if not isinstance(node, str) or not isinstance(current, bool):
+        raise ValueError("a node's name and whether it is current are needed")
+    return Report(node, current, tuple(_feed(*each) for each in feeds))
 
 
 def _feed(feed: Any, before: Any, position: Any, changes: Any, digest: Any) -> FeedReport:
--- a/src/yokesill/watchers/timing.py
+++ b/src/yokesill/watchers/timing.py
@@ -2,6 +2,8 @@
 
 from typing import NamedTuple
 
+from yokesill.peers.ranks import RankTiming
+
 WATCHERS_PER_ZONE = 2
 SETTLE_S = 2.5
 # A strong node watches in any case, and its zone's wide requests wait for its first report.
@@ -41,6 +43,18 @@
     strong_settle_s: float = STRONG_SETTLE_S
     watchers: int = WATCHERS_PER_ZONE
 
+    @property
+    def ranks(self) -> RankTiming:
+        """What of it decides which nodes watch."""
+        return RankTiming(
+            takeover_s=self.takeover_s,
+            step_s=self.step_s,
+            patience_s=self.patience_s,
+            settle_s=self.settle_s,
+            strong_settle_s=self.strong_settle_s,
+            acting=self.watchers,
+        )
+
     @classmethod
     def within(cls, bound_s: float) -> "WatchTiming":
         """Return times such that a change is in force everywhere within ``bound_s``.
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -38,14 +38,15 @@
 from yokesill.membership import packets, records, rumors
 from yokesill.node import Node
 from yokesill.outliers import messages as outliers
+from yokesill.peers import chunks, frame
 from yokesill.platform import feeds, main as platform_main, names, rollouts as platform_rollouts, settings
 from yokesill.platform.store import MetadataStore
-from yokesill.quarantine import exchange as quarantine_exchange, messages as quarantine
+from yokesill.quarantine import messages as quarantine
 from yokesill.query import calls, owned
 from yokesill.registry import api_client, feed_states, feeds as registry, snapshots
 from yokesill.replication import messages as replication
 from yokesill.resources import hashing
-from yokesill.rollouts import messages as rollouts, order_progress, orders
+from yokesill.rollouts import datagrams as rollout_datagrams, messages as rollouts, order_progress, orders
 from yokesill.serving import rollout_view
 from yokesill.serving.header_names import HeaderNames
 from yokesill.serving.probes import ProbeApplication
@@ -138,14 +139,14 @@
 def _words(count: int) -> list[int]:
     order = orders.OrderId("service-with-a-name", 1764722678, "version-2")
     word = rollouts.OrderDecision(order, orders.RolloutState.CANARY, 0.1, 12.5)
-    return _sizes(rollouts.in_datagrams([word] * count))
+    return _sizes(rollout_datagrams.in_datagrams([word] * count))
 
 
 def _samples(count: int) -> list[int]:
     seen = (rollouts.Sample("wide", f"i-{number}", True, True, 0.0123) for number in range(count))
     order = orders.OrderId("s1", 5, "v2")
     report = rollouts.OrderReport(order, orders.RolloutState.CANARY, 90, 10, 3, tuple(seen))
-    return [_sizes(each.samples for each in piece) for piece in rollouts.in_datagrams([report])]
+    return [_sizes(each.samples for each in piece) for piece in rollout_datagrams.in_datagrams([report])]
 
 
 def _rumors(count: int) -> int:
@@ -519,14 +520,18 @@
 
 
 CALLS: dict[str, Callable[..., Any]] = {
-    "outliers.entries_a_datagram": lambda count: _sizes(outliers.in_datagrams(range(count))),
-    "outliers.kind": outliers.kind_of,
-    "quarantine.entries_a_datagram": lambda count: _sizes(quarantine_exchange._in_datagrams(range(count))),
+    "outliers.entries_a_datagram": lambda count: _sizes(
+        chunks.by_count(range(count), outliers.ENTRIES_PER_DATAGRAM)
+    ),
+    "outliers.kind": frame.kind_of,
+    "quarantine.entries_a_datagram": lambda count: _sizes(
+        chunks.by_count(range(count), quarantine.ENTRIES_PER_DATAGRAM)
+    ),
     "rollouts.words_a_datagram": _words,
     "rollouts.samples_a_datagram": _samples,
     "watchers.changes_a_datagram": _largest_report,
     "membership.rumors_a_datagram": _rumors,
-    "datagram_bytes": lambda: [outliers.DATAGRAM_BYTES, watchers.DATAGRAM_BYTES, rollouts.DATAGRAM_BYTES],
+    "datagram_bytes": lambda: [chunks.DATAGRAM_BYTES] * 3,
     "query.fingerprint": lambda call: calls.decode_call(call).fingerprint(),
     "query.reservations": _kept_for_others,
     "query.keyed": _keyed,
--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -15,8 +15,8 @@
     CoordinatorChoice,
 )
 from yokesill.gateway.messages import GatewayRequest
+from yokesill.peers.capacity_rank import gathering_nodes, strong_nodes
 from yokesill.verdict import Verdict
-from yokesill.watchers.capacity_rank import gathering_nodes, strong_nodes
 
 WIDE = gather_route(services=tuple(f"s{number}" for number in range(LEAST_SERVICES)))
 NOW = 1000.0
--- a/tests/outliers/test_judging.py
+++ b/tests/outliers/test_judging.py
@@ -7,7 +7,7 @@
 from yokesill.outliers.detector import OutlierDetector
 from yokesill.outliers.exchange import OutlierExchange
 from yokesill.outliers.messages import Observation, Observations, Suspicion, Suspicions, decode, encode
-from yokesill.outliers.spreading import Peer
+from yokesill.peers.dissemination import Peer
 
 
 class Fleet:
@@ -57,15 +57,15 @@
         fleet.observe(f"z1-{number}", "slow", 10.0 + number * 0.2)
     told = [node for node, suspicions in fleet.suspicions.items() if suspicions]
     assert len(told) == 60
-    # Observations to two judges, and each judge's finding to two relays.
+    # Observations to two owners, and each owner's finding to two relays.
     assert fleet.crossings <= 3 * 2 + 2 * 2
 
 
 def test_one_judge_that_is_gone_hides_nothing() -> None:
     fleet = Fleet({"z1": 4, "z2": 4})
-    judges = fleet.nodes["z1-0"]._spreading.judges_of("slow")
-    fleet.dark.add(judges[0])
-    others = [peer.node for peer in fleet.peers if peer.node not in judges]
+    owners = fleet.nodes["z1-0"]._nodes.owners_of("slow")
+    fleet.dark.add(owners[0])
+    others = [peer.node for peer in fleet.peers if peer.node not in owners]
     for number in range(3):
         fleet.observe(others[number], "slow", 10.0 + number * 0.2)
     assert all(fleet.suspicions[node] for node in others)
@@ -121,6 +121,8 @@
         encode(Observations((Observation("x"),)))[:-1],
         b"\x83\x09\x80\xf4",
         b"\x83\x02\x81\x01\xf4",
+        # A time that is too large for a float.
+        b"\x83\x02\x81\x82\x61x\xc2\x58\x80" + b"\xff" * 128 + b"\xf4",
     ],
 )
 def test_bytes_that_are_no_message_are_rejected(data: bytes) -> None:
--- a/tests/quarantine/test_quarantine_exchange.py
+++ b/tests/quarantine/test_quarantine_exchange.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from yokesill.outliers.messages import kind_of
-from yokesill.outliers.spreading import Peer
+from yokesill.peers.dissemination import Peer
+from yokesill.peers.frame import kind_of
 from yokesill.quarantine.detector import Loss, QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.quarantine.messages import (
@@ -57,11 +57,11 @@
 
 def test_a_loss_goes_to_the_requests_judges_only() -> None:
     seer = exchange(PEERS[0])
-    seer.lost(LossReport("ab", Loss("i-1", "s")))
+    seer.report_loss(LossReport("ab", Loss("i-1", "s")))
     reached = {each.address for each in seer.flush()}
-    judges = {peer.address for peer in PEERS if exchange(peer).judges("ab")}
-    assert reached == judges - {PEERS[0].address}
-    assert len(judges) == 2
+    owners = {peer.address for peer in PEERS if exchange(peer).owns("ab")}
+    assert reached == owners - {PEERS[0].address}
+    assert len(owners) == 2
     assert not seer.pending
 
 
@@ -74,7 +74,7 @@
     nodes = {peer.address: exchange(peer) for peer in PEERS}
     told: set[str] = set()
     crossings = 0
-    nodes[PEERS[0].address].found(QuarantineFinding("ab", standing))
+    nodes[PEERS[0].address].announce(QuarantineFinding("ab", standing))
     assert nodes[PEERS[0].address].urgent is (standing is QuarantineStatus.QUARANTINED)
     while any(each.pending for each in nodes.values()):
         for sender in PEERS:
--- a/tests/rollouts/test_duty.py
+++ b/tests/rollouts/test_duty.py
@@ -2,14 +2,14 @@
 
 import random
 
-from yokesill.rollouts.decider_role import INTERVAL_S, PAUSE_S, DeciderDuty
+from yokesill.rollouts.decider_role import INTERVAL_S, PAUSE_S, DeciderRole
 
 NAMES = [f"n{number}" for number in range(6)]
 PATIENCE_S = 3 * INTERVAL_S
 
 
-def duty(own: str, cores: dict[str, float] | None = None) -> DeciderDuty:
-    made = DeciderDuty(own, random.Random(1), 0.0)
+def role(own: str, cores: dict[str, float] | None = None) -> DeciderRole:
+    made = DeciderRole(own, random.Random(1), 0.0)
     made.set_nodes(cores or dict.fromkeys(NAMES, 1.0))
     made.look(True, 0.0)
     return made
@@ -19,7 +19,7 @@
     """All names by rank, found by asking who would decide alone among ever fewer."""
     rest, order = list(NAMES), []
     while rest:
-        first = min(rest, key=lambda name: duty(name, dict.fromkeys(rest, 1.0)).seniors(0.0))
+        first = min(rest, key=lambda name: role(name, dict.fromkeys(rest, 1.0)).seniors(0.0))
         order.append(first)
         rest.remove(first)
     return order
@@ -27,12 +27,12 @@
 
 def test_the_first_two_decide_at_once_and_know_their_order() -> None:
     order = ranked()
-    assert [duty(name).seniors(0.0) for name in order[:2]] == [0, 1]
+    assert [role(name).seniors(0.0) for name in order[:2]] == [0, 1]
 
 
 def test_the_time_before_there_was_an_order_counts_for_nobodys_silence() -> None:
     _, two, third, *_ = ranked()
-    made = {name: DeciderDuty(name, random.Random(1), 0.0) for name in (two, third)}
+    made = {name: DeciderRole(name, random.Random(1), 0.0) for name in (two, third)}
     for each in made.values():
         each.set_nodes(dict.fromkeys(NAMES, 1.0))
         each.look(False, 100.0)
@@ -42,16 +42,16 @@
 
 def test_strong_nodes_come_first() -> None:
     cores = {**dict.fromkeys(NAMES, 1.0), "n4": 3.0, "n2": 3.0}
-    assert {name for name in NAMES if duty(name, cores).on} == {"n2", "n4"}
+    assert {name for name in NAMES if role(name, cores).on} == {"n2", "n4"}
 
 
 def test_nobody_decides_while_there_is_nothing_to_decide() -> None:
-    made = duty(ranked()[0])
+    made = role(ranked()[0])
     made.look(False, 1.0)
     assert not made.on and made.reporting_to(1.0) == ()
 
 
-def run(made: DeciderDuty, seconds: float, speaking: list[str], able: bool = True) -> float:
+def run(made: DeciderRole, seconds: float, speaking: list[str], able: bool = True) -> float:
     now = 0.0
     while now < seconds:
         now = round(now + 0.1, 1)
@@ -63,17 +63,17 @@
 
 def test_the_third_decides_only_when_one_of_the_first_falls_silent() -> None:
     one, two, third, *_ = ranked()
-    heard = duty(third)
+    heard = role(third)
     run(heard, 5.0, [one, two])
     assert not heard.on
-    silent = duty(third)
+    silent = role(third)
     run(silent, PATIENCE_S + 2.0, [two])
     assert silent.on
 
 
 def test_the_third_decides_when_the_first_cant_reach_the_registry() -> None:
     one, two, third, *_ = ranked()
-    made = duty(third)
+    made = role(third)
     made.heard(one, False, 0.1)
     run(made, PATIENCE_S + 2.0, [two])
     assert made.on
@@ -81,7 +81,7 @@
 
 def test_nodes_report_to_the_first_two_by_rank_until_others_speak() -> None:
     one, two, third, *_ = ranked()
-    made = duty(ranked()[-1])
+    made = role(ranked()[-1])
     assert set(made.reporting_to(0.1)) == {one, two}
     now = run(made, PATIENCE_S + 1.0, [two, third])
     assert set(made.reporting_to(now)) == {two, third}
@@ -89,14 +89,14 @@
 
 def test_reports_go_past_a_decider_that_fell_silent_to_the_next() -> None:
     one, two, *_ = ranked()
-    made = duty(ranked()[-1])
+    made = role(ranked()[-1])
     now = run(made, PATIENCE_S + 0.1, [two])
     asked = made.reporting_to(now)
     assert not made.on and len(asked) == 2 and two in asked and one not in asked
 
 
 def test_a_node_that_woke_up_does_not_trust_what_it_knew() -> None:
-    made = duty(ranked()[0])
+    made = role(ranked()[0])
     now = run(made, 3.0, [])
     assert made.informed(now) and not made.woken(now)
     now += PAUSE_S + 0.5
@@ -106,7 +106,7 @@
 
 
 def test_a_node_that_hears_few_of_the_listed_ones_knows_it() -> None:
-    made = duty(ranked()[0])
+    made = role(ranked()[0])
     now = run(made, 4.0, [])
     assert not made.hears_most(now)
     for node in NAMES[:3]:
@@ -115,7 +115,7 @@
 
 
 def test_a_node_that_was_just_listed_is_waited_for() -> None:
-    made = duty(ranked()[0])
+    made = role(ranked()[0])
     now = run(made, 4.0, [])
     assert made.live(now) == frozenset()
     made.set_nodes(dict.fromkeys([*NAMES, "new"], 1.0))
@@ -124,5 +124,5 @@
 
 
 def test_a_large_fleet_reports_less_often() -> None:
-    made = duty("n0", {f"n{number}": 1.0 for number in range(770)})
+    made = role("n0", {f"n{number}": 1.0 for number in range(770)})
     assert INTERVAL_S < made.interval_s < 2 * INTERVAL_S
--- a/tests/rollouts/test_messages.py
+++ b/tests/rollouts/test_messages.py
@@ -3,8 +3,9 @@
 import cbor2
 import pytest
 
+from yokesill.peers.chunks import DATAGRAM_BYTES
+from yokesill.rollouts.datagrams import in_datagrams
 from yokesill.rollouts.messages import (
-    DATAGRAM_BYTES,
     OrderDecision,
     OrderReport,
     RolloutDecisions,
@@ -12,7 +13,6 @@
     Sample,
     decode,
     encode,
-    in_datagrams,
 )
 from yokesill.rollouts.orders import OrderId, RolloutState
 
--- a/tests/serving/crash_fleet.py
+++ b/tests/serving/crash_fleet.py
@@ -19,7 +19,7 @@
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
-from yokesill.outliers.spreading import Peer
+from yokesill.peers.dissemination import Peer
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.registry.feeds import QuarantineRecords
 from yokesill.serving.driver import GatewayDriver
--- a/tests/serving/test_outlier_link.py
+++ b/tests/serving/test_outlier_link.py
@@ -11,7 +11,7 @@
 from yokesill.gateway.events import ServerObserved
 from yokesill.outliers.exchange import OutlierExchange
 from yokesill.outliers.messages import Suspicion
-from yokesill.outliers.spreading import Peer
+from yokesill.peers.dissemination import Peer
 from yokesill.serving.outlier_link import OutlierLink
 from yokesill.serving.settings import Address
 
--- a/tests/serving/test_quarantine_link.py
+++ b/tests/serving/test_quarantine_link.py
@@ -7,7 +7,7 @@
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.crash_tracker import CrashTracker
-from yokesill.outliers.spreading import Peer
+from yokesill.peers.dissemination import Peer
 from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.registry.feeds import QuarantineRecords
--- a/tests/serving/test_zone_watch.py
+++ b/tests/serving/test_zone_watch.py
@@ -9,8 +9,8 @@
 from yokesill.gateway.events import ServerRemoved, ServersReplaced
 from yokesill.registry.feed_states import SERVERS
 from yokesill.registry.feeds import Batch
-from yokesill.watchers.group import Duty
 from yokesill.watchers.messages import FeedReport, Report, encode_report
+from yokesill.watchers.role import WatchRole
 
 # What the bound leaves for a request's way.
 WITHIN_S = 0.95 * BOUND_S
@@ -105,13 +105,13 @@
         zone.change()
         await anyio.sleep(WITHIN_S)
         assert zone.behind() == []
-        assert deaf.watch.duty is not Duty.FOLLOWING
+        assert deaf.watch.role is not WatchRole.FOLLOWING
         zone.change()
         await anyio.sleep(WITHIN_S)
         assert zone.behind() == []
         deaf.deaf = False
         await anyio.sleep(3.0)
-        assert deaf.watch.duty is Duty.FOLLOWING
+        assert deaf.watch.role is WatchRole.FOLLOWING
 
     in_a_zone(main, 60)
 
--- a/tests/serving/zone.py
+++ b/tests/serving/zone.py
@@ -23,7 +23,7 @@
 from yokesill.rollouts.orders import RolloutOrder
 from yokesill.serving.settings import Address
 from yokesill.verdict import Failure, Reason, Verdict
-from yokesill.watchers.group import Duty
+from yokesill.watchers.role import WatchRole
 from yokesill.watchers.timing import WatchTiming
 
 BOUND_S = 3.0
@@ -90,7 +90,7 @@
 
     @property
     def watching(self) -> bool:
-        return self.watch.duty is Duty.WATCHING
+        return self.watch.role is WatchRole.WATCHING
 
     async def run(self) -> None:
         with self.scope:
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -17,7 +17,7 @@
 from yokesill.rollouts.messages import OrderDecision, RolloutDecisions
 from yokesill.rollouts.orders import OrderId, RolloutState
 from yokesill.upstreams.connections import ConnectionSet, ServerConnection
-from yokesill.watchers.group import Duty, WatcherGroup
+from yokesill.watchers.role import WatchRole, create_group, watch_role
 from yokesill.watchers.timing import WatchTiming
 
 SOURCE = Path(yokesill.__file__).parent
@@ -145,13 +145,13 @@
     assert canary.share(order, 101.0) > 0.0
     assert canary.share(order, 101.0 + SUSPENDED_S) == 0.0
     terms = WatchTiming.within(3.0)
-    group = WatcherGroup("n9", terms, random.Random(1), 0.0)
+    group = create_group("n9", terms, random.Random(1), 0.0)
     group.set_members([f"n{number}" for number in range(12)])
     for node in group.ranked[:2]:
-        group.heard(node, current=True, level=True, now=100.0)
+        group.received(node, current=True, synchronised=True, now=100.0)
     assert group.reporting(100.0) != {}
     assert group.reporting(100.0 + SUSPENDED_S) == {}
-    assert group.duty(100.0 + SUSPENDED_S) is not Duty.FOLLOWING
+    assert watch_role(group, 100.0 + SUSPENDED_S) is not WatchRole.FOLLOWING
 
 
 def test_a_budget_counts_what_was_spent_before_a_suspension_only_in_its_window() -> None:
