--- a/src/yokesill/registry/zone_watch.py
+++ b/src/yokesill/registry/zone_watch.py
@@ -207,19 +207,21 @@
             known = self._states[name] = (at, encode_state(whole, follower.position))
         return known[1]
 
-    # --- being told ---
+    # --- receiving ---
 
-    def take(self, data: bytes, sender: str, now: float) -> None:
-        """Take a datagram from ``sender`` (``IP:PORT``); only nodes of this zone are listened to."""
-        try:
-            report = decode_report(data)
-            member = self._members.get(report.node)
-            if member is None or member.reports != sender:
-                return
-            behind = [each for each in report.feeds if not self._apply(each)]
-        except ValueError as error:
-            self._log.warning("datagram_rejected", sender=sender, problem=str(error))
+    def receive(self, data: bytes, sender: str, now: float) -> None:
+        """Read a report from ``sender`` (``IP:PORT``); other senders than nodes of this zone are ignored.
+
+        Raises
+        ------
+        ValueError
+            It is no report, or names a feed or a change that this node does not know.
+        """
+        report = decode_report(data)
+        member = self._members.get(report.node)
+        if member is None or member.reports != sender:
             return
+        behind = [each for each in report.feeds if not self._apply(each)]
         if len(report.feeds) == len(self._followers):
             self._group.received(report.node, report.current, not behind, now)
         for each in behind:
--- a/src/yokesill/serving/findings.py
+++ b/src/yokesill/serving/findings.py
@@ -1,4 +1,4 @@
-"""What a node finds together with the others: servers to go around, requests to keep from servers."""
+"""What a node finds together with the others: servers to avoid, requests to quarantine."""
 
 import random
 from collections.abc import Iterable
@@ -6,11 +6,13 @@
 import anyio
 
 from yokesill.gateway.events import ServerSuspected
+from yokesill.logs import get_logger
 from yokesill.outliers.exchange import OutlierExchange
 from yokesill.outliers.messages import Suspicion
 from yokesill.peers.dissemination import Peer
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.registry.feeds import NodeContact, QuarantineRecords
+from yokesill.serving.datagrams import DatagramSocket, SharedDatagrams
 from yokesill.serving.driver import GatewayDriver
 from yokesill.serving.outlier_link import OutlierLink
 from yokesill.serving.quarantine_link import QuarantineLink
@@ -18,18 +20,18 @@
 
 
 class Findings:
-    """Wires a node's part in both to its router; both go by one socket.
+    """Connects both to the node's router; their datagrams share one socket.
 
     Parameters
     ----------
     own
         This node, as the others know it.
     address
-        Where its datagrams come to; without one it finds for itself alone.
+        Where its datagrams arrive; without one it finds for itself alone.
     driver
         Feeds its router.
     records
-        Where requests that are kept from servers are recorded; ``None`` if nowhere.
+        Where quarantined requests are recorded; ``None`` if nowhere.
     source
         Chooses relays and spreads calls.
     """
@@ -46,22 +48,26 @@
         self._driver = driver
         self._outliers = OutlierExchange(peer, source)
         self._requests = QuarantineExchange(peer, source)
+        self._datagrams = SharedDatagrams(DatagramSocket(address, get_logger("outliers")))
+        wake = self._datagrams.wake
+        outliers = OutlierLink(self._outliers, self._suspect, wake)
         self._quarantine = QuarantineLink(
-            self._requests, driver.router.quarantine, driver.feed, records, source
+            self._requests, driver.router.quarantine, driver.feed, records, source, wake
         )
-        self._link = OutlierLink(self._outliers, address, self._suspect, self._quarantine)
-        driver.observed = self._link.observe
+        self._datagrams.add(outliers)
+        self._datagrams.add(self._quarantine)
+        driver.observed = outliers.observe
         driver.forgotten = self._outliers.forget
-        driver.crashed = self._quarantine.take
+        driver.crashed = self._quarantine.on_finding
 
     async def run(self) -> None:
-        """Tell and be told until cancelled."""
+        """Send and receive until cancelled."""
         async with anyio.create_task_group() as task_group:
-            task_group.start_soon(self._link.run)
+            task_group.start_soon(self._datagrams.run)
             task_group.start_soon(self._quarantine.run)
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Take which nodes there are."""
+        """Set which nodes there are."""
         peers = [Peer(each.node, each.datagrams, each.zone) for each in contacts if each.datagrams]
         self._outliers.set_peers(peers)
         self._requests.set_peers(peers)
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -1,4 +1,4 @@
-"""Carries what a node finds of requests that end servers to other nodes and to the registry's record."""
+"""Connects a node's router to other nodes and to the registry's record of requests that crash servers."""
 
 import random
 from collections.abc import Callable
@@ -12,6 +12,7 @@
 from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.quarantine.messages import (
+    QUARANTINE_KINDS,
     AnswerReport,
     Answers,
     Losses,
@@ -23,10 +24,14 @@
 from yokesill.serving.driver import CrashFinding
 from yokesill.verdict import Failure
 
+# Between two tries to write a record that failed, spread by a half each way. Chosen, not measured: nodes
+# have told each other by then, so only a restart of all of them in this time would lose the quarantine.
 RECORD_RETRY_S = 0.5
-# A quarantined request is tried again after so long: its servers' software may have been mended meanwhile. If
-# not, it ends a server of each of its shards and two more each time.
-KEPT_S, LOOK_S = 3600.0, 60.0
+# A quarantined request runs again after so long: its servers' software may have been repaired meanwhile. If
+# not, it crashes a server of each of its shards and two more each time.
+RECORD_KEPT_S = 3600.0
+# How often records are checked for their age; a sixtieth of the above is precise enough.
+LIFT_CHECK_S = 60.0
 
 
 class QuarantineLink:
@@ -44,8 +49,12 @@
         The registry's record; ``None`` where there is none.
     source
         Spreads calls over time.
+    wake
+        Called when there is something to send.
     """
 
+    kinds = QUARANTINE_KINDS
+
     def __init__(
         self,
         exchange: QuarantineExchange,
@@ -53,16 +62,17 @@
         feed: Callable[[ev.Event], None],
         records: QuarantineRecords | None,
         source: random.Random,
+        wake: Callable[[], None],
     ) -> None:
-        self.wanted: Callable[[], None] = lambda: None
         self._exchange = exchange
         self._crashes = crashes
         self._feed = feed
         self._records = records
         self._random = source
+        self._wake = wake
         self._unrecorded: dict[str, None] = {}
         self._recorded_at_s: dict[str, float] = {}
-        self._record_wanted = anyio.Event()
+        self._record_due = anyio.Event()
         self._log = get_logger("quarantine")
 
     # --- datagrams ---
@@ -81,8 +91,8 @@
         """Return what is to be sent now."""
         return self._exchange.flush()
 
-    def take(self, finding: CrashFinding) -> None:
-        """Take what this node's router found."""
+    def on_finding(self, finding: CrashFinding) -> None:
+        """Tell others what this node's router found."""
         match finding:
             case ev.LossObserved(fingerprint, loss):
                 self._exchange.report_loss(LossReport(fingerprint, loss))
@@ -91,10 +101,10 @@
             case ev.RequestJudged(fingerprint, standing):
                 self._exchange.announce(QuarantineFinding(fingerprint, standing))
                 self._record_soon(fingerprint, standing)
-        self.wanted()
+        self._wake()
 
-    def receive(self, data: bytes, sender: str) -> None:
-        """Take a datagram; raises ``ValueError`` if it is no message or from no node."""
+    def receive(self, data: bytes, sender: str, now: float) -> None:
+        """Read a datagram; raises ``ValueError`` if it is no message or from no node."""
         match self._exchange.receive(data, sender):
             case Losses(losses):
                 for fingerprint, loss in losses:
@@ -121,13 +131,13 @@
     def _record_soon(self, fingerprint: str, standing: QuarantineStatus) -> None:
         if standing is QuarantineStatus.QUARANTINED and fingerprint not in self._crashes.detector.recorded:
             self._unrecorded[fingerprint] = None
-            self._record_wanted.set()
+            self._record_due.set()
 
     async def _record(self, records: QuarantineRecords) -> None:
         """Record what was found, as often as that takes; what another node has recorded needs no call."""
         while True:
-            await self._record_wanted.wait()
-            self._record_wanted = anyio.Event()
+            await self._record_due.wait()
+            self._record_due = anyio.Event()
             while self._unrecorded:
                 fingerprint = next(iter(self._unrecorded))
                 known = fingerprint in self._crashes.detector.recorded
@@ -135,20 +145,20 @@
                 if failure is None:
                     self._unrecorded.pop(fingerprint, None)
                     continue
-                self._tell("quarantine_not_recorded", fingerprint, failure)
+                self._log_failure("quarantine_not_recorded", fingerprint, failure)
                 await anyio.sleep(RECORD_RETRY_S * (0.5 + self._random.random()))
 
     async def _lift_old(self, records: QuarantineRecords) -> None:
         """Take requests off the record that have been on it for long; each one's judges see to it."""
         while True:
-            await anyio.sleep(LOOK_S * (0.5 + self._random.random()))
+            await anyio.sleep(LIFT_CHECK_S * (0.5 + self._random.random()))
             now, recorded = anyio.current_time(), self._crashes.detector.recorded
             self._recorded_at_s = {each: self._recorded_at_s.get(each, now) for each in recorded}
             for fingerprint, since_s in self._recorded_at_s.items():
-                if now - since_s >= KEPT_S and self._exchange.owns(fingerprint):
+                if now - since_s >= RECORD_KEPT_S and self._exchange.owns(fingerprint):
                     failure = await records.lift(fingerprint)
                     if failure is not None:
-                        self._tell("quarantine_not_lifted", fingerprint, failure)
+                        self._log_failure("quarantine_not_lifted", fingerprint, failure)
 
-    def _tell(self, event: str, fingerprint: str, failure: Failure) -> None:
+    def _log_failure(self, event: str, fingerprint: str, failure: Failure) -> None:
         self._log.info(event, fingerprint=fingerprint, reason=failure.reason, detail=failure.detail)
--- a/src/yokesill/serving/rollout_link.py
+++ b/src/yokesill/serving/rollout_link.py
@@ -5,6 +5,7 @@
 
 import math
 from collections.abc import Awaitable, Callable, Collection, Iterable, Mapping
+from functools import partial
 
 import anyio
 import anyio.abc
@@ -23,7 +24,7 @@
     encode,
 )
 from yokesill.rollouts.orders import RolloutOrder
-from yokesill.serving.datagrams import open_datagrams, send_datagram
+from yokesill.serving.datagrams import DatagramSocket
 from yokesill.serving.rollout_view import RolloutView, view_of
 from yokesill.serving.settings import Address
 from yokesill.verdict import Failure
@@ -146,17 +147,8 @@
 
     async def run(self, address: Address | None) -> None:
         """Carry until cancelled; without a port this node obeys the records and decides nothing."""
-        socket = None if address is None else await open_datagrams(address)
-        if socket is None:
-            return
-
-        async def send(to: str, data: bytes) -> None:
-            await send_datagram(socket, to, data)
-
-        async with socket, anyio.create_task_group() as task_group:
-            task_group.start_soon(self.serve, send)
-            async for data, (host, port) in socket:
-                self.receive(data, f"{host}:{port}")
+        datagrams = DatagramSocket(address, self._log)
+        await datagrams.run(self.receive, partial(self.serve, datagrams.send))
 
     async def serve(self, send: Send) -> None:
         """Report and decide at each interval, and at once when something must be told."""
@@ -177,14 +169,15 @@
             return math.inf
         return min(TURN_S, self._decider.interval_s) if self._decider.deciding else self._decider.interval_s
 
-    def receive(self, data: bytes, sender: str) -> None:
-        """Take a datagram from ``sender`` (``IP:PORT``); only nodes that announced themselves count."""
-        now = anyio.current_time()
-        try:
-            message = decode(data)
-        except ValueError as error:
-            self._log.warning("datagram_rejected", sender=sender, problem=str(error))
-            return
+    def receive(self, data: bytes, sender: str, now: float) -> None:
+        """Read a datagram from ``sender`` (``IP:PORT``); only nodes that announced themselves count.
+
+        Raises
+        ------
+        ValueError
+            It is no message.
+        """
+        message = decode(data)
         if self._addresses.get(message.node) != sender:
             return
         if isinstance(message, RolloutReport):
--- a/tests/serving/crash_fleet.py
+++ b/tests/serving/crash_fleet.py
@@ -187,9 +187,10 @@
         self.peer = Peer(name, f"10.0.0.{number + 1}:9", self.zone)
         self.exchange = QuarantineExchange(self.peer, source)
         feed = (self.router.quarantine, self.driver.feed)
-        self.link = QuarantineLink(self.exchange, *feed, fleet.registry, source)
-        self.driver.crashed = self.link.take
-        self.link.wanted = lambda: fleet.tasks.start_soon(self._send)
+        self.link = QuarantineLink(
+            self.exchange, *feed, fleet.registry, source, lambda: fleet.tasks.start_soon(self._send)
+        )
+        self.driver.crashed = self.link.on_finding
         self.scope = anyio.CancelScope()
 
     async def run(self) -> None:
@@ -205,7 +206,7 @@
         for datagram in datagrams:
             for node in self.fleet.nodes:
                 if node.peer.address == datagram.address and not node.dead and not node.deaf:
-                    node.link.receive(datagram.data, self.peer.address)
+                    node.link.receive(datagram.data, self.peer.address, anyio.current_time())
                     if node.link.pending:
                         self.fleet.tasks.start_soon(node._send)
 
--- a/tests/serving/fleet_of_nodes.py
+++ b/tests/serving/fleet_of_nodes.py
@@ -180,7 +180,7 @@
             return
         for node in fleet.nodes:
             if node.address == address and not node.dead and not node.cut:
-                node.link.receive(data, self.address)
+                node.link.receive(data, self.address, anyio.current_time())
 
     def kill(self) -> None:
         self.dead = True
--- a/tests/serving/test_outlier_link.py
+++ b/tests/serving/test_outlier_link.py
@@ -9,9 +9,11 @@
 import pytest
 
 from yokesill.gateway.events import ServerObserved
+from yokesill.logs import get_logger
 from yokesill.outliers.exchange import OutlierExchange
 from yokesill.outliers.messages import Suspicion
 from yokesill.peers.dissemination import Peer
+from yokesill.serving.datagrams import DatagramSocket, SharedDatagrams
 from yokesill.serving.outlier_link import OutlierLink
 from yokesill.serving.settings import Address
 
@@ -33,7 +35,9 @@
         self.exchange = OutlierExchange(self.peer, random.Random(1))
         self.suspicions: list[Suspicion] = []
         self.told = anyio.Event()
-        self.link = OutlierLink(self.exchange, Address(LOOPBACK, port), self.suspect)
+        self.datagrams = SharedDatagrams(DatagramSocket(Address(LOOPBACK, port), get_logger("outliers")))
+        self.link = OutlierLink(self.exchange, self.suspect, self.datagrams.wake)
+        self.datagrams.add(self.link)
 
     def suspect(self, suspicions: Iterable[Suspicion]) -> None:
         self.suspicions += suspicions
@@ -47,7 +51,7 @@
     async with anyio.create_task_group() as tasks:
         for node in nodes:
             node.exchange.set_peers(each.peer for each in nodes)
-            tasks.start_soon(node.link.run)
+            tasks.start_soon(node.datagrams.run)
         await anyio.sleep(0.1)
         yield nodes
         tasks.cancel_scope.cancel()
@@ -88,7 +92,7 @@
         with contextlib.closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as taken:
             taken.bind((LOOPBACK, port))
             node = Node("n1", port)
-            await node.link.run()
+            await node.datagrams.run()
             for _ in range(4):
                 node.link.observe(SLOW)
                 await anyio.sleep(0.12)
--- a/tests/serving/test_quarantine_link.py
+++ b/tests/serving/test_quarantine_link.py
@@ -11,7 +11,7 @@
 from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.registry.feeds import QuarantineRecords
-from yokesill.serving.quarantine_link import KEPT_S, LOOK_S, QuarantineLink
+from yokesill.serving.quarantine_link import LIFT_CHECK_S, RECORD_KEPT_S, QuarantineLink
 from yokesill.verdict import Failure, Reason, Verdict
 
 DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "down")
@@ -44,10 +44,10 @@
         crashes = CrashTracker()
         crashes.record(recorded, [])
         exchange = QuarantineExchange(Peer("n1", "10.0.0.1:7", "z1"), random.Random(1))
-        link = QuarantineLink(exchange, crashes, lambda _event: None, records, random.Random(1))
+        link = QuarantineLink(exchange, crashes, lambda _event: None, records, random.Random(1), lambda: None)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(link.run)
-            link.take(finding)
+            link.on_finding(finding)
             await anyio.sleep(for_s)
             tasks.cancel_scope.cancel()
 
@@ -69,7 +69,7 @@
 
 def test_a_record_is_lifted_after_its_time() -> None:
     records = Records()
-    with_link(records, FOUND, KEPT_S - LOOK_S, frozenset({"00ff"}))
+    with_link(records, FOUND, RECORD_KEPT_S - LIFT_CHECK_S, frozenset({"00ff"}))
     assert records.calls == []
-    with_link(records, FOUND, KEPT_S + 4 * LOOK_S, frozenset({"00ff"}))
+    with_link(records, FOUND, RECORD_KEPT_S + 4 * LIFT_CHECK_S, frozenset({"00ff"}))
     assert set(records.calls) == {"lift 00ff"}
--- a/tests/serving/test_zone_watch.py
+++ b/tests/serving/test_zone_watch.py
@@ -257,10 +257,11 @@
         watcher = zone.watchers()[0].contact
         far = tuple(FeedReport(name, 0, 10**6, []) for name in node.followers)
         report = encode_report(Report(watcher.node, True, far))
-        node.watch.take(report, "10.66.0.1:2", anyio.current_time())
+        node.watch.receive(report, "10.66.0.1:2", anyio.current_time())
         unknown = encode_report(Report("stranger", True, far))
-        node.watch.take(unknown, "10.66.0.1:2", anyio.current_time())
-        node.watch.take(b"\xffnonsense", watcher.reports, anyio.current_time())
+        node.watch.receive(unknown, "10.66.0.1:2", anyio.current_time())
+        with pytest.raises(ValueError, match="malformed"):
+            node.watch.receive(b"\xffnonsense", watcher.reports, anyio.current_time())
         assert max(each.position or 0 for each in node.followers.values()) < 10**6
         zone.change()
         await anyio.sleep(WITHIN_S)
--- a/tests/serving/zone.py
+++ b/tests/serving/zone.py
@@ -205,7 +205,7 @@
 
     async def _hand_over(self, node: ZoneNode, sender: str, data: bytes) -> None:
         await node.thawed()
-        node.watch.take(data, sender, anyio.current_time())
+        node.watch.receive(data, sender, anyio.current_time())
 
     def configure(self) -> None:
         self._version += 2
