--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -12,8 +12,8 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.gateway.servers.server_zones import ServerZones
+from yokesill.peers.capacity_rank import gathering_nodes, strong_nodes
 from yokesill.registry.feeds import NodeContact
-from yokesill.watchers.capacity_rank import gathering_nodes, strong_nodes
 
 # No heartbeat says that a coordinator elsewhere is back: it is tried again after this time. Chosen, not
 # measured; each try of a dead one costs a request ``client.CONNECT_TIMEOUT_S``.
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -23,7 +23,7 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
 from yokesill.logs import LogOutput, get_logger
-from yokesill.quarantine.judge import QuarantineStatus
+from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.registry.awaited_connection import connect_tcp
 from yokesill.registry.feed_states import CONFIGURATION, EVACUATIONS, QUARANTINE, ROLLOUTS, SERVERS
 from yokesill.registry.following import FollowedFeed, RegistryFollowing
--- a/src/yokesill/serving/gauges.py
+++ b/src/yokesill/serving/gauges.py
@@ -14,7 +14,7 @@
 from yokesill.serving.state_snapshot import configuration_version
 from yokesill.telemetry.figures import GatewayFigures
 from yokesill.upstreams.server_client import ServerClient
-from yokesill.watchers.group import Duty
+from yokesill.watchers.role import WatchRole
 
 
 class GaugeSources(NamedTuple):
@@ -37,12 +37,12 @@
     gauge("yokesill_servers", "Servers known", len(router.servers))
     gauge("yokesill_nodes", "Nodes that share the budgets", router.nodes)
     gauge("yokesill_in_flight", "Requests without a final answer", router.in_flight)
-    gauge("yokesill_quarantined", "Requests kept from servers", len(router.quarantine.judge.quarantined))
+    gauge("yokesill_quarantined", "Requests kept from servers", len(router.quarantine.detector.quarantined))
     gauge("yokesill_coordinated", "Requests gathered here for other nodes", coordinator.accepted)
     gauge("yokesill_connections_opened", "Connections to servers", client.connections_opened)
     gauge("yokesill_log_lines_dropped", "Log lines that did not fit", output.dropped)
     gauge("yokesill_registry_calls", "Calls that follow feeds", following.calls)
-    gauge("yokesill_registry_asking", "Whether this node asks it", following.duty != Duty.FOLLOWING)
+    gauge("yokesill_registry_asking", "Whether this node asks it", following.role != WatchRole.FOLLOWING)
     for feed, position in following.positions().items():
         gauge(f"yokesill_registry_{feed}_position", "Known up to here", position)
     # Imported at the first call: prometheus-client costs memory that a node without a scraper needn't spend.
--- a/tests/serving/test_zone_watch.py
+++ b/tests/serving/test_zone_watch.py
@@ -9,8 +9,8 @@
 from yokesill.gateway.events import ServerRemoved, ServersReplaced
 from yokesill.registry.feed_states import SERVERS
 from yokesill.registry.feeds import Batch
-from yokesill.watchers.group import Duty
 from yokesill.watchers.messages import FeedReport, Report, encode_report
+from yokesill.watchers.role import WatchRole
 
 # What the bound leaves for a request's way.
 WITHIN_S = 0.95 * BOUND_S
@@ -105,13 +105,13 @@
         zone.change()
         await anyio.sleep(WITHIN_S)
         assert zone.behind() == []
-        assert deaf.watch.duty is not Duty.FOLLOWING
+        assert deaf.watch.role is not WatchRole.FOLLOWING
         zone.change()
         await anyio.sleep(WITHIN_S)
         assert zone.behind() == []
         deaf.deaf = False
         await anyio.sleep(3.0)
-        assert deaf.watch.duty is Duty.FOLLOWING
+        assert deaf.watch.role is WatchRole.FOLLOWING
 
     in_a_zone(main, 60)
 
@@ -257,10 +257,11 @@
         watcher = zone.watchers()[0].contact
         far = tuple(FeedReport(name, 0, 10**6, []) for name in node.followers)
         report = encode_report(Report(watcher.node, True, far))
-        node.watch.take(report, "10.66.0.1:2", anyio.current_time())
+        node.watch.receive(report, "10.66.0.1:2", anyio.current_time())
         unknown = encode_report(Report("stranger", True, far))
-        node.watch.take(unknown, "10.66.0.1:2", anyio.current_time())
-        node.watch.take(b"\xffnonsense", watcher.reports, anyio.current_time())
+        node.watch.receive(unknown, "10.66.0.1:2", anyio.current_time())
+        with pytest.raises(ValueError, match="malformed"):
+            node.watch.receive(b"\xffnonsense", watcher.reports, anyio.current_time())
         assert max(each.position or 0 for each in node.followers.values()) < 10**6
         zone.change()
         await anyio.sleep(WITHIN_S)
