--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -14,10 +14,10 @@
 from yokesill.gateway.requests.pacing_queue import PacingQueue
 from yokesill.gateway.rollouts import Rollouts
 from yokesill.gateway.servers.cold_starts import ColdStarts
+from yokesill.gateway.servers.learned_latencies import TypicalLatency
 from yokesill.gateway.servers.selection import Choice
 from yokesill.gateway.servers.server_state import ServerState
 from yokesill.gateway.servers.server_table import ServerTable
-from yokesill.gateway.servers.typical_latency import TypicalLatency
 from yokesill.rendezvous import name_hash, weight
 
 LATENESS_WEIGHT, LATENESS_CEILING = 0.2, 0.05
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -105,7 +105,6 @@
             connection_limit=context.connection_limit(self.service),
             last_resort=len(self._route.services) == 1,
             nodes=context.node_shares.active_nodes(self.service) if context.options.paces else 0,
-            heeds_refusals=context.options.heeds_refusals,
         )
         candidates = context.candidates(self.service, self._route, now, new)
         return choose_server(candidates, wanted, now, context.random_source)
@@ -222,9 +221,7 @@
         self.hedge_at = now + (hedge_delay if choice.sound else max(hedge_delay, choice.expected_s))
         if cause != "first":
             actions.append(self._note("attempt_added", cause, server, now))
-        limit = server.connection_limit(
-            context.connection_limit(self.service), context.options.heeds_refusals
-        )
+        limit = server.connections.limit(context.connection_limit(self.service))
         repeatable = self._route.repeatable
         attempt = Attempt(number, self._request, server.record, limit, deadline, repeatable)
         actions.append(SendAttempt(attempt))
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -209,7 +209,7 @@
         elif failure.reason is Reason.BACKEND_LEAVING:
             attempt.server.leave()
         elif failure.reason is Reason.CONNECTION_REFUSED and self.options.heeds_refusals:
-            attempt.server.refused(now)
+            attempt.server.connections.refused(now)
         elif self._evidence.counts(attempt, machine.route, failure, now):
             state = attempt.server.failed(attempt.sent_at_s, now)
             if self._context.rollouts.effective:
@@ -293,4 +293,4 @@
 def _(event: ev.ConnectionsChanged, router: GatewayRouter, now: float, actions: Actions) -> None:
     server = router.servers.get(event.instance)
     if server is not None:
-        server.connections = event.open_connections
+        server.connections.open = event.open_connections
--- a/src/yokesill/gateway/servers/evidence.py
+++ b/src/yokesill/gateway/servers/evidence.py
@@ -57,4 +57,4 @@
 
     def _tell(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
         server = attempt.server
-        actions.append(ServerObserved(server.record.instance, server.take_good_answers(now)))
+        actions.append(ServerObserved(server.record.instance, server.take_successes(now)))
--- a/src/yokesill/gateway/servers/selection.py
+++ b/src/yokesill/gateway/servers/selection.py
@@ -29,7 +29,6 @@
     connection_limit: int
     last_resort: bool
     nodes: float
-    heeds_refusals: bool = True
 
 
 class Choice(NamedTuple):
@@ -84,8 +83,8 @@
     slowness = max(1.0, server.slowness(now))
     pace_s = 0.0
     if not server.failing:
-        pace_s = PACE_SHARE * slowness * server.last_usual_s * wanted.nodes / max(1, server.record.slots)
-    room_at_s = max(server.last_sent_at_s + pace_s, server.refused_until_s)
+        pace_s = PACE_SHARE * slowness * server.last_typical_s * wanted.nodes / max(1, server.record.slots)
+    room_at_s = max(server.last_sent_at_s + pace_s, server.connections.refused_until_s)
     expected_s = server.expected(slowness * wanted.typical_s, now) + max(0.0, room_at_s - now)
     return Choice(server, expected_s, False, room_at_s, pace_s)
 
@@ -94,8 +93,8 @@
     """Return the best servers that are not known to be slow or failing."""
     sound = [each for each in servers if each.usable(now)]
     ready = [each for each in sound if not each.pausing(now)]
-    limit, heeds = wanted.connection_limit, wanted.heeds_refusals
-    free = [each for each in ready if each.in_flight < each.connection_limit(limit, heeds)]
+    share = wanted.connection_limit
+    free = [each for each in ready if each.in_flight < each.connections.limit(share)]
     own = [each for each in free if each.record.instance in wanted.subset]
     return own or free or ready or sound
 
@@ -110,6 +109,6 @@
 
 
 def _just_removed(server: ServerState, wanted: Wanted, now: float) -> bool:
-    if server.state == "leaving" or server.removed_at is None:
+    if server.state == "leaving" or server.removed_at_s is None:
         return False
-    return now - server.removed_at < wanted.removed_grace_s
+    return now - server.removed_at_s < wanted.removed_grace_s
--- a/src/yokesill/gateway/servers/server_table.py
+++ b/src/yokesill/gateway/servers/server_table.py
@@ -5,9 +5,8 @@
 
 from yokesill.gateway.documents import ServerRecord
 from yokesill.gateway.options import GatewayOptions
-from yokesill.gateway.servers.connecting_times import ConnectingTimes
+from yokesill.gateway.servers.learned_latencies import ConnectingTimes, ZoneDistances
 from yokesill.gateway.servers.server_state import ServerState
-from yokesill.gateway.servers.zone_distances import ZoneDistances
 from yokesill.rollouts.versions import ServiceVersions
 
 
@@ -37,7 +36,7 @@
     def connected(self, server: ServerState, seconds: float) -> None:
         """Take how long connecting to a server took."""
         self.distances.connected(server.record.zone, seconds)
-        self._connecting.observe(server.record.service, max(0.0, seconds - server.round_trip))
+        self._connecting.record(server.record.service, max(0.0, seconds - server.round_trip))
 
     def suspect(self, instance: str, for_s: float, now: float) -> bool:
         """Go around a server for a while, unless it is the last one that nobody suspects.
@@ -51,15 +50,15 @@
         if state is None or state.leaving:
             return False
         others = (each for each in self._beside(state, now) if each is not state)
-        if not any(not each.leaving and not each.suspected(now) for each in others):
+        if not any(not each.leaving and not each.probation.suspected(now) for each in others):
             return False
-        known = state.suspected(now)
-        state.suspect(for_s, now)
+        known = state.probation.suspected(now)
+        state.probation.begin(for_s, now)
         return not known
 
     def records(self) -> list[ServerRecord]:
         """Return the entries of all servers that are still listed."""
-        return [each.record for each in self._by_instance.values() if each.removed_at is None]
+        return [each.record for each in self._by_instance.values() if each.removed_at_s is None]
 
     def of_service(self, service: str) -> Iterable[ServerState]:
         """Return a service's servers."""
@@ -95,7 +94,7 @@
 
     def _tell_versions(self, service: str, now: float) -> None:
         servers = self.of_service(service)
-        listed = Counter(each.record.version for each in servers if each.removed_at is None)
+        listed = Counter(each.record.version for each in servers if each.removed_at_s is None)
         self.versions.listed(service, listed, {each.record.version for each in servers}, now)
 
     @property
@@ -118,13 +117,14 @@
     def _put(self, record: ServerRecord, now: float) -> bool:
         state = self._by_instance.get(record.instance)
         if state is None:
-            state = ServerState(record, self.distances, self._connecting, now)
+            backs_off = self._options.heeds_refusals
+            state = ServerState(record, self.distances, self._connecting, backs_off, now)
             self._by_instance[record.instance] = state
             self._by_service.setdefault(record.service, {})[record.instance] = state
             state.update(record, now)
             return True
         before = state.record
-        if before == record and state.removed_at is None:
+        if before == record and state.removed_at_s is None:
             # Told once more, by another node or in a whole list: its warm-up does not begin anew.
             return False
         state.update(record, now)
@@ -133,9 +133,9 @@
     def remove(self, instance: str, now: float) -> bool:
         """Give a server whose entry is gone no new work; return whether it was known."""
         state = self._by_instance.get(instance)
-        if state is None or state.removed_at is not None:
+        if state is None or state.removed_at_s is not None:
             return False
-        state.removed_at = now
+        state.removed_at_s = now
         if self.versions.active:
             self._tell_versions(state.record.service, now)
         return True
@@ -157,7 +157,7 @@
         gone = [
             instance
             for instance, state in self._by_instance.items()
-            if state.removed_at is not None and not state.in_flight and now - state.removed_at > longest
+            if state.removed_at_s is not None and not state.in_flight and now - state.removed_at_s > longest
         ]
         for instance in gone:
             state = self._by_instance.pop(instance)
