--- /dev/null
+++ b/src/yokesill/gateway/attempt_outcomes.py
@@ -0,0 +1,77 @@
+"""What the end of an attempt says of its server.
+
+- Any answer but a server error counts as a success, with its latency and the load that the server reports.
+- A server error (status 500 and above) is a failure of the server.
+- A rejection (``SHED``) only pauses it, for it is full at this moment; ``BACKEND_LEAVING`` takes it out.
+- A connection refused at once bounds the connections to it: it holds as many as it can and is not failing.
+- Any other failure counts if it speaks against the server at all (``servers.evidence``).
+
+What counts is also counted for roll-outs, and reported to the other nodes when it speaks against the server.
+"""
+
+from yokesill.gateway import log_events
+from yokesill.gateway.context import GatewayContext, LiveAttempt
+from yokesill.gateway.documents import Route
+from yokesill.gateway.events import AttemptAnswered
+from yokesill.gateway.messages import ServerReply
+from yokesill.gateway.servers.evidence import ServerEvidence
+from yokesill.gateway.servers.server_state import ACTIVE
+from yokesill.gateway.step import Step
+from yokesill.verdict import Failure, Reason
+
+
+class AttemptOutcomes:
+    """Counts the ends of one node's attempts towards its servers and routes."""
+
+    def __init__(self, context: GatewayContext, evidence: ServerEvidence) -> None:
+        self._context = context
+        self._evidence = evidence
+
+    def answered(self, attempt: LiveAttempt, route: Route, event: AttemptAnswered, step: Step) -> None:
+        """Count an answer."""
+        if event.sent_at_s is not None:
+            # How long an attempt waited on this node, for its turn or a connection, is not the server's
+            # doing.
+            attempt.sent_at_s = event.sent_at_s
+        if event.connected_in_s is not None:
+            self._context.servers.connected(attempt.server, event.connected_in_s)
+        reply, late_s = event.reply, self._context.lateness_s
+        state = self._count_reply(attempt, route, reply, step.now)
+        self._count_for_rollouts(attempt, route, reply.succeeded, late_s, step.now)
+        self._log_state(attempt, state, reply.status, step)
+        self._evidence.tell(attempt, step.now, step.actions)
+
+    def failed(self, attempt: LiveAttempt, route: Route, failure: Failure, step: Step) -> None:
+        """Count an end without a usable answer."""
+        server, now = attempt.server, step.now
+        if failure.reason is Reason.SHED:
+            server.shed(now)
+        elif failure.reason is Reason.BACKEND_LEAVING:
+            server.leave()
+        elif failure.reason is Reason.CONNECTION_REFUSED and self._context.options.heeds_refusals:
+            server.refused(now)
+        elif self._evidence.counts(attempt, route, failure, now):
+            state = server.failed(attempt.sent_at_s, now)
+            self._count_for_rollouts(attempt, route, False, 0.0, now)
+            self._log_state(attempt, state, failure.reason.value, step)
+            self._evidence.tell(attempt, now, step.actions)
+
+    def _count_reply(self, attempt: LiveAttempt, route: Route, reply: ServerReply, now: float) -> str | None:
+        """Count an answer for its server and route; return the server's new state if it changed."""
+        if reply.is_server_error:
+            return attempt.server.failed(attempt.sent_at_s, now)
+        typical, late_s = self._context.typical(route), self._context.lateness_s
+        state = attempt.server.answered(attempt.sent_at_s, typical.median, reply.load, now, late_s)
+        typical.record(now - attempt.sent_at_s)
+        return state
+
+    def _count_for_rollouts(
+        self, attempt: LiveAttempt, route: Route, succeeded: bool, late_s: float, now: float
+    ) -> None:
+        rollouts = self._context.rollouts
+        if rollouts.effective:
+            rollouts.ended(attempt.server, route, succeeded, attempt.sent_at_s, late_s, now)
+
+    def _log_state(self, attempt: LiveAttempt, state: str | None, why: object, step: Step) -> None:
+        if state is not None and state != ACTIVE:
+            step.actions.append(log_events.server_state(attempt, state, why, step.now))
--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -1,4 +1,9 @@
-"""What the requests of one node share."""
+"""What the requests of one node share: servers, attempts under way, budgets, what was learnt of routes.
+
+Owns the node's state behind the router; the rules of ``requests`` and ``servers`` read and change it. Which
+servers a request may go to at all (``candidates``), and how many of them and how many connections this node
+uses (``subset``, ``connection_limit``), is decided here, too. Relies on ``servers`` and ``limits``.
+"""
 
 import itertools
 import random
@@ -14,24 +19,29 @@
 from yokesill.gateway.requests.pacing_queue import PacingQueue
 from yokesill.gateway.rollouts import Rollouts
 from yokesill.gateway.servers.cold_starts import ColdStarts
-from yokesill.gateway.servers.selection import Choice
 from yokesill.gateway.servers.server_state import ServerState
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.gateway.servers.typical_latency import TypicalLatency
 from yokesill.rendezvous import name_hash, weight
 
-LATENESS_WEIGHT, LATENESS_CEILING = 0.2, 0.05
+# The weight of the newest timer in the node's lateness: it follows a node that turns busy within some five
+# timers. Chosen, not measured.
+LATENESS_WEIGHT = 0.2
+# More than this is a pause rather than a busy node, and counts as this much. Chosen, not measured.
+LATENESS_CEILING_S = 0.05
 # A hedge needs a second server.
 LEAST_SUBSET = 2
+# Servers whose round trips differ by less are equally near, and are spread over the nodes by hash. Chosen,
+# not measured.
 SAME_DISTANCE_S = 0.001
 
 
 @dataclass(slots=True)
 class LiveAttempt:
-    """An attempt without an end yet; ``extra`` when it was paid for by the budget.
+    """An attempt under way; ``extra`` when the budget paid for it.
 
-    ``told`` when the other nodes were told that its server is silent. ``trial`` when its request is suspected
-    of ending servers and was sent to this one alone.
+    ``told`` when the other nodes were told that its server is silent. ``probe`` when its request is suspected
+    of crashing servers and was sent to this one alone.
     """
 
     number: int
@@ -40,15 +50,15 @@
     sent_at_s: float
     extra: bool
     told: bool = False
-    trial: bool = False
+    probe: bool = False
 
 
 @dataclass(slots=True)
 class GatewayContext:
     """Servers, budgets and estimates of a node; ``live`` are all attempts under way, by number.
 
-    ``lateness`` is how late this node's own timers come, in seconds: a machine that is slow or busy
-    must begin to answer earlier.
+    ``numbers`` names attempts. ``lateness_s`` is how late this node's own timers come, in seconds: a machine
+    that is slow or busy must begin to answer earlier.
     """
 
     options: GatewayOptions
@@ -56,10 +66,10 @@
     servers: ServerTable
     started_at: float
     configuration: Configuration | None = None
-    lateness: float = 0.0
+    lateness_s: float = 0.0
     live: dict[int, LiveAttempt] = field(default_factory=dict)
     numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
-    waiting: PacingQueue[Any] = field(default_factory=PacingQueue)
+    pacing_queue: PacingQueue[Any] = field(default_factory=PacingQueue)
     crashes: CrashTracker = field(default_factory=CrashTracker)
     cold_starts: ColdStarts = field(init=False)
     node_shares: NodeShares = field(init=False)
@@ -68,10 +78,10 @@
     _terms: BudgetLimits | None = None
     _budgets: dict[str, ExtraAttemptBudget] = field(default_factory=dict)
     _typical: dict[str, TypicalLatency] = field(default_factory=dict)
-    _longest_patience: dict[str, float] = field(default_factory=dict)
+    _longest_timeout_s: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Hash this node's name once, and share nothing yet with nodes that aren't known."""
+        """Hash this node's name once, and share nothing yet with unknown nodes."""
         self._node_hash = name_hash(self.options.node)
         self.node_shares = NodeShares(self.options.node, self.options.assumed_nodes)
         self.rollouts = Rollouts(self.servers.versions)
@@ -85,6 +95,14 @@
             budget = self._budgets[service] = ExtraAttemptBudget(terms, self.started_at)
         return budget
 
+    def extra_attempts_left(self, service: str, now: float) -> float:
+        """Return how many extra attempts this node may make at the service now."""
+        return self.budget(service).left(self.node_shares.active_nodes(service), now)
+
+    def take_extra_attempt(self, service: str, now: float) -> bool:
+        """Pay for one extra attempt; ``False`` when the budget does not allow it."""
+        return self.budget(service).take(self.node_shares.active_nodes(service), now)
+
     def set_budget(self, terms: BudgetLimits) -> None:
         """Keep every service to other terms; windows of another length are counted anew."""
         for service, budget in list(self._budgets.items()):
@@ -105,15 +123,15 @@
         """Return what is known of the route, which may be gone; see ``typical``."""
         return self._typical.get(route.name)
 
-    def waited_before(self, route: Route, patience: float) -> float:
-        """Return how long the caller has waited before this request, in seconds.
+    def earlier_wait_s(self, route: Route, caller_timeout_s: float) -> float:
+        """Return how long the caller has waited on an earlier try of its request, in seconds.
 
-        Callers of one route wait equally long; one that waits less than the most patient has spent
-        the difference on an earlier try.
+        Callers of one route have the same timeout; one that names less than the longest seen has spent the
+        difference on an earlier try.
         """
-        longest = max(patience, self._longest_patience.get(route.name, 0.0))
-        self._longest_patience[route.name] = longest
-        return longest - patience
+        longest_s = max(caller_timeout_s, self._longest_timeout_s.get(route.name, 0.0))
+        self._longest_timeout_s[route.name] = longest_s
+        return longest_s - caller_timeout_s
 
     def forget_unused(self, before: Configuration | None) -> None:
         """Drop what was learnt of routes and services that neither this nor the last version names.
@@ -125,19 +143,19 @@
         named = {name for each in versions for route in each.routes for name in route.services}
         services = named.union(*(each.services for each in versions))
         self._typical = {name: kept for name, kept in self._typical.items() if name in routes}
-        self._longest_patience = {
-            name: kept for name, kept in self._longest_patience.items() if name in routes
+        self._longest_timeout_s = {
+            name: kept for name, kept in self._longest_timeout_s.items() if name in routes
         }
         self._budgets = {name: kept for name, kept in self._budgets.items() if name in services}
         self.servers.versions.keep(services)
 
     def kept_estimates(self) -> int:
         """How many routes and services something learnt is kept of."""
-        return len(self._typical) + len(self._longest_patience) + len(self._budgets)
+        return len(self._typical) + len(self._longest_timeout_s) + len(self._budgets)
 
-    def observe_lateness(self, seconds: float) -> None:
-        """Take how late one timer came."""
-        self.lateness += LATENESS_WEIGHT * (min(seconds, LATENESS_CEILING) - self.lateness)
+    def observe_lateness(self, late_s: float) -> None:
+        """Count how late one timer came, in seconds."""
+        self.lateness_s += LATENESS_WEIGHT * (min(late_s, LATENESS_CEILING_S) - self.lateness_s)
 
     def limits(self, service: str) -> ServiceLimits | None:
         """Return what the service's servers bear; ``None`` if the configuration doesn't say."""
@@ -202,20 +220,8 @@
         distance = round(server.round_trip / SAME_DISTANCE_S)
         return distance, weight(self._node_hash, server.name_hash)
 
-    def has_room(self, choice: Choice, now: float) -> bool:
-        """Whether the chosen server may be sent a request now; sound ones always may."""
-        return choice.sound or not self.options.paces or choice.room_at_s <= now
-
-    def has_spare_room(self, choice: Choice, service: str, now: float) -> bool:
-        """Whether the chosen server may be asked without taking the room that a request waits for."""
-        return self.has_room(choice, now) and (choice.sound or not self.waiting.anybody(service))
-
-    def stall(self, attempt: LiveAttempt) -> None:
-        """Mark an attempt as late by its route's measure."""
-        attempt.server.stall(attempt.number)
-
     def release(self, number: int) -> LiveAttempt | None:
-        """Take an ended attempt off its server; ``None`` when it had ended before."""
+        """Take an attempt off its server; ``None`` when it has ended before."""
         attempt = self.live.pop(number, None)
         if attempt is not None:
             attempt.server.end(number)
--- a/src/yokesill/gateway/crash_events.py
+++ b/src/yokesill/gateway/crash_events.py
@@ -1,4 +1,8 @@
-"""Events and actions about requests under which servers ended; part of ``gateway.events``."""
+"""Events and actions about requests under which servers ended; part of ``gateway.events``.
+
+``fingerprint`` is that of the request (``requests.fingerprints``); ``trial`` says that no other server had
+the request at that time. What the nodes exchange of it is in ``quarantine``.
+"""
 
 from typing import NamedTuple
 
@@ -8,14 +12,14 @@
 
 
 class LossReported(NamedTuple):
-    """Another node told that a server ended under a request."""
+    """Another node reported that a server ended under a request."""
 
     fingerprint: str
     loss: Loss
 
 
 class AnswerReported(NamedTuple):
-    """Another node told that a server answered a request under which servers had ended."""
+    """Another node reported that a server answered a request under which servers had ended."""
 
     fingerprint: str
     service: str
@@ -30,19 +34,19 @@
 
 
 class RequestQuarantined(NamedTuple):
-    """The registry records that a request is kept from servers."""
+    """The registry records a request as quarantined."""
 
     fingerprint: str
 
 
 class QuarantineLifted(NamedTuple):
-    """A request was taken off that record."""
+    """The registry records a request no longer as quarantined."""
 
     fingerprint: str
 
 
 class QuarantineReplaced(NamedTuple):
-    """All requests on that record as of one moment."""
+    """All requests that the registry records as quarantined, as of one moment."""
 
     fingerprints: frozenset[str]
 
@@ -51,14 +55,14 @@
 
 
 class LossObserved(NamedTuple):
-    """A server ended under a request: tell the nodes that judge it."""
+    """A server ended under a request: report it to the nodes that judge the request."""
 
     fingerprint: str
     loss: Loss
 
 
 class AnswerObserved(NamedTuple):
-    """A server answered a request under which servers had ended: tell the nodes that judge it."""
+    """A server answered a request under which servers had ended: report it to the nodes that judge it."""
 
     fingerprint: str
     service: str
--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -1,21 +1,21 @@
-"""What a node knows of requests under which servers ended, and what it tells the others of them."""
+"""What a node knows of requests under which servers ended, and what it reports of them.
+
+Owns the node's ``CrashDetector``; turns its findings into actions: a log event for each change of a request's
+status, and reports to the nodes that judge a request together.
+"""
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.requests.fingerprints import fingerprint
 from yokesill.quarantine.judge import CrashDetector, Loss, QuarantineStatus
-from yokesill.verdict import Failure, Reason, Verdict
-
-# Nothing is gained by coming back before somebody has looked at the request or at the servers' software.
-QUARANTINED_RETRY_AFTER_MS = 60_000
 
 
 class CrashTracker:
-    """One node's judge of requests, and the actions that follow from what it finds.
+    """One node's detector of requests that crash servers, and the actions that follow from its findings.
 
-    ``told`` once the registry or a peer told which requests are quarantined. ``newly_quarantined`` are those
-    of which something may still be under way here. While nothing is known of any request, no fingerprint is
-    worked out.
+    ``told`` once the registry or a peer has sent the list of quarantined requests. ``newly_quarantined`` are
+    those of which attempts may still be under way here. While nothing is known of any request, no fingerprint
+    is computed.
     """
 
     def __init__(self) -> None:
@@ -24,56 +24,57 @@
         self.newly_quarantined: set[str] = set()
 
     def standing(self, request: GatewayRequest, now: float) -> QuarantineStatus:
-        """Return what holds for a request."""
+        """Return a request's status."""
         return self.judge.standing(fingerprint(request), now) if len(self.judge) else QuarantineStatus.CLEAR
 
     # --- what this node saw ---
 
     def lost(self, name: str, loss: Loss, now: float, actions: list[ev.Action]) -> None:
-        """Take that a server ended under the request with the fingerprint ``name``.
+        """Count that a server ended under the request with the fingerprint ``name``.
 
-        A suspicion stays here: the request may be answered yet. Who judges it for all is told of its losses
-        once it has failed, so that a loss of many servers at once makes no messages for all that was there.
+        A suspicion stays here: the request may be answered yet. The nodes that judge it for all get its
+        losses once it has failed, so that a loss of many servers at once makes no messages for every request
+        there.
         """
-        standing = self.judge.lost(name, loss, now)
-        if standing is not None:
-            self._changed(name, standing, "found", actions)
-        if standing is QuarantineStatus.QUARANTINED:
-            actions.append(ev.RequestJudged(name, standing))
-
-    def tell(self, name: str, loss: Loss, actions: list[ev.Action]) -> None:
-        """Have those told who judge a request that failed."""
+        status = self.judge.lost(name, loss, now)
+        if status is not None:
+            self._changed(name, status, "found", actions)
+        if status is QuarantineStatus.QUARANTINED:
+            actions.append(ev.RequestJudged(name, status))
+
+    def report_loss(self, name: str, loss: Loss, actions: list[ev.Action]) -> None:
+        """Report a loss of a failed request to the nodes that judge it."""
         self.judge.share(name)
         actions.append(ev.LossObserved(name, loss))
 
-    def answered(self, name: str, service: str, trial: bool, actions: list[ev.Action]) -> None:
-        """Take that a server answered it."""
+    def answered(self, name: str, service: str, probe: bool, actions: list[ev.Action]) -> None:
+        """Count that a server answered the request, which may clear it."""
         shared = self.judge.shared(name)
-        if self.judge.answered(name, service, trial):
+        if self.judge.answered(name, service, probe):
             if shared:
-                actions.append(ev.AnswerObserved(name, service, trial))
-            if trial:
+                actions.append(ev.AnswerObserved(name, service, probe))
+            if probe:
                 self._changed(name, QuarantineStatus.CLEAR, "answered", actions)
 
-    # --- what other nodes and the registry tell ---
+    # --- what other nodes and the registry report ---
 
     def loss_reported(self, event: ev.LossReported, now: float, actions: list[ev.Action]) -> None:
-        """Take what another node saw; what comes of it, all nodes are told."""
-        standing = self.judge.lost(event.fingerprint, event.loss, now)
+        """Count what another node saw; all nodes get what follows from it."""
+        status = self.judge.lost(event.fingerprint, event.loss, now)
         self.judge.share(event.fingerprint)
-        if standing is not None:
-            self._changed(event.fingerprint, standing, "found", actions)
-            actions.append(ev.RequestJudged(event.fingerprint, standing))
+        if status is not None:
+            self._changed(event.fingerprint, status, "found", actions)
+            actions.append(ev.RequestJudged(event.fingerprint, status))
 
     def status_received(
         self, event: ev.QuarantineStatusReceived, now: float, actions: list[ev.Action]
     ) -> None:
-        """Take what another node found."""
+        """Adopt what another node found."""
         if self.judge.told(event.fingerprint, event.standing, now):
             self._changed(event.fingerprint, event.standing, "told", actions)
 
     def record(self, fingerprints: frozenset[str], actions: list[ev.Action]) -> None:
-        """Take which requests the registry records."""
+        """Adopt the registry's list of quarantined requests."""
         before, self.told = self.judge.recorded, True
         self.judge.record(fingerprints)
         for each in sorted(fingerprints - before):
@@ -81,19 +82,13 @@
         for each in sorted(before - fingerprints):
             self._changed(each, QuarantineStatus.CLEAR, "lifted", actions)
 
-    def take_new(self) -> frozenset[str]:
-        """Return the requests that were quarantined since this was last asked."""
+    def take_newly_quarantined(self) -> frozenset[str]:
+        """Return the requests that were quarantined since the last call."""
         taken, self.newly_quarantined = frozenset(self.newly_quarantined), set()
         return taken
 
-    def _changed(self, name: str, standing: QuarantineStatus, why: str, actions: list[ev.Action]) -> None:
-        if standing is QuarantineStatus.QUARANTINED:
+    def _changed(self, name: str, status: QuarantineStatus, why: str, actions: list[ev.Action]) -> None:
+        if status is QuarantineStatus.QUARANTINED:
             self.newly_quarantined.add(name)
-        details: dict[str, object] = {"fingerprint": name, "standing": standing.name.lower(), "why": why}
+        details: dict[str, object] = {"fingerprint": name, "standing": status.name.lower(), "why": why}
         actions.append(ev.LogEvent("request_judged", details))
-
-
-def quarantined(name: str, verdict: Verdict) -> Failure:
-    """Return why a request that ends servers gets no answer; ``verdict`` says whether it may have run."""
-    detail = f"servers ended under it: {name}"
-    return Failure(Reason.QUARANTINED, verdict, detail, QUARANTINED_RETRY_AFTER_MS)
--- a/src/yokesill/gateway/documents.py
+++ b/src/yokesill/gateway/documents.py
@@ -1,4 +1,8 @@
-"""What operators configure for the gateway: routes, services and limits, versioned as a whole."""
+"""What operators configure for the gateway, and servers as the registry lists them.
+
+Routes, services and limits are versioned as a whole: a request keeps to the version of its arrival. Immutable
+values; where they come from is the business of ``registry`` and of the platform's adapter.
+"""
 
 import bisect
 from dataclasses import dataclass, field
@@ -18,7 +22,7 @@
 
 
 class WeightedService(NamedTuple):
-    """One part of a split."""
+    """One service of a split; its share is its weight over the sum of all weights."""
 
     service: str
     weight: float
@@ -34,10 +38,10 @@
 class Route:
     """How one class of requests is answered.
 
-    Only servers in ``regions`` may get its requests; any may when there are none. ``timeout_s`` is the
-    longest that a request is held and ``objective_s`` the latency that it should have, both in seconds.
-    ``max_attempts`` bounds the servers that one request may run on (for each service of a gather).
-    ``priority`` 0 is the most urgent.
+    Only servers in ``regions`` may get its requests; any may when there are none. ``repeatable``: its
+    requests are idempotent and may run more than once. ``timeout_s`` is the longest that a request is held
+    and ``objective_s`` its latency objective, both in seconds. ``max_attempts`` bounds the servers that one
+    request may run on (for each service of a gather). ``priority`` 0 is the most urgent.
     """
 
     name: str
@@ -69,7 +73,7 @@
 
 
 class ServiceLimits(NamedTuple):
-    """What the servers of one service bear, each from all nodes together.
+    """How much each server of one service can take from all nodes together.
 
     ``connections`` at a time, and while a server is cold ``cold_requests_per_s``; 0 is no bound.
     """
@@ -79,9 +83,9 @@
 
 
 class HostRoutes(NamedTuple):
-    """One host's routes by their prefix, and the lengths that prefixes have, rising.
+    """One host's routes by prefix, and the ``lengths`` of these prefixes, rising.
 
-    A host has few lengths, however many routes: a path is looked up once for each.
+    There are few lengths, however many routes: a path is looked up once for each.
     """
 
     lengths: list[int]
@@ -99,7 +103,7 @@
     _by_host: dict[str, HostRoutes] = field(init=False, repr=False, compare=False, default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Sort the routes by host and prefix; the first of two that are alike counts."""
+        """Index the routes by host and prefix; of two with the same ones the first counts."""
         for route in self.routes:
             routes = self._by_host.get(route.host)
             if routes is None:
@@ -109,7 +113,7 @@
             routes.by_prefix.setdefault(route.prefix, route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the host's route whose prefix begins ``path`` and is longest."""
+        """Return the host's route with the longest prefix of ``path``."""
         routes = self._by_host.get(host)
         if routes is None:
             return None
--- a/src/yokesill/gateway/events.py
+++ b/src/yokesill/gateway/events.py
@@ -1,4 +1,8 @@
-"""Typed events into the gateway's router and typed actions out of it."""
+"""Typed events into the gateway's router and typed actions out of it.
+
+Values only. Whatever drives a router feeds events in the order in which they happen and carries the actions
+out in theirs (``serving.driver``). Moments are in seconds of the node's clock.
+"""
 
 import enum
 from collections.abc import Mapping
@@ -23,7 +27,7 @@
 
 
 class TimerKind(enum.IntEnum):
-    """The decision points of a request; ``ROOM`` is one of a service, whose name is the timer's key."""
+    """The decision points of a request; ``PACING`` is a service's, whose name is the timer's key."""
 
     HEDGE = 1
     OBJECTIVE = 2
@@ -31,7 +35,7 @@
     PACING = 4
 
 
-# --- events ---
+# --- events: requests and their attempts ---
 
 
 class RequestArrived(NamedTuple):
@@ -80,6 +84,9 @@
     key: str
 
 
+# --- events: state updates from the registry and from other nodes ---
+
+
 class ConfigurationLearnt(NamedTuple):
     """A version of the configuration was read from any source; older ones are ignored."""
 
@@ -105,7 +112,7 @@
 
 
 class ZoneEvacuated(NamedTuple):
-    """Operators want nothing new to go to a zone's servers."""
+    """Operators evacuate a zone: nothing new goes to its servers."""
 
     zone: str
 
@@ -141,19 +148,19 @@
 
 
 class RolloutDecisionsReceived(NamedTuple):
-    """A decider told what holds for some orders."""
+    """A decider sent its decisions on some orders."""
 
     word: RolloutDecisions
 
 
 class VersionsEstablished(NamedTuple):
-    """Another node told which versions of each service served before any order that still stands."""
+    """Another node sent which versions of each service served before any order that still stands."""
 
     versions: Mapping[str, tuple[str, ...]]
 
 
 class ServerSuspected(NamedTuple):
-    """The nodes together found that a server is slow or failing; go around it for ``for_s``."""
+    """The nodes together found that a server is slow or failing; avoid it for ``for_s`` seconds."""
 
     instance: str
     for_s: float
@@ -166,7 +173,7 @@
 
 
 class NodesMet(NamedTuple):
-    """All nodes that are there, and those of them that gather wide requests for their zone."""
+    """All live nodes, and those of them that are coordinators: they gather wide requests for their zone."""
 
     names: frozenset[str]
     coordinators: frozenset[str] = frozenset()
@@ -213,7 +220,7 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Break an attempt off; nothing that it still brings is looked at."""
+    """Cancel an attempt; whatever it still brings is ignored."""
 
     number: int
 
@@ -235,7 +242,7 @@
 
 
 class Gathered(NamedTuple):
-    """The final answer: the greatest records of the parts that are in, in falling order."""
+    """The final answer: the greatest records of the shard replies that came, greatest first."""
 
     key: str
     records: bytes
@@ -245,7 +252,7 @@
 
 
 class Refuse(NamedTuple):
-    """The final refusal, with a verdict and when to come back."""
+    """The final refusal, with its verdict and Retry-After."""
 
     key: str
     failure: Failure
@@ -253,15 +260,15 @@
 
 
 class ForgetServer(NamedTuple):
-    """A server is long gone: nothing kept for it is needed any more."""
+    """A server is long gone: drop what is kept for it."""
 
     instance: str
 
 
 class ServerObserved(NamedTuple):
-    """A server was late, failed, or has been silent for long: tell the other nodes.
+    """A server was late, failed, or has been silent for long: report it to the other nodes.
 
-    ``good_answers`` came from it in the last second or so and were not told of yet.
+    ``good_answers`` came from it in the last second or so and were not reported yet.
     """
 
     instance: str
--- a/src/yokesill/gateway/log_events.py
+++ b/src/yokesill/gateway/log_events.py
@@ -1,4 +1,7 @@
-"""The router's decisions as notes for the log; ``docs/OPERATIONS.md`` tells what each means."""
+"""The router's decisions as log events; ``docs/OPERATIONS.md`` says what each means.
+
+Names and fields are relied on by operators' tools and metrics: they don't change.
+"""
 
 from yokesill.gateway.context import LiveAttempt
 from yokesill.gateway.events import LogEvent
@@ -9,7 +12,7 @@
 
 
 def attempt_failed(attempt: LiveAttempt, request: GatewayRequest, failure: Failure, now: float) -> LogEvent:
-    """Return the note of an attempt without a usable answer; a lost one tells its request apart."""
+    """Return the event of an attempt without a usable answer; a lost one names its request's fingerprint."""
     details: dict[str, object] = {
         "request": attempt.request_id,
         "instance": attempt.server.record.instance,
@@ -24,7 +27,7 @@
 
 
 def server_state(attempt: LiveAttempt, state: str, why: object, now: float) -> LogEvent:
-    """Return the note of a server's new state, and of the attempt that showed it."""
+    """Return the event of a server's new state, with the attempt that showed it."""
     details: dict[str, object] = {
         "instance": attempt.server.record.instance,
         "service": attempt.server.record.service,
@@ -36,18 +39,18 @@
 
 
 def server_suspected(instance: str, for_s: float) -> LogEvent:
-    """Return the note of a server that the nodes together found slow or failing."""
+    """Return the event of a server that the nodes together found slow or failing."""
     details: dict[str, object] = {"instance": instance, "state": "suspected", "why": "peers", "for_s": for_s}
     return LogEvent("server_state", details)
 
 
 def server_entry(instance: str, change: str) -> LogEvent:
-    """Return the note of a changed entry in the registry."""
+    """Return the event of a changed entry in the registry."""
     return LogEvent("server_entry", {"instance": instance, "change": change})
 
 
 def rollout(change: OrderChange) -> LogEvent:
-    """Return the note of an order whose record, or what this node obeys of it, has changed."""
+    """Return the event of an order whose record, or effective state at this node, has changed."""
     details: dict[str, object] = {
         "service": change.order.service,
         "target": change.order.target,
--- a/src/yokesill/gateway/messages.py
+++ b/src/yokesill/gateway/messages.py
@@ -1,4 +1,7 @@
-"""What passes between the gateway's decisions and its I/O: requests, attempts, replies."""
+"""What passes between the gateway's decisions and its I/O: requests, attempts, replies.
+
+Values only, without behaviour. Times are in seconds of the node's clock where they are moments.
+"""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -11,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayRequest:
-    """A caller's request as it was read whole.
+    """A caller's request, read whole.
 
     ``key`` names it within this node; ``request_id`` is the caller's own name for it.
     ``arrived_at_s`` is in seconds of the node's clock; ``caller_timeout_s`` is how long the caller will wait
     from then on, in seconds (``None``: it did not say). ``fresh_connection``: it connected for this
-    request, so that its way here took longer. ``asked_before``: another node may have asked servers
-    for it, so that whatever is sent now may be a second time.
+    request, which took time before it arrived. ``asked_before``: another node may have sent it to servers
+    already, and whatever is sent now may be a second time.
     """
 
     key: str
@@ -63,6 +66,11 @@
         """Whether it is a signed success."""
         return 200 <= self.status < 300 and self.signature is not None
 
+    @property
+    def is_server_error(self) -> bool:
+        """Whether the server failed; with lower statuses it did what the request asked for."""
+        return self.status >= 500
+
 
 class Attempt(NamedTuple):
     """One sending of a request to one server; ``deadline_at_s`` in seconds of the node's clock.
@@ -81,9 +89,9 @@
 class RequestSummary(NamedTuple):
     """How a request went, for logs and metrics; times in seconds.
 
-    ``waited_s`` is how long a part of it waited for room at slow servers; ``left_out`` are services
-    that were not asked since the answer could do without them. ``late``: its answer came too late to
-    be in time.
+    ``covered`` of its ``asked`` services replied. ``waited_s`` is the longest that one of its calls waited
+    for pacing slots; ``left_out`` are services that were sent nothing since the answer could do without
+    them. ``late``: its answer came after its latency objective.
     """
 
     route: str
--- /dev/null
+++ b/src/yokesill/gateway/requests/hedging.py
@@ -0,0 +1,103 @@
+"""When a hedge is sent: one more attempt at a service whose attempts are late.
+
+1. An attempt is late ``hedge_delay_s`` after it was sent, or, at a slow server, when its answer was expected
+   if that is later. The delay is a few times the route's typical latency, but short enough for another
+   server to answer before the objective, and never below ``minimum_hedge_delay_s``.
+2. If more than half of a request's calls are late at once, this node itself is the likelier cause: all their
+   hedges are postponed by one more delay, once a request.
+3. A late attempt marks its server as stalled, and its call counts no longer towards the answer.
+4. The hedge is sent if all of these hold: the request isn't isolated; its route is idempotent
+   (``repeatable``) and has attempts left; some server that was not tried yet can be selected; that server
+   has a spare slot if it is slow; the service's budget of extra attempts has one left (``limits.budget``).
+5. Each call is hedged once for the attempts under way. A hedge is an attempt like any other: it may be late
+   in turn, and the first answer counts.
+
+All times are in seconds. The factors are options of the gateway (2.0 for wide requests, 2.5 for single ones):
+a multiple of the median holds while up to half of the servers are slow (docs/design/platform.md). Without the
+switch ``hedges`` late servers are marked, but nothing is sent.
+"""
+
+from yokesill.gateway.requests.fan_out import FanOut
+from yokesill.gateway.requests.pacing import has_spare_slot
+from yokesill.gateway.requests.probing import is_isolated
+from yokesill.gateway.requests.service_call import NEVER, ServiceCall
+from yokesill.gateway.step import Step
+
+# This many typical latencies before the objective a hedge is due, even if the attempt is not late by its
+# typical time yet. Without it searches lose 0.003 of their credit and checks 0.002, most where two shards
+# have only slow servers (0.025); bench/overload.py, three seeds.
+LATEST_HEDGE_FACTOR = 1.3
+# Above this share of late calls the node itself is taken to be late: its first wide request, busy connecting,
+# hedged 0.78 of its shards, and 0.12 with this rule. With nodes that are never busy it buys nothing clear
+# (0.003 of credit either way, bench/overload.py).
+NODE_LATE_SHARE = 0.5
+# With fewer calls than this, a late half is no sign of a late node. Chosen, not measured.
+LEAST_CALLS_TO_COMPARE = 8
+
+
+# --- when a hedge is due ---
+
+
+def hedge_delay_s(fan_out: FanOut, now: float) -> float:
+    """Return how long after it is sent an attempt is late."""
+    context = fan_out.context
+    options = context.options
+    typical_s = context.typical(fan_out.route).median
+    delay_s = typical_s * (options.gather_hedge_factor if fan_out.gathers else options.single_hedge_factor)
+    latest_s = fan_out.objective_at_s - now - LATEST_HEDGE_FACTOR * typical_s
+    if typical_s < latest_s < delay_s:
+        delay_s = latest_s
+    return max(delay_s, options.minimum_hedge_delay_s)
+
+
+def next_hedge_at_s(fan_out: FanOut) -> float:
+    """Return when the next hedge is due, in seconds of the node's clock; infinite if none is."""
+    return min((call.hedge_at_s for call in fan_out.calls if call.open), default=NEVER)
+
+
+def late_calls(fan_out: FanOut, now: float) -> list[ServiceCall]:
+    """Return the calls for which a hedge is due."""
+    return [call for call in fan_out.calls if call.open and call.hedge_at_s <= now]
+
+
+# --- whether it is sent ---
+
+
+def postpone_hedges(fan_out: FanOut, late: list[ServiceCall], now: float) -> bool:
+    """Postpone the hedges of ``late`` calls if this node is the likelier cause; return whether it did."""
+    if not _node_is_late(fan_out, late):
+        return False
+    fan_out.postponed_hedges = True
+    delay_s = hedge_delay_s(fan_out, now)
+    for call in late:
+        call.hedge_at_s = now + delay_s
+    return True
+
+
+def _node_is_late(fan_out: FanOut, late: list[ServiceCall]) -> bool:
+    calls = len(fan_out.calls)
+    if fan_out.postponed_hedges or calls < LEAST_CALLS_TO_COMPARE:
+        return False
+    return fan_out.context.options.postpones_hedges and len(late) > NODE_LATE_SHARE * calls
+
+
+def hedge(fan_out: FanOut, late: list[ServiceCall], step: Step) -> None:
+    """Send hedges for the ``late`` calls where that is allowed."""
+    if is_isolated(fan_out, step):
+        for call in late:
+            call.hedge_at_s = NEVER
+        return
+    delay_s = hedge_delay_s(fan_out, step.now)
+    for call in late:
+        call.mark_late()
+        _send_hedge(fan_out, call, delay_s, step)
+        fan_out.note_attempts(call)
+
+
+def _send_hedge(fan_out: FanOut, call: ServiceCall, delay_s: float, step: Step) -> None:
+    context, route = fan_out.context, fan_out.route
+    if not route.repeatable or not call.has_attempts_left or not context.options.hedges:
+        return
+    choice = call.select(step.now, hedging=True)
+    if choice is not None and has_spare_slot(choice, call.service, context, step.now):
+        call.send("hedge", choice, fan_out.deadline_at_s, delay_s, step)
--- a/src/yokesill/gateway/requests/merge.py
+++ b/src/yokesill/gateway/requests/merge.py
@@ -1,4 +1,4 @@
-"""Merges parts of fixed-size records: the greatest by bytes, in falling order, equal ones all kept."""
+"""Merges shard replies: records of a fixed size, the greatest by bytes first, equal ones all kept."""
 
 import heapq
 import struct
@@ -8,8 +8,11 @@
 _RECORD = struct.Struct(f"{RECORD_BYTES}s")
 
 
-def greatest_records(parts: Iterable[bytes], count: int) -> bytes:
-    """Return the greatest ``count`` records of ``parts``; a remainder shorter than a record is none."""
-    whole = b"".join([part[: len(part) - len(part) % RECORD_BYTES] for part in parts])
+def greatest_records(bodies: Iterable[bytes], count: int) -> bytes:
+    """Return the greatest ``count`` records of all ``bodies``, greatest first.
+
+    What is left over at the end of a body, shorter than a record, is ignored.
+    """
+    whole = b"".join([body[: len(body) - len(body) % RECORD_BYTES] for body in bodies])
     greatest = heapq.nlargest(count, _RECORD.iter_unpack(whole))
     return b"".join([record for (record,) in greatest])
--- a/src/yokesill/gateway/requests/pacing_queue.py
+++ b/src/yokesill/gateway/requests/pacing_queue.py
@@ -1,8 +1,16 @@
-"""Requests that wait at this node for room at slow servers.
+"""Whose turn it is when a slow server's pacing slot is free.
 
-A server's own queue is first in, first out: once it is longer than callers wait, every answer comes
-too late. What waits here instead can be served in the order that brings most callers their answer in
-time, and costs no server anything while it waits.
+Requests wait at this node, not in the server's own queue: that is first in, first out, and once it is longer
+than callers wait, every answer comes too late. What waits here is served in the order that brings most
+callers their answer in time, costs no server anything meanwhile, and surely has not run.
+
+The order, for each service:
+
+1. requests that would soon be given up: an answer that never comes is worse than a late one;
+2. of those that can still be in time the newest: first in, first out would serve each one just too late;
+3. whatever has waited longest.
+
+Among equals of any of these the most urgent route goes first. All times are in seconds of the node's clock.
 """
 
 from typing import Generic, Protocol, TypeVar
@@ -23,72 +31,67 @@
         """How urgent it is."""
 
     def awaits_slot(self, service: str) -> bool:
-        """Whether it still waits for room at a service."""
+        """Whether it still waits for a slot at a service."""
 
 
-# Expected latencies that a request must have left, lest it be served before others. It buys answers that
-# come at all: without it 12 and 13 in 100 searches get none where two shards are all slow under 1.2 times
-# the load, or all slow or dark; with it 4 and 7 (at 5: 2 and 7, but fewer are in time). `bench/overload.py`.
+# A request with less time left than this many expected latencies is soon given up and goes first. It buys
+# answers that come at all: without it 12 and 13 in 100 searches get none where two shards are all slow under
+# 1.2 times the load, or all slow or dark; with it 4 and 7 (at 5: 2 and 7, but fewer are in time).
+# bench/overload.py, seeds 1 to 3.
 LAST_CHANCE_FACTOR = 2.5
 
 Request = TypeVar("Request", bound=QueuedRequest)
 
 
 class PacingQueue(Generic[Request]):
-    """Who waits for room at each service, and when to look again."""
+    """Which requests wait for a slot at each service, and when a timer wakes them."""
 
     def __init__(self) -> None:
         self._requests: dict[str, list[Request]] = {}
         self._expected_s: dict[str, float] = {}
-        self._look_at: dict[str, float] = {}
+        self._wake_up_at_s: dict[str, float] = {}
 
     def __len__(self) -> int:
-        """Of how many services something is kept."""
-        return len(self._requests.keys() | self._expected_s.keys() | self._look_at.keys())
+        """For how many services something is kept."""
+        return len(self._requests.keys() | self._expected_s.keys() | self._wake_up_at_s.keys())
 
     def enter(self, service: str, request: Request, expected_s: float) -> None:
-        """Let a request wait for room at a service that takes ``expected_s`` for an answer."""
+        """Let a request wait for a slot at a service that takes ``expected_s`` for an answer."""
         self._expected_s[service] = expected_s
         waiting = self._requests.setdefault(service, [])
         if request not in waiting:
             waiting.append(request)
 
     def next(self, service: str, now: float) -> Request | None:
-        """Return whose turn it is: whoever has little time left, the newest, or who waits longest.
-
-        Of each of these the most urgent first: a more urgent kind of request must not be served less.
-        An answer that never comes is worse than a late one, so that those go first that would soon
-        be given up. Then come those that can be in time, the newest first: first in, first out would
-        serve each one just after its time was over.
-        """
+        """Return the request whose turn it is; ``None`` when no request waits any more."""
         waiting = [each for each in self._requests.get(service, ()) if each.awaits_slot(service)]
         if not waiting:
             self._requests.pop(service, None)
             self._expected_s.pop(service, None)
             return None
         self._requests[service] = waiting
-        least_s = LAST_CHANCE_FACTOR * self._expected_s.get(service, 0.0)
-        last_chance = [each for each in waiting if each.deadline_at_s - now < least_s]
+        last_chance_s = LAST_CHANCE_FACTOR * self._expected_s.get(service, 0.0)
+        last_chance = [each for each in waiting if each.deadline_at_s - now < last_chance_s]
         if last_chance:
             return _most_urgent(last_chance)[0]
         in_time = [each for each in waiting if each.objective_at_s > now]
         return _most_urgent(in_time)[-1] if in_time else _most_urgent(waiting)[0]
 
-    def anybody(self, service: str) -> bool:
-        """Whether somebody waits for room at a service."""
+    def is_awaited(self, service: str) -> bool:
+        """Whether any request waits for a slot at a service."""
         return any(each.awaits_slot(service) for each in self._requests.get(service, ()))
 
-    def look_again(self, service: str, at: float) -> bool:
-        """Note that there is room at ``at``; whether a timer is needed for it."""
-        planned = self._look_at.get(service)
-        if planned is not None and planned <= at:
+    def plan_wake_up(self, service: str, at_s: float) -> bool:
+        """Note when a slot is free; return whether that needs a timer, since none is set for as early."""
+        planned_at_s = self._wake_up_at_s.get(service)
+        if planned_at_s is not None and planned_at_s <= at_s:
             return False
-        self._look_at[service] = at
+        self._wake_up_at_s[service] = at_s
         return True
 
-    def looked(self, service: str) -> None:
-        """Take the timer of a service as fired."""
-        self._look_at.pop(service, None)
+    def woken_up(self, service: str) -> None:
+        """Note that the timer of a service has fired."""
+        self._wake_up_at_s.pop(service, None)
 
 
 def _most_urgent(waiting: list[Request]) -> list[Request]:
--- a/src/yokesill/gateway/requests/request.py
+++ b/src/yokesill/gateway/requests/request.py
@@ -1,39 +1,43 @@
-"""One request from its arrival to its final answer."""
+"""The life cycle of one request, from its arrival to its final answer.
+
+Receives what concerns the request from the router (its arrival, its attempts' ends, its timers, its turn at
+a slow server, that its caller left) and calls the rules in their order. Each rule stands in a module of its
+own:
+
+- ``deadlines``: when the answer is late, when the request is given up
+- ``first_attempts``, ``deferral``, ``pacing``: who is sent an attempt at once, later, or not at all
+- ``hedging``: when a hedge is sent
+- ``retrying``: when a failed attempt is followed by another one
+- ``isolation``, ``probing``: what happens to a request that may crash servers
+- ``conclusion``, ``refusal``: the final answer, its verdict and Retry-After
+
+The request holds its configuration as of its arrival, and gives its final answer at most once.
+"""
 
 from yokesill.gateway.context import GatewayContext, LiveAttempt
-from yokesill.gateway.crash_tracker import quarantined
-from yokesill.gateway.documents import Gather, Route
-from yokesill.gateway.events import (
-    Action,
-    CancelAttempt,
-    Gathered,
-    PassOn,
-    Refuse,
-    SetTimer,
-    TimerKind,
+from yokesill.gateway.documents import Route
+from yokesill.gateway.events import CancelAttempt, Refuse, SetTimer, TimerKind
+from yokesill.gateway.messages import GatewayRequest, ServerReply
+from yokesill.gateway.requests import (
+    conclusion,
+    deferral,
+    first_attempts,
+    hedging,
+    probing,
+    refusal,
+    retrying,
 )
-from yokesill.gateway.messages import GatewayRequest, RequestSummary, ServerReply
 from yokesill.gateway.requests.fan_out import FanOut
-from yokesill.gateway.requests.losses import RequestLosses
-from yokesill.gateway.requests.merge import greatest_records
-from yokesill.gateway.requests.refusals import shared_reason
-from yokesill.gateway.requests.retry_after import FAILED_RETRY_AFTER_MS
 from yokesill.gateway.requests.service_call import NEVER, ServiceCall
-from yokesill.quarantine.judge import Loss
-from yokesill.verdict import Failure, Reason, Verdict, join
-
-# Where more than half of a request's attempts are late at once, this node's own delay is the likelier
-# cause: a node's first wide request, busy connecting, hedged 0.78 of its shards. Hedging then waits once.
-# With nodes that are never busy it buys nothing clear (0.003 of credit either way, bench/overload.py); fewer
-# than eight attempts are too few to compare.
-NODE_LATE_SHARE, LEAST_CALLS_TO_COMPARE = 0.5, 8
+from yokesill.gateway.step import Step
+from yokesill.verdict import Failure, Reason
 
 
 class RequestMachine:
-    """Decides for one request under the configuration that was in force when it arrived.
+    """One request under the configuration that was in force when it arrived.
 
-    ``objective_at_s`` is when an answer that covers enough is given although parts are missing: the latest
-    moment at which it is still in time for the caller. ``deadline_at_s`` is when it is given up.
+    ``objective_at_s`` is until when a whole answer is waited for, ``deadline_at_s`` when it is given up,
+    both in seconds of the node's clock (see ``deadlines``). ``done`` once it has its final answer.
     """
 
     def __init__(
@@ -47,130 +51,161 @@
         self.request = request
         self.route = route
         self.done = False
-        self._version = version
         self._context = context
-        self._timer_at = NEVER
-        self._postponed = False
-        options = context.options
-        margin = options.fresh_margin_s if request.fresh_connection else options.kept_margin_s
-        margin += context.lateness
-        self._margin = margin
-        patience = request.caller_timeout_s if request.caller_timeout_s is not None else route.timeout_s
-        self.deadline_at_s = request.arrived_at_s + min(route.timeout_s, patience - margin)
-        waited = context.waited_before(route, patience)
-        if waited >= route.objective_s:
-            # Late whatever is done; or this caller is merely less patient than the most patient one.
-            waited = 0.0
-        self.objective_at_s = request.arrived_at_s + max(0.0, route.objective_s - waited - margin)
-        self._evidence = RequestLosses(request, context.crashes)
-        self._parts = FanOut(self, request, route, services, context)
+        self._hedge_timer_at_s = NEVER
+        self._fan_out = FanOut(self, request, route, services, version, context)
+        self.objective_at_s = self._fan_out.objective_at_s
+        self.deadline_at_s = self._fan_out.deadline_at_s
 
-    # --- events ---
+    @property
+    def fingerprint(self) -> str:
+        """The same for each try of the request, by whichever caller."""
+        return self._fan_out.isolation.fingerprint
 
-    def begin(self, now: float, actions: list[Action]) -> None:
+    # --- arrival and end ---
+
+    def begin(self, step: Step) -> None:
         """Send the first attempts and set the timers."""
-        self._parts.begin(now, actions)
-        if isinstance(self.route.destination, Gather):
-            actions.append(SetTimer(self.request.key, TimerKind.OBJECTIVE, self.objective_at_s))
-        actions.append(SetTimer(self.request.key, TimerKind.DEADLINE, self.deadline_at_s))
-        self._conclude(now, actions)
-        self._set_hedge_timer(actions)
+        first_attempts.send_first_attempts(self._fan_out, step)
+        if self._fan_out.gathers:
+            step.actions.append(SetTimer(self.request.key, TimerKind.OBJECTIVE, self.objective_at_s))
+        step.actions.append(SetTimer(self.request.key, TimerKind.DEADLINE, self.deadline_at_s))
+        self._conclude(step)
+        self._set_hedge_timer(step)
+
+    def caller_left(self, step: Step) -> None:
+        """Cancel everything: nobody waits for the answer."""
+        self.done = True
+        self._cancel_attempts(step)
+        self._report_losses(step)
 
-    def answered(self, number: int, reply: ServerReply, now: float, actions: list[Action]) -> None:
-        """Take an attempt's whole answer."""
-        call = self._parts.by_number.pop(number)
-        call.answered(number, reply)
-        self._parts.ended(number, now, actions, answered=True, lost="")
-        if not reply.succeeded and self.route.repeatable and reply.status >= 500 and not self.done:
-            self._retry(call, now, actions)
-        elif not reply.succeeded and not call.live_numbers:
-            call.closed = call.reply is None
-        self._parts.count(call)
-        self._conclude(now, actions)
+    def quarantine(self, step: Step) -> None:
+        """Refuse the request at once, and cancel what is under way before it crashes more servers."""
+        if self.done:
+            return
+        self.done = True
+        summary = conclusion.summarize(self._fan_out, step.now)
+        self._cancel_attempts(step)
+        self._report_losses(step)
+        failure = refusal.quarantined(self.fingerprint, summary.verdict)
+        step.actions.append(Refuse(self.request.key, failure, summary))
+
+    def _conclude(self, step: Step) -> None:
+        if self.done:
+            return
+        answer = conclusion.final_answer(self._fan_out, step.now)
+        if answer is None:
+            return
+        self.done = True
+        self._report_losses(step)
+        step.actions.append(answer)
+
+    def _cancel_attempts(self, step: Step) -> None:
+        by_number = self._fan_out.by_number
+        for number in list(by_number):
+            del by_number[number]
+            self._context.release(number)
+            step.actions.append(CancelAttempt(number))
+
+    # --- attempts ---
 
-    def failed(self, number: int, failure: Failure, now: float, actions: list[Action]) -> None:
-        """Take an attempt's end without an answer."""
-        call = self._parts.by_number.pop(number, None)
+    def answered(self, number: int, reply: ServerReply, step: Step) -> None:
+        """Handle an attempt's whole answer."""
+        fan_out = self._fan_out
+        call = fan_out.by_number.pop(number)
+        call.answered(number, reply)
+        self._attempt_ended(number, step, answered=True, lost_service="")
+        if not reply.succeeded:
+            if not self.done and retrying.is_retried(fan_out, reply):
+                self._retry(call, step)
+            elif not call.live_numbers:
+                call.close_unless_replied()
+        fan_out.count_if_over(call)
+        self._conclude(step)
+
+    def failed(self, number: int, failure: Failure, step: Step) -> None:
+        """Handle an attempt's end without an answer."""
+        call = self._fan_out.by_number.pop(number, None)
         if call is None:
             return
         call.failed(number, failure)
-        if not self.done:
-            lost = call.service if failure.reason is Reason.CONNECTION_LOST else ""
-            self._parts.ended(number, now, actions, answered=False, lost=lost)
-            self._retry(call, now, actions)
-            self._conclude(now, actions)
-
-    def timer(self, kind: TimerKind, now: float, actions: list[Action]) -> None:
-        """Take a decision point."""
         if self.done:
             return
-        due = self._due(kind)
-        self._context.observe_lateness(max(0.0, now - due))
+        lost_service = call.service if failure.reason is Reason.CONNECTION_LOST else ""
+        self._attempt_ended(number, step, answered=False, lost_service=lost_service)
+        self._retry(call, step)
+        self._conclude(step)
+
+    def server_lost(self, attempt: LiveAttempt, step: Step) -> None:
+        """Count that a server ended under an attempt; called before ``failed``."""
+        fan_out = self._fan_out
+        only_attempt = fan_out.by_number.keys() <= {attempt.number}
+        fan_out.isolation.server_lost(attempt, only_attempt, step)
+        if self.done:
+            self._report_losses(step)
+
+    def _attempt_ended(self, number: int, step: Step, answered: bool, lost_service: str) -> None:
+        """Probe the next held call, or send all held ones once the request is isolated no longer."""
+        fan_out, isolation = self._fan_out, self._fan_out.isolation
+        was_isolated = isolation.active
+        isolation.attempt_ended(number, answered, lost_service)
+        if not was_isolated:
+            return
+        if probing.is_isolated(fan_out, step):
+            probing.probe_next(fan_out, step)
+            return
+        for call in isolation.release():
+            if call.attempts:
+                retrying.retry(fan_out, call, step)
+            else:
+                first_attempts.send_held(fan_out, call, step)
+        deferral.dispatch_deferred_calls(fan_out, step)
+
+    def _retry(self, call: ServiceCall, step: Step) -> None:
+        retrying.retry(self._fan_out, call, step)
+        self._set_hedge_timer(step)
+
+    def _report_losses(self, step: Step) -> None:
+        isolation = self._fan_out.isolation
+        if isolation.has_unreported:
+            answered = {call.service for call in self._fan_out.calls if call.reply is not None}
+            isolation.report_losses(answered, step)
+
+    # --- timers ---
+
+    def timer(self, kind: TimerKind, step: Step) -> None:
+        """Handle a timer of this request."""
+        if self.done:
+            return
+        self._context.observe_lateness(max(0.0, step.now - self._due_at_s(kind)))
         if kind is TimerKind.HEDGE:
-            self._hedge_due(now, actions)
+            self._hedge_due(step)
         elif kind is TimerKind.DEADLINE:
-            self._give_up(now, actions)
-        self._conclude(now, actions)
+            conclusion.expire_open_calls(self._fan_out)
+        self._conclude(step)
 
-    def _due(self, kind: TimerKind) -> float:
+    def _due_at_s(self, kind: TimerKind) -> float:
         if kind is TimerKind.HEDGE:
-            return self._timer_at
+            return self._hedge_timer_at_s
         return self.objective_at_s if kind is TimerKind.OBJECTIVE else self.deadline_at_s
 
-    def caller_left(self, actions: list[Action]) -> None:
-        """Break everything off: nobody waits for it."""
-        self.done = True
-        self._break_off(actions)
-        self._tell_losses(actions)
-
-    def _break_off(self, actions: list[Action]) -> None:
-        for number in list(self._parts.by_number):
-            del self._parts.by_number[number]
-            self._context.release(number)
-            actions.append(CancelAttempt(number))
-
-    # --- servers that end under it ---
-
-    @property
-    def fingerprint(self) -> str:
-        """What tells the request when it comes again."""
-        return self._evidence.fingerprint
-
-    def suspected(self, now: float) -> bool:
-        """Whether servers are suspected to end by it."""
-        return self._evidence.suspected(now)
-
-    def suspects_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
-        """Return calls in the order in which to try them: services first whose servers ended."""
-        return self._evidence.suspects_first(calls)
-
-    def lost(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
-        """Take that a server ended under an attempt.
-
-        A trial counts as one if nothing else of the request was left that a server might have answered.
-        """
-        record = attempt.server.record
-        alone = attempt.trial and self._parts.by_number.keys() <= {attempt.number}
-        loss = Loss(record.instance, record.service, alone)
-        self._evidence.add(self._parts.isolation.evidence(loss), now, actions)
-        if self.done:
-            self._tell_losses(actions)
-
-    def _tell_losses(self, actions: list[Action]) -> None:
-        answered = {call.service for call in self._parts.calls if call.reply is not None}
-        self._evidence.tell(answered, actions)
+    def _hedge_due(self, step: Step) -> None:
+        fan_out = self._fan_out
+        self._hedge_timer_at_s = NEVER
+        late = hedging.late_calls(fan_out, step.now)
+        if not hedging.postpone_hedges(fan_out, late, step.now):
+            hedging.hedge(fan_out, late, step)
+            # Late calls count no longer towards the answer: deferred ones may be needed in their place.
+            deferral.dispatch_deferred_calls(fan_out, step)
+        self._set_hedge_timer(step)
 
-    def quarantine(self, now: float, actions: list[Action]) -> None:
-        """Give up at once: servers end by it. What is under way is broken off before it ends more."""
-        if self.done:
-            return
-        self.done = True
-        summary = self._summary(now)
-        self._break_off(actions)
-        self._tell_losses(actions)
-        actions.append(Refuse(self.request.key, quarantined(self.fingerprint, summary.verdict), summary))
+    def _set_hedge_timer(self, step: Step) -> None:
+        due_at_s = hedging.next_hedge_at_s(self._fan_out)
+        if due_at_s < self._hedge_timer_at_s and not self.done:
+            self._hedge_timer_at_s = due_at_s
+            step.actions.append(SetTimer(self.request.key, TimerKind.HEDGE, due_at_s))
 
-    # --- room at slow servers ---
+    # --- turns at slow servers ---
 
     @property
     def priority(self) -> int:
@@ -178,122 +213,13 @@
         return self.route.priority
 
     def awaits_slot(self, service: str) -> bool:
-        """Whether a service should be asked as soon as one of its slow servers has room."""
-        return not self.done and self._parts.awaits_slot(service)
-
-    def dispatch_deferred(self, service: str, now: float, actions: list[Action]) -> float | None:
-        """Ask a service that has room; return ``None``, or from when on it has room (seconds)."""
-        room_at_s = self._parts.dispatch_deferred(service, now, actions)
-        if room_at_s is None:
-            self._conclude(now, actions)
-            self._set_hedge_timer(actions)
-        return room_at_s
-
-    # --- hedges and retries ---
-
-    def _hedge_due(self, now: float, actions: list[Action]) -> None:
-        self._timer_at = NEVER
-        late = self._parts.late_calls(now)
-        if self._node_is_late(late):
-            delay = self._parts.hedge_delay(now)
-            for call in late:
-                call.hedge_at = now + delay
-        else:
-            self._parts.hedge(late, now, actions)
-        self._set_hedge_timer(actions)
-
-    def _node_is_late(self, late: list[ServiceCall]) -> bool:
-        """Whether so many services are late at once that this node is the likelier cause; once."""
-        calls = len(self._parts.calls)
-        compares = self._context.options.postpones_hedges and calls >= LEAST_CALLS_TO_COMPARE
-        if self._postponed or not compares:
-            return False
-        self._postponed = len(late) > NODE_LATE_SHARE * calls
-        return self._postponed
-
-    def _retry(self, call: ServiceCall, now: float, actions: list[Action]) -> None:
-        self._parts.retry(call, now, actions)
-        self._set_hedge_timer(actions)
-
-    def _set_hedge_timer(self, actions: list[Action]) -> None:
-        due = self._parts.next_hedge_at()
-        if due < self._timer_at and not self.done:
-            self._timer_at = due
-            actions.append(SetTimer(self.request.key, TimerKind.HEDGE, due))
-
-    # --- the final answer ---
-
-    def _conclude(self, now: float, actions: list[Action]) -> None:
-        """Answer as soon as that is right; at most once."""
-        if self.done:
-            return
-        if isinstance(self.route.destination, Gather):
-            self._conclude_gather(self.route.destination, now, actions)
-        else:
-            self._conclude_single(now, actions)
-
-    def _conclude_single(self, now: float, actions: list[Action]) -> None:
-        call = self._parts.calls[0]
-        if call.open:
-            return
-        self.done = True
-        self._tell_losses(actions)
-        reply = call.reply or call.fallback
-        if reply is not None:
-            actions.append(PassOn(self.request.key, reply, self._summary(now)))
-            return
-        self._refuse(now, actions)
-
-    def _conclude_gather(self, gather: Gather, now: float, actions: list[Action]) -> None:
-        parts = self._parts
-        if parts.coverage_met:
-            if parts.pending and now < self.objective_at_s:
-                return
-        elif not parts.coverage_unreachable:
-            return
-        self.done = True
-        self._tell_losses(actions)
-        if not parts.coverage_met:
-            self._refuse(now, actions)
-            return
-        replies = [call.reply for call in parts.calls if call.reply is not None]
-        records = greatest_records((reply.body for reply in replies), gather.greatest)
-        signatures = tuple(reply.signature for reply in replies if reply.signature is not None)
-        missing = len(parts.calls) - len(replies)
-        summary = self._summary(now)
-        actions.append(Gathered(self.request.key, records, signatures, missing, summary))
-
-    def _give_up(self, now: float, actions: list[Action]) -> None:
-        """The time is over: answer with what there is, or say that it is over."""
-        for call in self._parts.calls:
-            if call.open:
-                call.closed = True
-                call.failure = Failure(Reason.TIMED_OUT, call.verdict, "no answer in time")
-                self._parts.count(call)
-        self._conclude(now, actions)
-
-    def _refuse(self, now: float, actions: list[Action]) -> None:
-        failures = [call.failure for call in self._parts.calls if call.failure is not None]
-        verdict = join(call.verdict for call in self._parts.calls)
-        reason, detail = shared_reason(failures)
-        refused = verdict is Verdict.NOT_RUN
-        come_back = self._parts.retry_after_ms_of(now) if refused else FAILED_RETRY_AFTER_MS
-        failure = Failure(reason, verdict, detail, come_back)
-        actions.append(Refuse(self.request.key, failure, self._summary(now)))
-
-    def _summary(self, now: float) -> RequestSummary:
-        covered = sum(call.reply is not None for call in self._parts.calls)
-        return RequestSummary(
-            route=self.route.name,
-            version=self._version,
-            verdict=join(call.verdict for call in self._parts.calls),
-            elapsed_s=now - self.request.arrived_at_s,
-            covered=covered,
-            asked=len(self._parts.calls),
-            attempts=sum(call.sent for call in self._parts.calls),
-            extra_attempts=sum(call.extras for call in self._parts.calls),
-            missing=tuple(call.service for call in self._parts.calls if call.reply is None),
-            left_out=tuple(call.service for call in self._parts.calls if not call.sent),
-            waited_s=max(call.waited_s for call in self._parts.calls),
-            late=now > self.objective_at_s + self._margin,
-        )
+        """Whether a service's call should be sent as soon as one of its slow servers has a free slot."""
+        return not self.done and deferral.awaits_slot(self._fan_out, service)
+
+    def dispatch_deferred(self, service: str, step: Step) -> float | None:
+        """Send a service's deferred call; return ``None``, or when a slot is free instead (seconds)."""
+        free_at_s = deferral.dispatch_deferred(self._fan_out, service, step)
+        if free_at_s is None:
+            self._conclude(step)
+            self._set_hedge_timer(step)
+        return free_at_s
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -1,29 +1,54 @@
-"""The attempts of one request at the servers of one service."""
+"""The attempts of one request at the servers of one service.
+
+Owns what was sent and what came back, and whether the request may have run there: its verdict is a promise
+to the caller. Which server an attempt goes to is decided here and in ``servers.selection``; whether one is
+sent at all is decided by ``first_attempts``, ``deferral``, ``hedging``, ``retrying`` and ``probing``.
+"""
 
 from collections.abc import Collection
 
 from yokesill.gateway.context import GatewayContext, LiveAttempt
 from yokesill.gateway.documents import Route
-from yokesill.gateway.events import Action, LogEvent, SendAttempt
+from yokesill.gateway.events import LogEvent, SendAttempt
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
+from yokesill.gateway.requests import refusal
 from yokesill.gateway.servers.selection import Choice, Wanted, choose_server
 from yokesill.gateway.servers.server_state import ServerState
+from yokesill.gateway.step import Step
 from yokesill.rollouts.orders import RolloutState
 from yokesill.verdict import Failure, Reason, Verdict
 
-LEAST_TIME_TO_SEND = 0.003
+# An attempt with less time left is not sent: it would cost a server work for an answer that comes too late.
+# Chosen, not measured.
+LEAST_TIME_TO_SEND_S = 0.003
 NEVER = float("inf")
+# Failures after which the request surely never reached a server, so that the next attempt is no extra one.
 NEVER_LEFT = frozenset({Reason.OVERLOADED, Reason.CONNECT_FAILED, Reason.CONNECTION_REFUSED})
 
 
 class ServiceCall:
     """Progress at one service: attempts under way, what came back, and what may have run.
 
-    ``reply`` is the answer that counts; ``fallback`` a failure that a server answered with, to be
-    passed on when nothing better comes. ``settled`` is its request's mark that it was counted.
-    ``hedge_at`` is when another server is asked as well. ``deferred`` names why an attempt is yet to
-    be sent that waits for room at its servers; it is empty otherwise. ``waited_s`` is how long
-    attempts waited so before they were sent. ``canary``: its first attempt may go to a new version.
+    Attributes
+    ----------
+    reply, fallback
+        The answer that counts; a failure that a server answered with, passed on when nothing better comes.
+    closed, failure
+        Whether it was given up, and the last failure.
+    counted
+        The fan-out's mark that it counted the call as over.
+    hedge_at_s
+        When a hedge is due, in seconds of the node's clock.
+    late
+        Whether the last attempt is late; a newer attempt clears it.
+    deferred_cause
+        The cause of an attempt that waits for a pacing slot; empty while none waits.
+    waited_s
+        How long attempts waited for pacing slots before they were sent, in seconds.
+    canary
+        Whether the first attempt may go to a new version.
+    attempts, extra_attempts
+        How many were sent, and how many of them the budget paid for.
     """
 
     def __init__(self, service: str, request: GatewayRequest, route: Route, context: GatewayContext) -> None:
@@ -31,26 +56,28 @@
         self.reply: ServerReply | None = None
         self.fallback: ServerReply | None = None
         self.closed = False
-        self.settled = False
+        self.counted = False
         self.failure: Failure | None = None
-        self.hedge_at = NEVER
-        self.deferred = ""
+        self.hedge_at_s = NEVER
+        self.deferred_cause = ""
         self.waited_s = 0.0
         self.late = False
         self.canary = False
-        self.sent = 0
-        self.extras = 0
+        self.attempts = 0
+        self.extra_attempts = 0
         self._request = request
         self._route = route
         self._context = context
         self._live: dict[int, LiveAttempt] = {}
         self._tried: set[str] = set()
-        self._deferred_at = 0.0
-        # Whoever asked before may have sent all but the last attempt.
+        self._deferred_at_s = 0.0
+        # Another node that had the request before may have sent all attempts but the last.
         self._ran = max(1, route.max_attempts - 1) if request.asked_before else 0
-        self._arrived = request.asked_before
+        self._may_have_arrived = request.asked_before
         self._verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
 
+    # --- state ---
+
     @property
     def open(self) -> bool:
         """Whether it may still contribute."""
@@ -66,7 +93,27 @@
         """The attempts under way."""
         return list(self._live)
 
-    # --- sending ---
+    @property
+    def has_attempts_left(self) -> bool:
+        """Whether another attempt keeps to the route's bound on servers that may run the request."""
+        return self._ran + len(self._live) < self._route.max_attempts
+
+    @property
+    def may_repeat(self) -> bool:
+        """Whether another attempt is safe: the route is idempotent, or nothing can have run yet."""
+        return self._route.repeatable or self._verdict is Verdict.NOT_RUN
+
+    @property
+    def next_is_extra(self) -> bool:
+        """Whether the next attempt is paid for by the budget: an earlier one may have reached a server."""
+        return self._may_have_arrived or bool(self._live)
+
+    def available_at_s(self, now: float) -> float:
+        """Return when a server of the service may be asked, whichever were tried; infinite if unknown."""
+        candidates = self._context.candidates(self.service, self._route, now)
+        return min((each.available_at_s(now) for each in candidates), default=NEVER)
+
+    # --- which server ---
 
     def select(self, now: float, hedging: bool = False) -> Choice | None:
         """Return the server that an attempt would go to now; ``None`` when there is none.
@@ -75,18 +122,18 @@
         else to the old one. A service that is switched over is asked at the new version, and at the old one
         only if the new one has no server that can be asked; a hedge then stays at the new one.
         """
-        obeyed = self._context.rollouts.effective
-        state = obeyed.get(self.service) if obeyed else None
+        effective = self._context.rollouts.effective
+        state = effective.get(self.service) if effective else None
         if state is RolloutState.SWITCHING:
-            return self._look_while_switching(now, hedging)
-        if self.canary and not self.sent and state is RolloutState.CANARY:
+            return self._select_while_switching(now, hedging)
+        if self.canary and not self.attempts and state is RolloutState.CANARY:
             choice = self._choose(self._tried, now, new=True)
             if choice is not None and choice.sound and not choice.server.leaving:
                 return choice
         return self._choose(self._tried, now)
 
-    def _look_while_switching(self, now: float, hedging: bool) -> Choice | None:
-        """Look at the new version; a server whose entry vanished is asked after the old ones."""
+    def _select_while_switching(self, now: float, hedging: bool) -> Choice | None:
+        """Return a server of the new version; one whose entry vanished comes after the old version's."""
         choice = self._choose(self._tried, now, new=True)
         if hedging or (choice is not None and not choice.server.leaving):
             return choice
@@ -110,146 +157,120 @@
         candidates = context.candidates(self.service, self._route, now, new)
         return choose_server(candidates, wanted, now, context.random_source)
 
-    def can_send_first(self, choice: Choice | None, now: float) -> bool:
-        """Whether a first attempt can be sent, now or once ``choice`` has room."""
-        if choice is None or not self._may_run_again():
-            return False
-        context = self._context
-        active_nodes = context.node_shares.active_nodes(self.service)
-        return not self._arrived or context.budget(self.service).left(active_nodes, now) >= 1.0
-
-    def available_at_s(self, now: float) -> float:
-        """Return when a server of the service may be asked, whichever were tried; infinite if unknown."""
-        candidates = self._context.candidates(self.service, self._route, now)
-        return min((each.available_at_s(now) for each in candidates), default=NEVER)
-
-    def skip(self) -> None:
-        """Close the call: the answer can't come about whatever it brings."""
-        self.closed = True
+    def select_repeat(self, now: float) -> Choice | None:
+        """Return the server of another attempt, if there may be one at all."""
+        return self.select(now) if self.may_repeat and self.has_attempts_left else None
 
-    def begin(
-        self, choice: Choice | None, deadline: float, hedge_delay: float, now: float, actions: list[Action]
-    ) -> None:
-        """Send the first attempt, or close the call when there is nobody to send it to."""
-        if not self._may_run_again():
-            self._close(Failure(Reason.CONNECTION_LOST, self._verdict, "another node asked, and was lost"))
-            return
-        if choice is not None and self._send("first", choice, deadline, hedge_delay, now, actions):
-            return
-        if deadline - now < LEAST_TIME_TO_SEND:
-            self._close(Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "no time was left on arrival"))
-            return
-        self._close(self._nobody(now))
+    # --- sending ---
 
-    def probe(
-        self, deadline: float, hedge_delay: float, now: float, actions: list[Action]
+    def send(
+        self, cause: str, choice: Choice, deadline_at_s: float, hedge_delay_s: float, step: Step
     ) -> LiveAttempt | None:
-        """Send a trial, whatever room its server has; close the call when there is nobody to send it to."""
-        choice = self._next_choice(now)
-        if choice is None or not self._send("trial", choice, deadline, hedge_delay, now, actions):
-            self._close(self.failure or self._nobody(now))
-            return None
-        attempt = self._live[max(self._live)]
-        attempt.trial = True
-        self.hedge_at = NEVER
-        return attempt
+        """Send an attempt; ``None`` if the deadline is too near, or the budget has no extra attempt left.
 
-    def defer(self, cause: str, now: float) -> None:
-        """Let an attempt wait for room at the service's servers."""
-        self.deferred = cause
-        self._deferred_at = now
-        self.hedge_at = NEVER
-
-    def dispatch_deferred(
-        self, choice: Choice | None, deadline: float, hedge_delay: float, now: float, actions: list[Action]
-    ) -> None:
-        """Send the attempt that was deferred, or close the call when it can't be sent any more."""
-        cause, self.deferred = self.deferred, ""
-        self.waited_s += now - self._deferred_at
-        if choice is None or not self._send(cause, choice, deadline, hedge_delay, now, actions):
-            self._close(self.failure or self._nobody(now))
-
-    def hedge(self, deadline: float, delay: float, now: float, actions: list[Action]) -> None:
-        """Ask another server as well: the attempts under way are late."""
-        for attempt in self._live.values():
-            self._context.stall(attempt)
-        self.hedge_at = NEVER
-        self.late = True
-        if not self._route.repeatable or not self._may_run_again() or not self._context.options.hedges:
-            return
-        choice = self.select(now, hedging=True)
-        if choice is not None and self._context.has_spare_room(choice, self.service, now):
-            self._send("hedge", choice, deadline, delay, now, actions)
-
-    def _nobody(self, now: float) -> Failure:
-        """Return that no server can be asked: none is listed, or none takes anything now."""
-        listed = any(not each.leaving for each in self._context.servers.reachable(self.service, now))
-        reason = Reason.REPLICAS_EJECTED if listed else Reason.NO_REPLICA
-        return Failure(reason, Verdict.NOT_RUN, f"no server of {self.service} can be asked")
-
-    def _may_run_again(self) -> bool:
-        return self._ran + len(self._live) < self._route.max_attempts
-
-    def _send(
-        self,
-        cause: str,
-        choice: Choice,
-        deadline: float,
-        hedge_delay: float,
-        now: float,
-        actions: list[Action],
-    ) -> bool:
-        context, server = self._context, choice.server
-        if deadline - now < LEAST_TIME_TO_SEND:
-            return False
-        extra = self._arrived or bool(self._live)
-        if extra and not context.budget(self.service).take(
-            context.node_shares.active_nodes(self.service), now
-        ):
-            actions.append(self._note("budget_spent", cause, server, now))
-            return False
+        A hedge is due ``hedge_delay_s`` later, at a slow server when its answer is expected.
+        """
+        context, server, now = self._context, choice.server, step.now
+        if deadline_at_s - now < LEAST_TIME_TO_SEND_S:
+            return None
+        extra = self.next_is_extra
+        if extra and not context.take_extra_attempt(self.service, now):
+            step.actions.append(self._log_event("budget_spent", cause, server, now))
+            return None
         if cause == "first" and context.rollouts.is_new(server):
             cause = "canary"
-        number = next(context.numbers)
-        live = LiveAttempt(number, self._request.request_id, server, now, extra)
-        context.live[number] = self._live[number] = live
-        server.begin(number, context.typical(self._route).median, now)
-        context.sent(server, now)
-        self._tried.add(server.record.instance)
-        self.sent += 1
-        self.extras += extra
-        self.late = False
-        self.hedge_at = now + (hedge_delay if choice.sound else max(hedge_delay, choice.expected_s))
+        attempt = self._begin_attempt(server, extra, now)
+        self.hedge_at_s = now + (hedge_delay_s if choice.sound else max(hedge_delay_s, choice.expected_s))
         if cause != "first":
-            actions.append(self._note("attempt_added", cause, server, now))
+            step.actions.append(self._log_event("attempt_added", cause, server, now))
         limit = server.connection_limit(
             context.connection_limit(self.service), context.options.heeds_refusals
         )
         repeatable = self._route.repeatable
-        attempt = Attempt(number, self._request, server.record, limit, deadline, repeatable)
-        actions.append(SendAttempt(attempt))
-        return True
+        sent = Attempt(attempt.number, self._request, server.record, limit, deadline_at_s, repeatable)
+        step.actions.append(SendAttempt(sent))
+        return attempt
 
-    def _note(self, name: str, cause: str, server: ServerState, now: float) -> LogEvent:
-        active_nodes = self._context.node_shares.active_nodes(self.service)
+    def _begin_attempt(self, server: ServerState, extra: bool, now: float) -> LiveAttempt:
+        context = self._context
+        number = next(context.numbers)
+        attempt = LiveAttempt(number, self._request.request_id, server, now, extra)
+        context.live[number] = self._live[number] = attempt
+        server.begin(number, context.typical(self._route).median, now)
+        context.sent(server, now)
+        self._tried.add(server.record.instance)
+        self.attempts += 1
+        self.extra_attempts += extra
+        self.late = False
+        return attempt
+
+    def _log_event(self, name: str, cause: str, server: ServerState, now: float) -> LogEvent:
         details: dict[str, object] = {
             "request": self._request.request_id,
             "service": self.service,
             "cause": cause,
             "instance": server.record.instance,
             "after_ms": round((now - self._request.arrived_at_s) * 1000, 1),
-            "budget_left": round(self._context.budget(self.service).left(active_nodes, now), 1),
+            "budget_left": round(self._context.extra_attempts_left(self.service, now), 1),
         }
         if server.record.service in self._context.rollouts.effective:
             details["server_version"] = server.record.version
         return LogEvent(name, details)
 
+    # --- waiting and closing ---
+
+    def defer(self, cause: str, now: float) -> None:
+        """Let an attempt wait for a pacing slot."""
+        self.deferred_cause = cause
+        self._deferred_at_s = now
+        self.hedge_at_s = NEVER
+
+    def end_deferral(self, now: float) -> str:
+        """Return the cause of the attempt that has waited until now."""
+        cause, self.deferred_cause = self.deferred_cause, ""
+        self.waited_s += now - self._deferred_at_s
+        return cause
+
+    def mark_late(self) -> None:
+        """Count the attempts under way as late; this call is hedged once for them."""
+        for attempt in self._live.values():
+            attempt.server.stall(attempt.number)
+        self.hedge_at_s = NEVER
+        self.late = True
+
+    def close(self, failure: Failure) -> None:
+        """Give the call up."""
+        self.closed = True
+        self.failure = failure
+        self.hedge_at_s = NEVER
+
+    def close_unsent(self, now: float) -> None:
+        """Give the call up since no server can be sent an attempt now; an earlier failure remains."""
+        if self.failure is not None:
+            self.close(self.failure)
+            return
+        listed = any(not each.leaving for each in self._context.servers.reachable(self.service, now))
+        self.close(refusal.no_server(self.service, listed))
+
+    def close_unless_replied(self) -> None:
+        """Close the call, whose fallback is all that it brings, if no reply came."""
+        self.closed = self.reply is None
+
+    def skip(self) -> None:
+        """Close the call unsent, without a failure: the answer doesn't depend on it."""
+        self.closed = True
+
+    def expire(self) -> None:
+        """Close the call at the request's deadline."""
+        self.closed = True
+        self.failure = refusal.timed_out(self.verdict)
+
     # --- what attempts bring ---
 
     def answered(self, number: int, reply: ServerReply) -> None:
-        """Take an attempt's answer; the first success counts."""
+        """Count an attempt's answer; the first success is the call's reply."""
         self._live.pop(number, None)
-        self._arrived = True
+        self._may_have_arrived = True
         self._ran += 1
         self._verdict = Verdict.RAN
         if reply.succeeded:
@@ -258,40 +279,13 @@
             self.fallback = reply
 
     def failed(self, number: int, failure: Failure) -> None:
-        """Take an attempt's end without an answer."""
-        live = self._live.pop(number, None)
+        """Count an attempt's end without an answer."""
+        attempt = self._live.pop(number, None)
         self.failure = failure
         never_left = failure.verdict is Verdict.NOT_RUN and failure.reason in NEVER_LEFT
-        self._arrived = self._arrived or not never_left
-        if never_left and failure.reason is Reason.CONNECTION_REFUSED and live is not None:
-            self._tried.discard(live.server.record.instance)
+        self._may_have_arrived = self._may_have_arrived or not never_left
+        if never_left and failure.reason is Reason.CONNECTION_REFUSED and attempt is not None:
+            self._tried.discard(attempt.server.record.instance)
         if failure.verdict is not Verdict.NOT_RUN:
             self._ran += 1
             self._verdict = max(self._verdict, failure.verdict)
-
-    def repeatable(self, now: float) -> bool:
-        """Whether an attempt that brought no success may and can be followed by another one."""
-        return self._next_choice(now) is not None
-
-    def _next_choice(self, now: float) -> Choice | None:
-        may_repeat = self._route.repeatable or self._verdict is Verdict.NOT_RUN
-        return self.select(now) if may_repeat and self._may_run_again() else None
-
-    def retry(self, deadline: float, delay: float, now: float, actions: list[Action]) -> None:
-        """After an attempt that brought no success: send another where that is allowed, or close."""
-        if not self.open or self._live:
-            return
-        choice = self._next_choice(now)
-        if choice is not None and not self._context.has_room(choice, now):
-            self.defer("retry", now)
-            return
-        if choice is not None and self._send("retry", choice, deadline, delay, now, actions):
-            return
-        self._close(
-            self.failure or Failure(Reason.BACKEND_ERROR, Verdict.RAN, "the server answered a failure")
-        )
-
-    def _close(self, failure: Failure) -> None:
-        self.closed = True
-        self.failure = failure
-        self.hedge_at = NEVER
--- a/src/yokesill/gateway/requests/splits.py
+++ b/src/yokesill/gateway/requests/splits.py
@@ -1,23 +1,26 @@
-"""Keeps the shares of a split exact: at each node over any run of requests, and over all nodes together."""
+"""Which service of a split route gets the next request.
+
+Keeps the shares of a split exact: at each node over any run of requests, and over all nodes together.
+"""
 
 import random
 from collections.abc import Collection
 
 from yokesill.gateway.documents import Split
 
-# A run of choices that is long against the weights of any split: nodes begin anywhere in it.
+# Long against the weights of any split, so that nodes begin anywhere in a run of choices.
 START_STEPS = 100
 
 
 class SplitCursor:
     """Smooth weighted round robin over a split's parts.
 
-    Each choice raises every part by its weight and lowers the chosen one by the sum, so that shares
-    hold over short runs too. ``offset`` (0 to 1) starts nodes at different points of the run: where many
-    nodes meet a request or two each, the sum over them counts. All beginning with the heaviest part
-    gave that 0.25 too much at 90 nodes with two requests each and weights of 3 to 1; beginning anywhere
-    0.05 at most over 20 seeds. Steps of the golden ratio gave 0.056 there, but up to two requests of a
-    hundred off at a node.
+    Each choice raises every part's credit by its weight and lowers the chosen one's by the sum, so that
+    shares hold over short runs too. ``offset`` (0 to 1) starts nodes at different points of the run: where
+    many nodes get a request or two each, the sum over them counts. All beginning with the heaviest part gave
+    that 0.25 too much at 90 nodes with two requests each and weights of 3 to 1; beginning anywhere 0.05 at
+    most over 20 seeds. Steps of the golden ratio gave 0.056 there, but up to two requests of a hundred off
+    at a node.
     """
 
     def __init__(self, split: Split, offset: float) -> None:
@@ -39,7 +42,7 @@
 
 
 class SplitCursors:
-    """The cursors of a node's routes; a route whose parts changed begins anew."""
+    """The cursors of a node's routes; a route whose split has changed begins anew."""
 
     def __init__(self, source: random.Random) -> None:
         self._random = source
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -1,4 +1,17 @@
-"""The gateway's one interface: typed events in, typed actions out."""
+"""The gateway's one interface: typed events in, typed actions out.
+
+Owns a node's requests under way and which attempt belongs to which; hands each event to whom it concerns:
+
+- a request's arrival, timers, attempts and its caller's leaving to its ``RequestMachine``;
+- an attempt's end first to ``AttemptOutcomes``, for the server, so that the request decides on the newest
+  state;
+- a free slot at a slow server to the request whose turn it is (``PacingQueue``);
+- everything else, what the registry and the other nodes report, to ``StateUpdates``.
+
+After each event, requests that were quarantined by it are given up, and servers that have been silent for
+long are reported. The router does no I/O, reads no clock and draws randomness only from the source it was
+given.
+"""
 
 import random
 from collections.abc import Mapping
@@ -6,27 +19,27 @@
 from typing import Any
 
 from yokesill.gateway import events as ev, log_events
+from yokesill.gateway.attempt_outcomes import AttemptOutcomes
 from yokesill.gateway.context import GatewayContext, LiveAttempt
-from yokesill.gateway.crash_tracker import CrashTracker, quarantined
+from yokesill.gateway.crash_tracker import CrashTracker
 from yokesill.gateway.documents import Configuration, Route, Split
 from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.options import GatewayOptions
+from yokesill.gateway.requests import refusal
 from yokesill.gateway.requests.fingerprints import fingerprint
 from yokesill.gateway.requests.request import RequestMachine
 from yokesill.gateway.requests.splits import SplitCursors
 from yokesill.gateway.servers.evidence import ServerEvidence
-from yokesill.gateway.servers.server_state import ACTIVE
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.gateway.state_updates import StateUpdates, apply_update
+from yokesill.gateway.step import Step
 from yokesill.quarantine.judge import QuarantineStatus
 from yokesill.rollouts.messages import OrderReport
 from yokesill.rollouts.node_orders import NodeOrders
 from yokesill.rollouts.orders import RolloutOrder
 from yokesill.verdict import Failure, Reason, Verdict
 
-NOT_READY_RETRY_AFTER_MS = 300
-
 
 class GatewayRouter:
     """All requests, servers and budgets of one node."""
@@ -38,12 +51,23 @@
         self._requests: dict[str, RequestMachine] = {}
         self._owners: dict[int, RequestMachine] = {}
         self._cursors = SplitCursors(random_source)
-        self._learning = StateUpdates(self._context, self._cursors)
+        self._updates = StateUpdates(self._context, self._cursors)
         self._evidence = ServerEvidence(self._context, now)
+        self._outcomes = AttemptOutcomes(self._context, self._evidence)
+
+    def on_event(self, event: ev.Event, now: float) -> list[ev.Action]:
+        """Handle one event; return what is to be done, in order."""
+        step = Step(now)
+        _handle(event, self, step)
+        self._give_up_quarantined(step)
+        self._evidence.tell_of_silent_servers(self._route_of, now, step.actions)
+        return step.actions
+
+    # --- what others read ---
 
     @property
     def configuration(self) -> Configuration | None:
-        """The newest configuration learnt."""
+        """The newest configuration."""
         return self._context.configuration
 
     @property
@@ -57,17 +81,22 @@
         return self._context.node_shares.nodes
 
     @property
-    def lateness(self) -> float:
+    def lateness_s(self) -> float:
         """How late this node's own timers come lately, in seconds."""
-        return self._context.lateness
+        return self._context.lateness_s
 
     @property
     def rollouts(self) -> NodeOrders:
-        """The roll-outs that this node knows, and what it obeys of them."""
+        """The roll-outs that this node knows, and their effective states."""
         return self._context.rollouts.orders
 
+    @property
+    def quarantine(self) -> CrashTracker:
+        """What is known of requests under which servers ended."""
+        return self._context.crashes
+
     def open_orders(self) -> tuple[RolloutOrder, ...]:
-        """Return the orders whose record is not final, as far as the registry itself told them."""
+        """Return the orders whose record is not final, as far as the registry itself sent them."""
         return tuple(each for each in self.rollouts.open.values() if each.revision)
 
     def version_counts(self, service: str) -> Mapping[str, int]:
@@ -75,7 +104,7 @@
         return self.servers.version_counts(service)
 
     def rollout_report(self, now: float) -> tuple[OrderReport, ...]:
-        """Return what this node obeys, sent and saw under each open order; samples are told once."""
+        """Return each open order's effective state and what was sent and seen; samples are reported once."""
         return self._context.rollouts.report(self.servers.of_service)
 
     def kept_estimates(self) -> int:
@@ -83,74 +112,84 @@
         return self._context.kept_estimates()
 
     def set_budget(self, terms: BudgetLimits) -> None:
-        """Keep to other terms from now on; what was spent still counts."""
+        """Keep to other limits from now on; what was spent still counts."""
         self._context.set_budget(terms)
 
-    def on_event(self, event: ev.Event, now: float) -> list[ev.Action]:
-        """Take one event; return what is to be done, in order."""
-        actions: list[ev.Action] = []
-        _take(event, self, now, actions)
-        self._stop_quarantined(now, actions)
-        self._evidence.tell_of_silent_servers(self._route_of, now, actions)
-        return actions
-
     # --- requests ---
 
-    def _timer(self, event: ev.TimerFired, now: float, actions: list[ev.Action]) -> None:
-        if event.kind is ev.TimerKind.PACING:
-            self._context.waiting.looked(event.key)
-            self._serve_waiting(event.key, now, actions)
-            return
-        machine = self._requests.get(event.key)
-        if machine is not None:
-            machine.timer(event.kind, now, actions)
-            self._settle(machine, actions)
-
-    def _serve_waiting(self, service: str, now: float, actions: list[ev.Action]) -> None:
-        """Let requests that wait for room at a service have it, in their order."""
-        waiting = self._context.waiting
-        while (request := waiting.next(service, now)) is not None:
-            taken: list[ev.Action] = []
-            room_at_s = request.dispatch_deferred(service, now, taken)
-            self._settle(request, taken)
-            actions.extend(taken)
-            if room_at_s is not None:
-                if waiting.look_again(service, room_at_s):
-                    actions.append(ev.SetTimer(service, ev.TimerKind.PACING, room_at_s))
-                return
-
-    def _arrived(self, request: GatewayRequest, now: float, actions: list[ev.Action]) -> None:
+    def _request_arrived(self, request: GatewayRequest, step: Step) -> None:
+        """Refuse a request that may go nowhere, or begin it."""
         configuration = self._context.configuration
         if configuration is None:
-            failure = Failure(
-                Reason.NOT_READY, Verdict.NOT_RUN, "no configuration yet", NOT_READY_RETRY_AFTER_MS
-            )
-            actions.append(ev.Refuse(request.key, failure))
+            step.actions.append(ev.Refuse(request.key, refusal.not_ready()))
             return
         route = configuration.find(request.host, request.path)
         if route is None:
-            detail = f"no route for {request.host}{request.path} in version {configuration.version}"
-            failure = Failure(Reason.UNKNOWN_SERVICE, Verdict.NOT_RUN, detail)
-            actions.append(ev.Refuse(request.key, failure))
+            failure = refusal.unknown_service(request.host, request.path, configuration.version)
+            step.actions.append(ev.Refuse(request.key, failure))
             return
-        if self._context.crashes.standing(request, now) is QuarantineStatus.QUARANTINED:
+        if self._context.crashes.standing(request, step.now) is QuarantineStatus.QUARANTINED:
             verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
-            actions.append(ev.Refuse(request.key, quarantined(fingerprint(request), verdict)))
+            failure = refusal.quarantined(fingerprint(request), verdict)
+            step.actions.append(ev.Refuse(request.key, failure))
             return
         services = self._services_of(route)
         machine = RequestMachine(request, route, services, configuration.version, self._context)
         self._requests[request.key] = machine
-        machine.begin(now, actions)
-        self._settle(machine, actions)
+        machine.begin(step)
+        self._track(machine, step)
 
     def _services_of(self, route: Route) -> tuple[str, ...]:
         if not isinstance(route.destination, Split):
             return route.destination.services
         return (self._cursors.next(route.name, route.destination),)
 
-    def _settle(self, machine: RequestMachine, actions: list[ev.Action]) -> None:
-        """Keep track of a machine's new attempts, and drop it once it has its final answer."""
-        for action in actions:
+    def _timer_fired(self, event: ev.TimerFired, step: Step) -> None:
+        if event.kind is ev.TimerKind.PACING:
+            self._context.pacing_queue.woken_up(event.key)
+            self._serve_queue(event.key, step)
+            return
+        machine = self._requests.get(event.key)
+        if machine is not None:
+            machine.timer(event.kind, step)
+            self._track(machine, step)
+
+    def _serve_queue(self, service: str, step: Step) -> None:
+        """Let requests that wait for slow servers of a service have free slots, in their order."""
+        queue = self._context.pacing_queue
+        while (request := queue.next(service, step.now)) is not None:
+            turn = Step(step.now)
+            free_at_s = request.dispatch_deferred(service, turn)
+            self._track(request, turn)
+            step.actions.extend(turn.actions)
+            if free_at_s is not None:
+                if queue.plan_wake_up(service, free_at_s):
+                    step.actions.append(ev.SetTimer(service, ev.TimerKind.PACING, free_at_s))
+                return
+
+    def _caller_left(self, key: str, step: Step) -> None:
+        machine = self._requests.pop(key, None)
+        if machine is not None:
+            machine.caller_left(step)
+            self._track(machine, step)
+
+    def _give_up_quarantined(self, step: Step) -> None:
+        """Give up what is under way of requests that have just been quarantined."""
+        if not self._context.crashes.newly_quarantined:
+            return
+        fingerprints = self._context.crashes.take_newly_quarantined()
+        for machine in [each for each in self._requests.values() if each.fingerprint in fingerprints]:
+            given_up = Step(step.now)
+            machine.quarantine(given_up)
+            self._track(machine, given_up)
+            step.actions.extend(given_up.actions)
+
+    def _track(self, machine: RequestMachine, step: Step) -> None:
+        """Note the attempts that a request has sent or cancelled in a step, and whether it is done.
+
+        The step must hold no attempts that other requests have sent.
+        """
+        for action in step.actions:
             if isinstance(action, ev.SendAttempt):
                 self._owners[action.attempt.number] = machine
             elif isinstance(action, ev.CancelAttempt):
@@ -158,139 +197,83 @@
         if machine.done:
             self._requests.pop(machine.request.key, None)
 
-    def _caller_left(self, key: str, actions: list[ev.Action]) -> None:
-        machine = self._requests.pop(key, None)
-        if machine is not None:
-            machine.caller_left(actions)
-            self._settle(machine, actions)
-
     # --- attempts ---
 
-    def _answered(self, event: ev.AttemptAnswered, now: float, actions: list[ev.Action]) -> None:
-        attempt, machine = self._end(event.number)
+    def _attempt_answered(self, event: ev.AttemptAnswered, step: Step) -> None:
+        attempt, machine = self._end_attempt(event.number)
         if attempt is None or machine is None:
             return
-        server, reply = attempt.server, event.reply
-        if event.sent_at_s is not None:
-            # What an attempt waited on this node, for its turn or a connection, is not the server's doing.
-            attempt.sent_at_s = event.sent_at_s
-        if event.connected_in_s is not None:
-            self.servers.connected(server, event.connected_in_s)
-        typical = self._context.typical(machine.route)
-        if reply.status >= 500:
-            state = server.failed(attempt.sent_at_s, now)
-        else:
-            late = self._context.lateness
-            state = server.answered(attempt.sent_at_s, typical.median, reply.load, now, late)
-            typical.record(now - attempt.sent_at_s)
-        if self._context.rollouts.effective:
-            late = self._context.lateness
-            self._context.rollouts.ended(server, machine.route, reply.succeeded, attempt.sent_at_s, late, now)
-        self._note_state(attempt, state, reply.status, now, actions)
-        self._evidence.tell(attempt, now, actions)
-        if len(self._context.crashes.judge):
-            service = server.record.service
-            self._context.crashes.answered(machine.fingerprint, service, attempt.trial, actions)
-        machine.answered(event.number, reply, now, actions)
-        self._settle(machine, actions)
-        self._serve_waiting(server.record.service, now, actions)
-
-    def _failed(self, number: int, failure: Failure, now: float, actions: list[ev.Action]) -> None:
-        attempt, machine = self._end(number)
+        service = attempt.server.record.service
+        self._outcomes.answered(attempt, machine.route, event, step)
+        crashes = self._context.crashes
+        if len(crashes.judge):
+            crashes.answered(machine.fingerprint, service, attempt.probe, step.actions)
+        machine.answered(event.number, event.reply, step)
+        self._track(machine, step)
+        self._serve_queue(service, step)
+
+    def _attempt_failed(self, number: int, failure: Failure, step: Step) -> None:
+        attempt, machine = self._end_attempt(number)
         if attempt is None or machine is None:
             return
-        actions.append(log_events.attempt_failed(attempt, machine.request, failure, now))
+        step.actions.append(log_events.attempt_failed(attempt, machine.request, failure, step.now))
         if failure.reason is Reason.CONNECTION_LOST:
-            machine.lost(attempt, now, actions)
-            # Before the request itself hears of it, which would try the next server.
-            self._stop_quarantined(now, actions)
-        if failure.reason is Reason.SHED:
-            attempt.server.shed(now)
-        elif failure.reason is Reason.BACKEND_LEAVING:
-            attempt.server.leave()
-        elif failure.reason is Reason.CONNECTION_REFUSED and self.options.heeds_refusals:
-            attempt.server.refused(now)
-        elif self._evidence.counts(attempt, machine.route, failure, now):
-            state = attempt.server.failed(attempt.sent_at_s, now)
-            if self._context.rollouts.effective:
-                self._context.rollouts.ended(
-                    attempt.server, machine.route, False, attempt.sent_at_s, 0.0, now
-                )
-            self._note_state(attempt, state, failure.reason.value, now, actions)
-            self._evidence.tell(attempt, now, actions)
-        machine.failed(number, failure, now, actions)
-        self._settle(machine, actions)
-        self._serve_waiting(attempt.server.record.service, now, actions)
-
-    # --- requests under which servers end ---
-
-    @property
-    def quarantine(self) -> CrashTracker:
-        """What is known of requests under which servers ended."""
-        return self._context.crashes
-
-    def _stop_quarantined(self, now: float, actions: list[ev.Action]) -> None:
-        """Give up what is under way of requests that were quarantined just now."""
-        if not self._context.crashes.newly_quarantined:
-            return
-        fingerprints = self._context.crashes.take_new()
-        for machine in [each for each in self._requests.values() if each.fingerprint in fingerprints]:
-            stopped: list[ev.Action] = []
-            machine.quarantine(now, stopped)
-            self._settle(machine, stopped)
-            actions.extend(stopped)
+            machine.server_lost(attempt, step)
+            # Before the request itself handles the failure, which would send it to the next server.
+            self._give_up_quarantined(step)
+        self._outcomes.failed(attempt, machine.route, failure, step)
+        machine.failed(number, failure, step)
+        self._track(machine, step)
+        self._serve_queue(attempt.server.record.service, step)
+
+    def _end_attempt(self, number: int) -> tuple[LiveAttempt | None, RequestMachine | None]:
+        return self._context.release(number), self._owners.pop(number, None)
 
     def _route_of(self, number: int) -> Route | None:
         """Return the route of an attempt under way."""
         machine = self._owners.get(number)
         return None if machine is None else machine.route
 
-    def _end(self, number: int) -> tuple[LiveAttempt | None, RequestMachine | None]:
-        return self._context.release(number), self._owners.pop(number, None)
-
-    def _note_state(
-        self, attempt: LiveAttempt, state: str | None, why: object, now: float, actions: list[ev.Action]
-    ) -> None:
-        if state is None or state == ACTIVE:
-            return
-        actions.append(log_events.server_state(attempt, state, why, now))
+    def _connections_changed(self, event: ev.ConnectionsChanged) -> None:
+        server = self.servers.get(event.instance)
+        if server is not None:
+            server.connections = event.open_connections
 
 
-Actions = list[ev.Action]
+# --- who handles which event ---
 
 
 @singledispatch
-def _take(event: Any, router: GatewayRouter, now: float, actions: Actions) -> None:
-    apply_update(event, router._learning, now, actions)
+def _handle(event: Any, router: GatewayRouter, step: Step) -> None:
+    """Handle an event; those that aren't registered below are state updates."""
+    apply_update(event, router._updates, step.now, step.actions)
 
 
-@_take.register
-def _(event: ev.RequestArrived, router: GatewayRouter, now: float, actions: Actions) -> None:
-    router._arrived(event.request, now, actions)
+@_handle.register
+def _(event: ev.RequestArrived, router: GatewayRouter, step: Step) -> None:
+    router._request_arrived(event.request, step)
 
 
-@_take.register
-def _(event: ev.AttemptAnswered, router: GatewayRouter, now: float, actions: Actions) -> None:
-    router._answered(event, now, actions)
+@_handle.register
+def _(event: ev.AttemptAnswered, router: GatewayRouter, step: Step) -> None:
+    router._attempt_answered(event, step)
 
 
-@_take.register
-def _(event: ev.AttemptFailed, router: GatewayRouter, now: float, actions: Actions) -> None:
-    router._failed(event.number, event.failure, now, actions)
+@_handle.register
+def _(event: ev.AttemptFailed, router: GatewayRouter, step: Step) -> None:
+    router._attempt_failed(event.number, event.failure, step)
 
 
-@_take.register
-def _(event: ev.TimerFired, router: GatewayRouter, now: float, actions: Actions) -> None:
-    router._timer(event, now, actions)
+@_handle.register
+def _(event: ev.TimerFired, router: GatewayRouter, step: Step) -> None:
+    router._timer_fired(event, step)
 
 
-@_take.register
-def _(event: ev.CallerLeft, router: GatewayRouter, now: float, actions: Actions) -> None:
-    router._caller_left(event.key, actions)
+@_handle.register
+def _(event: ev.CallerLeft, router: GatewayRouter, step: Step) -> None:
+    router._caller_left(event.key, step)
 
 
-@_take.register
-def _(event: ev.ConnectionsChanged, router: GatewayRouter, now: float, actions: Actions) -> None:
-    server = router.servers.get(event.instance)
-    if server is not None:
-        server.connections = event.open_connections
+@_handle.register
+def _(event: ev.ConnectionsChanged, router: GatewayRouter, step: Step) -> None:
+    router._connections_changed(event)
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -164,7 +164,7 @@
             self._probes,
             lambda host: self._following.is_member(host) or self._near_servers.knows(host),
             self._version,
-            lambda: self.router.lateness,
+            lambda: self.router.lateness_s,
         )
         self._front = create_listener(self._application)
         self._side: list[Listener] = []
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -4,7 +4,7 @@
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import ServerRecord
-from yokesill.gateway.requests.retry_after import SHED_RETRY_AFTER_MS
+from yokesill.gateway.requests.refusal import SHED_RETRY_AFTER_MS
 from yokesill.gateway.servers.server_state import FAILING_EJECTION
 from yokesill.verdict import Reason, Verdict
 
--- a/tests/gateway/test_room.py
+++ b/tests/gateway/test_room.py
@@ -133,7 +133,7 @@
     harness.advance(0.12)
     older, newest = harness.arrive(patience=6.0), harness.arrive(patience=6.0)
     assert all(waits(harness, key) for key in (old, older, newest))
-    waiting = harness.router._context.waiting
+    waiting = harness.router._context.pacing_queue
     first = waiting.next("s1", harness.now)
     assert first.request.key == newest
     longest = waiting.next("s1", harness.now + 1.0)
@@ -149,14 +149,14 @@
     urgent = harness.arrive(patience=6.0)
     newer = harness.arrive("/lesser/x", 6.0)
     assert waits(harness, urgent) and waits(harness, newer)
-    assert harness.router._context.waiting.next("s1", harness.now).request.key == urgent
+    assert harness.router._context.pacing_queue.next("s1", harness.now).request.key == urgent
 
 
 def test_whoever_would_soon_be_given_up_goes_before_the_newest() -> None:
     harness = busy_shard(nodes=3)
     old, newest = harness.arrive(patience=0.5), harness.arrive(patience=6.0)
     assert waits(harness, old) and waits(harness, newest)
-    assert harness.router._context.waiting.next("s1", harness.now).request.key == old
+    assert harness.router._context.pacing_queue.next("s1", harness.now).request.key == old
 
 
 def test_a_waiting_request_that_is_given_up_has_not_run_and_never_will() -> None:
@@ -249,7 +249,7 @@
     harness = busy_shard(nodes=8)
     assert waits(harness, harness.arrive(patience=6.0))
     play_servers(harness, ("s1",), 6.0)
-    assert len(harness.router._context.waiting) == 0
+    assert len(harness.router._context.pacing_queue) == 0
 
 
 # --- servers that refuse connections ---
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -348,7 +348,7 @@
 def test_what_this_node_was_late_itself_is_not_held_against_a_server() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
-    harness.router._context.lateness = 0.05
+    harness.router._context.lateness_s = 0.05
     attempt = harness.of(harness.arrive())[0]
     harness.advance(0.055)
     harness.answer(attempt)
