--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -303,7 +303,7 @@
         return following.is_member(host) or registry.remote_coordinators.knows(host)
 
     version = partial(configuration_version, router)
-    coordinator = CoordinatorApplication(callers.application, is_peer, version, lambda: router.lateness)
+    coordinator = CoordinatorApplication(callers.application, is_peer, version, lambda: router.lateness_s)
     sources = GaugeSources(life_cycle, router, coordinator, core.client, output, following)
     probes = ProbeApplication(
         core.dependencies.ready_path,
