--- a/src/yokesill/gateway/forwarding.py
+++ b/src/yokesill/gateway/forwarding.py
@@ -1,9 +1,13 @@
-"""Whether a wide request is gathered here, or by a much stronger node of the zone.
+"""When a wide request is forwarded to a coordinator, and to which.
 
-Asking a hundred servers takes a node's processor some ten milliseconds, and many times that where no
-connections are open: a weak node that meets a wide request now and then is late before it has asked
-everybody. So it hands the whole request to one of its zone's coordinators: nodes with at least twice
-the processor of most, which meet many and hold open connections.
+Sending to a hundred servers costs a node's processor some ten milliseconds, and many times that where no
+connections are open, so a weak node that gets a wide request now and then is late before it has sent
+everything. It forwards the whole request to a coordinator of its zone: a node with at least twice the
+processor of most (``watchers/capacity_rank``), which gets many and holds open connections.
+
+Inputs: the route, the coordinators that are known, what came of earlier requests; seconds of the node's
+clock. `ServerZones` chooses zones elsewhere for a node whose zone has no servers; ``coordinators/`` does
+the sending. Measured in ``docs/design/hand-over.md``.
 """
 
 from collections.abc import Mapping
@@ -12,25 +16,29 @@
 from yokesill.gateway.documents import Gather, Route
 from yokesill.rendezvous import name_hash, weight
 
-# Asking so many services over open connections (0.1 ms each to send, as much to read) takes half a core
-# as long as the hop to a coordinator and back; asking fewer is quicker done here.
+# Routes with fewer services are gathered here. Sending to so many over open connections (0.1 ms each, as
+# much to read) takes half a core as long as the hop to a coordinator and back.
 LEAST_SERVICES = 16
-# A coordinator that refused a request is busy or stopping: it is left alone for so long.
+# A coordinator that refused is busy or stopping: others get the requests for so long. Chosen, not measured.
 REFUSED_PAUSE_S = 0.5
-# One of another zone that is lost may have been cut off with its zone, which is gone around for so long.
+# After a coordinator of another zone is lost, its whole zone is passed over for so long: it may be
+# partitioned from here. Chosen, not measured.
 ZONE_LOST_PAUSE_S = 2.0
-# One elsewhere that was lost is tried again after so long, and twice as long each further time: each try of a
-# dead one costs a request 40 ms, and the directory names the dead for minutes.
+# A lost coordinator of another zone is tried again after so long, twice as long each further time: each try
+# of a dead one costs a request 40 ms, and the directory lists the dead for minutes.
 FIRST_LOST_PAUSE_S, LONGEST_LOST_PAUSE_S = 2.0, 60.0
-# What the hop takes until it was measured, in seconds.
+# Keeps the doubling finite; the ceiling is reached before.
+MAX_DOUBLINGS = 8
+# The hop to a coordinator and back until it was measured. Measured since: 2.2 ms in the middle, 4.3 ms at the
+# 0.9 quantile (``docs/design/shifted-work.md``).
 FIRST_HOP_S = 0.005
-# How quickly the measure of the hop follows, and how many mean deviations are kept beside its mean: a
-# coordinator that counts the hop too short answers everybody just too late.
+# The weight of the newest hop in its mean, and how many mean deviations are added to it: a coordinator that
+# counts the hop too short answers every request just too late. Chosen, not measured.
 HOP_WEIGHT, HOP_DEVIATIONS = 0.15, 1.5
 
 
 class Coordinator(NamedTuple):
-    """Where a coordinator is reached (``HOST:PORT``), when it was last heard of, and its zone if another."""
+    """A coordinator's address (``HOST:PORT``), when it last reported, and its zone if it is another one."""
 
     address: str
     heard_at_s: float
@@ -38,14 +46,14 @@
 
 
 class CoordinatorChoice:
-    """One node's choices; times in seconds of its clock.
+    """One node's choice among the coordinators of one kind: of its own zone, or of zones elsewhere.
 
     Parameters
     ----------
     own
-        This node's name: nodes of a zone spread over its coordinators by it.
+        This node's name, by which the nodes of a zone spread over its coordinators.
     first_hop_s
-        What the hop takes until it was measured, in seconds.
+        What the hop takes until it was measured.
     """
 
     def __init__(self, own: str, first_hop_s: float = FIRST_HOP_S) -> None:
@@ -59,17 +67,17 @@
 
     @property
     def hop_s(self) -> float:
-        """What handing a request over takes beside gathering it, there and back, in seconds."""
+        """What forwarding adds to gathering, there and back, in seconds; rather too long than too short."""
         return self._hop_s + HOP_DEVIATIONS * self._hop_deviation_s
 
     def choose(self, route: Route, coordinators: Mapping[str, Coordinator], now: float) -> str | None:
-        """Return the coordinator to hand a request of a route to; ``None`` to gather it here."""
+        """Return the coordinator to forward a route's request to; ``None`` to gather it here."""
         if not coordinators or not is_wide(route):
             return None
-        able = [node for node, each in coordinators.items() if self._able(node, each, now)]
-        return min(able, key=lambda node: (weight(name_hash(node), self._own), node), default=None)
+        eligible = [node for node, each in coordinators.items() if self._eligible(node, each, now)]
+        return min(eligible, key=lambda node: (weight(name_hash(node), self._own), node), default=None)
 
-    def _able(self, node: str, coordinator: Coordinator, now: float) -> bool:
+    def _eligible(self, node: str, coordinator: Coordinator, now: float) -> bool:
         zone_lost_at = self._zone_lost_at.get(coordinator.zone, float("-inf"))
         if coordinator.zone and now - zone_lost_at < ZONE_LOST_PAUSE_S:
             return False
@@ -77,22 +85,22 @@
         return coordinator.heard_at_s > lost_at and self._avoided_until.get(node, 0.0) <= now
 
     def refused(self, node: str, now: float) -> None:
-        """Leave a coordinator alone for a while: it did not take a request."""
+        """Pass a coordinator over for a while: it refused a request."""
         self._avoided_until[node] = now + REFUSED_PAUSE_S
 
     def lost(self, node: str, now: float, zone: str = "") -> None:
-        """Leave a coordinator alone until it is heard of again: it did not answer, or broke off.
+        """Pass a coordinator over until it reports again: it did not answer, or broke off.
 
-        Of one in another ``zone`` nothing is heard: it is tried again later each time it is lost.
+        One in another ``zone`` sends no reports here: it is tried again, after a longer pause each time.
         """
         self._lost_at[node] = self._zone_lost_at[zone] = now
         if zone:
             losses = self._losses[node] = self._losses.get(node, 0) + 1
-            pause_s = FIRST_LOST_PAUSE_S * 2.0 ** min(losses - 1, 8)
+            pause_s = FIRST_LOST_PAUSE_S * 2.0 ** min(losses - 1, MAX_DOUBLINGS)
             self._avoided_until[node] = now + min(pause_s, LONGEST_LOST_PAUSE_S)
 
     def took(self, hop_s: float, node: str = "") -> None:
-        """Take how long the way of a coordinator's answer took beside gathering."""
+        """Count what forwarding added to gathering in one answer, in seconds."""
         self._losses.pop(node, None)
         error = max(0.0, hop_s) - self._hop_s
         self._hop_s += HOP_WEIGHT * error
@@ -100,6 +108,6 @@
 
 
 def is_wide(route: Route) -> bool:
-    """Whether a route's requests are worth handing over."""
+    """Whether a route's requests are worth forwarding."""
     gathers = isinstance(route.destination, Gather) and route.repeatable
     return gathers and len(route.services) >= LEAST_SERVICES
--- a/src/yokesill/gateway/partition.py
+++ b/src/yokesill/gateway/partition.py
@@ -1,30 +1,38 @@
-"""Whether a node can reach nothing of what its callers ask for, so that others should serve them.
+"""When a node reports that it is not ready because it is partitioned from other zones.
 
-A node whose zone has servers of enough shards can serve even when its zone is cut off. Any other depends on
-the ways to other zones: when all of them are lost it can only refuse wide requests, and should say
-that it is not ready, so that its callers are sent to where servers are. Servers that are dark for
-everybody are no reason: then nodes of other zones still answer, and all nodes stay ready.
+A node whose zone has servers for enough shards can serve during a partition. Any other depends on other
+zones: when none can be reached it can only refuse wide requests, and its callers should be sent elsewhere.
+Servers that are dark for every node are no reason: then nodes of other zones still answer, and all nodes
+stay ready.
+
+`depends_on_others` says whether the node needs other zones; ``serving/reachability`` looks whether any of
+their nodes and servers can be reached, and `PartitionDetector` turns its looks into the decision. Times in
+seconds of the node's clock. Reasons and runs: ``docs/design/placement.md``, "Readiness".
 """
 
 from collections.abc import Collection, Iterable
 
 from yokesill.gateway.documents import Configuration, Gather, ServerRecord
 
-# Looked at so often while nothing was heard from a server elsewhere, and while a look reached nobody.
+# Between two looks: while no server elsewhere has answered, and once a look reached nobody. Costs one
+# connection a second at most while all is well.
 CALM_INTERVAL_S, DOUBTFUL_INTERVAL_S = 1.0, 0.2
-# Nobody answers for so long: two looks more at three places each. A lost packet or a dead node can't do that.
-# Whoever asks whether a node is ready leaves it after two misses, a second apart: a cut of some seconds is
-# over before a slower judgement helps anybody, and one that was wrong is taken back before the second miss.
+# Nobody answers for so long: two further looks at three places each, more than a lost packet or a dead node
+# explains. Readiness is probed each second and lost after two misses: a partition of some seconds is over
+# before a slower decision helps, and a wrong one is taken back before the second miss.
 SILENCE_S = 0.5
-# If the ways that are looked at are closed for good although servers can be reached otherwise, the node
-# is ready half of the time at least.
+# The node is not ready for so long at most, then ready for as long: the places that are looked at may be
+# unreachable for another reason while servers can be reached. Chosen, not measured.
 LONGEST_S = 20.0
-MOST = 0.5
+# Where no route is wide, a node depends on others if more than this share of the services has servers
+# elsewhere only.
+MOST_ELSEWHERE_SHARE = 0.5
+# Coverage is compared with this much tolerance, since a share times a count is not exact.
 ROUNDING = 1e-9
 
 
 class PartitionDetector:
-    """One node's judgement; times in seconds of its clock."""
+    """One node's decision; ``cut`` while it is taken to be partitioned from other zones."""
 
     def __init__(self) -> None:
         self.cut = False
@@ -39,16 +47,16 @@
 
     @property
     def interval_s(self) -> float:
-        """When to look again."""
+        """How long until the next look, in seconds."""
         return DOUBTFUL_INTERVAL_S if self.doubtful else CALM_INTERVAL_S
 
     def reached(self, now: float) -> None:
-        """Take that a server or a node of another zone answered, or that nothing depends on them."""
+        """Count a look that reached a server or node of another zone, or found that none is needed."""
         self._silent_since_s = None
         self._return(now)
 
     def reached_nobody(self, now: float) -> None:
-        """Take that neither servers nor nodes of other zones answered."""
+        """Count a look that reached neither servers nor nodes of other zones."""
         if self._silent_since_s is None:
             self._silent_since_s = now
         if self.cut and now - self._since_s >= LONGEST_S:
@@ -58,9 +66,9 @@
 
     @property
     def _rested_at_s(self) -> float:
-        """When a node that was not ready for as long as it may be, may be so again."""
-        long = self._back_at_s - self._since_s >= LONGEST_S
-        return self._back_at_s + LONGEST_S if long else float("-inf")
+        """When a node that was not ready for ``LONGEST_S`` may be so again."""
+        was_longest = self._back_at_s - self._since_s >= LONGEST_S
+        return self._back_at_s + LONGEST_S if was_longest else float("-inf")
 
     def _return(self, now: float) -> None:
         if self.cut:
@@ -70,20 +78,20 @@
 def depends_on_others(
     zone: str, configuration: Configuration | None, servers: Iterable[ServerRecord]
 ) -> bool:
-    """Whether a wide route's least coverage can be reached, but not by servers in ``zone`` alone.
+    """Whether some gathering route can reach its least coverage, but not with servers in ``zone`` alone.
 
-    Where no route is wide, whether most services that routes reach have servers, but none there.
+    Where no route gathers: whether most services that routes reach have servers, but none in ``zone``.
     """
     if configuration is None:
         return False
     present = [each for each in servers if not each.leaving]
     listed = {each.service for each in present}
     near = {each.service for each in present if each.zone == zone}
-    wide = [each.destination for each in configuration.routes if isinstance(each.destination, Gather)]
-    if wide:
-        return any(_covers(each, listed) and not _covers(each, near) for each in wide)
+    gathers = [each.destination for each in configuration.routes if isinstance(each.destination, Gather)]
+    if gathers:
+        return any(_covers(each, listed) and not _covers(each, near) for each in gathers)
     named = {name for route in configuration.routes for name in route.services}
-    return len((named & listed) - near) > MOST * len(named)
+    return len((named & listed) - near) > MOST_ELSEWHERE_SHARE * len(named)
 
 
 def _covers(gather: Gather, services: Collection[str]) -> bool:
--- a/src/yokesill/gateway/servers/cold_starts.py
+++ b/src/yokesill/gateway/servers/cold_starts.py
@@ -1,9 +1,13 @@
-"""How much of what a cold server bears this node may send it.
+"""Whether this node may send a cold server one more request.
 
-A cold server bears few requests a second from all nodes together, and falls over well above that. Nodes
-can't ask one another for each request, and an equal share of a few requests a second is less than
-one for each of many nodes, which no node can keep to alone. So a few nodes own a cold server, by
-rendezvous of its name with theirs; each owner sends a fixed number in any second and the others nothing.
+A server that has just started can do few requests a second for all nodes together, and falls over well
+above that. Nodes can't agree on each request, and an equal share of a few requests a second is less than
+one a node. So a few nodes own a cold server, by rendezvous hash of its name and theirs: each owner sends a
+fixed number in any second, all other nodes send nothing.
+
+Inputs: the service's rate for cold servers (its configuration), the limits for all nodes together
+(settings), the names of all nodes, what this node sent; seconds of its clock. Other ways and their figures:
+"Cold servers" in ``docs/design/evacuations-and-cold-servers.md``.
 """
 
 from collections import deque
@@ -13,16 +17,18 @@
 from yokesill.gateway.documents import ServerRecord
 from yokesill.rendezvous import name_hash, weight
 
+# The rates are a second's, in any second.
 WINDOW_S = 1.0
-# Half of the bound is dealt out. The other half covers nodes that count others differently for a while,
-# and requests that wait for a connection after they were allowed and so fall into a later second.
+# The share of the limit that owners may use. The rest covers nodes that know other nodes for a while and so
+# take others for the owners, and requests that wait for a connection once allowed and arrive in a later
+# second. Chosen, not measured; with it no run sent a cold server more than its limit.
 DEALT_SHARE = 0.5
 
 
 class ColdStartLimits(NamedTuple):
-    """How far beyond its own figure a cold server may be asked in one second.
+    """What all nodes together may send a cold server in a second.
 
-    The bound is the service's figure times ``overshoot``, plus ``slack`` requests.
+    The service's rate times ``overshoot``, plus ``slack`` requests.
     """
 
     overshoot: float = 1.0
@@ -30,34 +36,35 @@
 
 
 class ColdStarts:
-    """One node's part in asking cold servers; times in seconds of its clock.
+    """One node's share of the requests to cold servers.
 
     Parameters
     ----------
     own
         This node's name.
-    terms
-        The bound for all nodes together.
+    limits
+        The limits for all nodes together.
     """
 
-    def __init__(self, own: str, terms: ColdStartLimits) -> None:
+    def __init__(self, own: str, limits: ColdStartLimits) -> None:
         self._own = own
-        self._terms = terms
+        self._limits = limits
         self._nodes: dict[str, int] = {}
         self._owned: dict[tuple[str, int], bool] = {}
         self._sent_at_s: dict[str, deque[float]] = {}
 
     def set_nodes(self, names: Collection[str]) -> None:
-        """Take which nodes there are; until it is told, this node owns nothing."""
+        """Set which nodes there are; before the first call this node owns nothing."""
         self._nodes = {name: name_hash(name) for name in names}
         self._owned.clear()
 
-    def allows(self, server: ServerRecord, bears_per_s: float, now: float) -> bool:
+    def allows(self, server: ServerRecord, cold_requests_per_s: float, now: float) -> bool:
         """Whether this node may send a cold server one more request now.
 
-        ``bears_per_s`` is what such a server bears by its service's configuration.
+        ``cold_requests_per_s`` is the rate for such a server in its service's configuration.
         """
-        dealt = int(DEALT_SHARE * (bears_per_s * self._terms.overshoot + self._terms.slack))
+        limit = cold_requests_per_s * self._limits.overshoot + self._limits.slack
+        dealt = int(DEALT_SHARE * limit)
         owners = max(1, min(dealt, len(self._nodes)))
         if dealt < 1 or not self._owns(server.instance, owners):
             return False
@@ -73,7 +80,7 @@
         self._sent_at_s.setdefault(server.instance, deque()).append(now)
 
     def forget(self, instance: str) -> None:
-        """Drop what is kept of a server that is gone."""
+        """Drop the count of a server that is gone."""
         self._sent_at_s.pop(instance, None)
 
     def _owns(self, instance: str, owners: int) -> bool:
--- a/src/yokesill/gateway/servers/evidence.py
+++ b/src/yokesill/gateway/servers/evidence.py
@@ -1,4 +1,9 @@
-"""Which failures and silences speak against a server, and when the other nodes are told of them."""
+"""Which failures count against a server, and when a node's peers are told of late, failed or silent attempts.
+
+Inputs: the ends of attempts and, from time to time, the attempts under way; their routes' typical latencies.
+Output: `ServerObserved` actions, which the outlier detector at two of the nodes weighs (``outliers/``). Times
+in seconds of the node's clock.
+"""
 
 from collections.abc import Callable
 
@@ -7,42 +12,43 @@
 from yokesill.gateway.events import Action, ServerObserved
 from yokesill.verdict import Failure, Reason
 
-SILENCE_FACTOR = 4.0
-# Servers pause now and then, for some hundred milliseconds; silence beyond that is told.
-SILENCE_TO_TELL_S, SILENCE_TO_TELL_FACTOR = 0.4, 8.0
+# A timeout counts against a server only after this multiple of its typical latency: a caller with little
+# time left ends its attempts early, which says nothing of the server. Chosen, not measured.
+TIMEOUT_FACTOR = 4.0
+# A silent attempt is reported after so long, and this multiple of its typical latency. Servers pause for some
+# hundred milliseconds now and then; only what lasts longer is worth a report.
+SILENCE_TO_REPORT_S, SILENCE_TO_REPORT_FACTOR = 0.4, 8.0
+# The attempts under way are looked through so often at most. Chosen, not measured: small against the 0.4 s.
 SILENCE_CHECK_S = 0.1
-# Failures that say nothing of the server: this node's own limits, and a connection that had rested.
+# Failures that say nothing of the server: this node's own limits, and an idle connection that was reset.
 NO_EVIDENCE = frozenset({Reason.OVERLOADED, Reason.CONNECTION_FORGOTTEN})
 
 
 class ServerEvidence:
-    """What one node's attempts show of servers."""
+    """One node's evidence against servers."""
 
     def __init__(self, context: GatewayContext, now: float) -> None:
         self._context = context
         self._silence_checked_at = now
 
     def counts(self, attempt: LiveAttempt, route: Route, failure: Failure, now: float) -> bool:
-        """Whether a failure speaks against the server: silence does only after the usual time and more.
-
-        A caller that has little time left ends its attempts early; that says nothing of servers.
-        """
+        """Return whether a failure counts against the server; a timeout only after ``TIMEOUT_FACTOR``."""
         if failure.reason in NO_EVIDENCE:
             return False
         if failure.reason is not Reason.TIMED_OUT:
             return True
-        usual = attempt.server.round_trip + self._context.typical(route).median
-        return now - attempt.sent_at_s >= SILENCE_FACTOR * usual
+        typical_s = attempt.server.round_trip + self._context.typical(route).median
+        return now - attempt.sent_at_s >= TIMEOUT_FACTOR * typical_s
 
     def tell(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
-        """Tell the other nodes if the attempt's end spoke against its server."""
+        """Report the server if the attempt's end counted against it, unless its silence was reported."""
         if attempt.server.take_evidence() and not attempt.told:
             self._tell(attempt, now, actions)
 
     def tell_of_silent_servers(
         self, route_of: Callable[[int], Route | None], now: float, actions: list[Action]
     ) -> None:
-        """Tell, once each, of attempts that have been out for much longer than a pause."""
+        """Report, once each, attempts that have been out for much longer than a pause."""
         if now - self._silence_checked_at < SILENCE_CHECK_S:
             return
         self._silence_checked_at = now
@@ -51,7 +57,7 @@
             typical = None if route is None else self._context.known_typical(route)
             if attempt.told or typical is None:
                 continue
-            if now - attempt.sent_at_s >= max(SILENCE_TO_TELL_S, SILENCE_TO_TELL_FACTOR * typical.median):
+            if now - attempt.sent_at_s >= max(SILENCE_TO_REPORT_S, SILENCE_TO_REPORT_FACTOR * typical.median):
                 attempt.told = True
                 self._tell(attempt, now, actions)
 
--- a/src/yokesill/gateway/servers/server_zones.py
+++ b/src/yokesill/gateway/servers/server_zones.py
@@ -1,8 +1,9 @@
-"""Where the servers of a wide request are, for a node whose zone has none of them.
+"""The other zones in which a node without servers of its own zone may have wide requests gathered.
 
-Every part of such a request crosses a zone when it is gathered at home: with 90 shards 90 requests and 90
-answers with heads and signatures, each of which a lost packet can make late. Gathered where the servers
-are, one request and one merged answer cross.
+Gathered at home, every attempt of such a request crosses zones: with 90 shards 90 requests and 90 answers,
+each of which a lost packet can make late. Gathered where the servers are, one request and one merged answer
+cross. Inputs: the route, the servers listed, the zones' distances and regions. `CoordinatorChoice` then
+picks a node there; alternatives are in ``docs/design/placement.md``, "Gathering where the servers are".
 """
 
 from collections import Counter
@@ -12,19 +13,22 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.server_table import ServerTable
 
-# A node with servers of more of the services near it gathers for itself.
-MOST_AT_HOME = 0.1
-# A zone with servers of fewer of the services would ask the others across zones again.
-LEAST_ELSEWHERE = 0.9
-# Zones whose round trips differ by less are equally near: callers spread over them.
-SAME_DISTANCE_S = 0.001
-# Looking at the servers of 90 services takes 0.1 ms of half a core.
-LOOK_AGAIN_S = 1.0
+# A node whose zone has servers of more than this share of the services gathers for itself. Chosen, not
+# measured.
+MOST_AT_HOME_SHARE = 0.1
+# A zone with servers of a smaller share of the services is not gone to: it would cross zones for the others.
+# Chosen, not measured.
+LEAST_ELSEWHERE_SHARE = 0.9
+# Zones whose round trips differ by less are equally near, and requests spread over them. Chosen, not
+# measured.
+ZONE_DISTANCE_TOLERANCE_S = 0.001
+# How long a route's zones are kept: finding them for 90 services takes 0.1 ms of half a core.
+REFRESH_S = 1.0
 
 
 class _Known(NamedTuple):
     route: Route
-    looked_at_s: float
+    found_at_s: float
     zones: frozenset[str]
 
 
@@ -44,10 +48,10 @@
         route
             Of a wide request.
         now
-            The node's clock, in seconds; what is returned may be ``LOOK_AGAIN_S`` old.
+            The node's clock, in seconds; what is returned may be ``REFRESH_S`` old.
         """
         known = self._known.get(route.name)
-        if known is None or known.route is not route or now - known.looked_at_s >= LOOK_AGAIN_S:
+        if known is None or known.route is not route or now - known.found_at_s >= REFRESH_S:
             known = self._known[route.name] = _Known(route, now, self._nearest(route, now))
         return known.zones - self._servers.evacuated
 
@@ -56,16 +60,16 @@
         held: Counter[str] = Counter()
         for service in services:
             held.update({each.record.zone for each in self._servers.present(service, now)})
-        if held[own] > MOST_AT_HOME * len(services):
+        if held[own] > MOST_AT_HOME_SHARE * len(services):
             return frozenset()
         holders = [
             zone
             for zone, count in held.items()
-            if zone != own and count >= LEAST_ELSEWHERE * len(services) and self._allowed(zone, route)
+            if zone != own and count >= LEAST_ELSEWHERE_SHARE * len(services) and self._allowed(zone, route)
         ]
         distance = self._servers.distances.extra_round_trip
         least = min(map(distance, holders), default=0.0)
-        return frozenset(zone for zone in holders if distance(zone) <= least + SAME_DISTANCE_S)
+        return frozenset(zone for zone in holders if distance(zone) <= least + ZONE_DISTANCE_TOLERANCE_S)
 
     def _allowed(self, zone: str, route: Route) -> bool:
         """Whether a request may be gathered in a zone: its body must not leave its region."""
--- a/src/yokesill/outliers/detector.py
+++ b/src/yokesill/outliers/detector.py
@@ -1,30 +1,43 @@
-"""Judges servers by what all nodes saw of them lately."""
+"""When the nodes together suspect a server of being slow or failing, and for how long.
+
+Inputs: observations from all nodes, each of a late, failed or silent attempt with the good answers that the
+same node got from the server beside it. Output: a suspicion, which every node applies
+(``gateway/servers/probation``). Two nodes keep a server's record, by rendezvous hash; times in seconds of
+their own clock. Alternatives and runs: ``docs/design/outliers.md``.
+"""
 
 from typing import NamedTuple
 
 from yokesill.outliers.messages import Observation, Suspicion
 
-# Every server pauses now and then, and all that waited in one pause is late at its end: what comes
-# within SPACING_S is one observation. A slow server shows several within WINDOW_S.
+# What comes within this time is one observation: all that waited in one pause of a server is late at its end.
 SPACING_S = 0.1
-WINDOW_S = 1.5
-NEEDED = 3
-# One answer in a hundred takes several times as long as usual. A slow server has few good ones.
+# A suspicion needs so many observations within the window. Chosen, not measured: a pause gives one, a slow
+# server several.
+WINDOW_S, OBSERVATIONS_NEEDED = 1.5, 3
+# And no more good answers than this for each observation. One answer in a hundred takes several times as
+# long as usual, so a busy server has three late ones in a window by chance: before this rule and
+# probation a day with six slow servers gave 2,567 suspicions, after it 152.
 GOOD_PER_LATE = 1.0
-FIRST_S, GROWTH, CEILING_S = 0.7, 2.0, 3.0
-# A server that was suspected a moment ago needs less to be suspected again.
-PROBATION_S, NEEDED_ON_PROBATION = 2.0, 2
+# How long the first suspicion lasts, and how it grows while the server is suspected again and again.
+# Chosen, not measured: servers are slow for seconds, and a server that has recovered is idle until a
+# suspicion ends.
+FIRST_SUSPICION_S, SUSPICION_GROWTH, SUSPICION_CEILING_S = 0.7, 2.0, 3.0
+# For so long after a suspicion fewer observations are enough for the next. Chosen, not measured.
+PROBATION_S, OBSERVATIONS_NEEDED_ON_PROBATION = 2.0, 2
+# Bounds the memory against instance names made up by whoever can send datagrams: five times the target's
+# 3,900 servers.
 MOST_SERVERS = 20_000
 
 
 class _Seen(NamedTuple):
-    at: float
+    at_s: float
     good_answers: int
 
 
 class _Record(NamedTuple):
     seen: tuple[_Seen, ...]
-    suspected_until: float
+    suspected_until_s: float
     for_s: float
 
 
@@ -38,7 +51,7 @@
         self._records: dict[str, _Record] = {}
 
     def observe(self, observation: Observation, now: float) -> Suspicion | None:
-        """Take one observation.
+        """Count one observation.
 
         Parameters
         ----------
@@ -54,26 +67,28 @@
         """
         instance, good_answers = observation
         record = self._records.get(instance, _NEVER)
-        if now < record.suspected_until:
+        if now < record.suspected_until_s:
             return None
-        recent = tuple(each for each in record.seen if now - each.at < WINDOW_S)
-        if recent and now - recent[-1].at < SPACING_S:
-            merged = _Seen(recent[-1].at, recent[-1].good_answers + good_answers)
+        recent = tuple(each for each in record.seen if now - each.at_s < WINDOW_S)
+        if recent and now - recent[-1].at_s < SPACING_S:
+            merged = _Seen(recent[-1].at_s, recent[-1].good_answers + good_answers)
             self._keep(instance, record._replace(seen=(*recent[:-1], merged)))
             return None
         recent = (*recent, _Seen(now, good_answers))
-        on_probation = record.for_s > 0 and now - record.suspected_until < PROBATION_S
-        needed = NEEDED_ON_PROBATION if on_probation else NEEDED
+        on_probation = record.for_s > 0 and now - record.suspected_until_s < PROBATION_S
+        needed = OBSERVATIONS_NEEDED_ON_PROBATION if on_probation else OBSERVATIONS_NEEDED
         good = sum(each.good_answers for each in recent)
         if len(recent) < needed or good > GOOD_PER_LATE * len(recent):
             self._keep(instance, record._replace(seen=recent))
             return None
-        for_s = min(record.for_s * GROWTH, CEILING_S) if on_probation else FIRST_S
+        for_s = FIRST_SUSPICION_S
+        if on_probation:
+            for_s = min(record.for_s * SUSPICION_GROWTH, SUSPICION_CEILING_S)
         self._keep(instance, _Record((), now + for_s, for_s))
         return Suspicion(instance, for_s)
 
     def _keep(self, instance: str, record: _Record) -> None:
-        """Remember a record; the oldest goes when there are too many."""
+        """Keep a record; drop the oldest when there are too many."""
         self._records.pop(instance, None)
         self._records[instance] = record
         if len(self._records) > MOST_SERVERS:
--- a/src/yokesill/rendezvous.py
+++ b/src/yokesill/rendezvous.py
@@ -1,8 +1,14 @@
-"""Rendezvous hashing without a library that a serving node would have to load for it."""
+"""Rendezvous hashing: every node ranks the same members for a subject alike, without messages.
+
+Used wherever nodes divide work: watchers, deciders, coordinators, owners of cold servers, subsets of
+servers. Nodes of different versions must agree, so the values never change (``tests/forms``). Without a
+hashing library, which a serving node would have to load.
+"""
 
 import zlib
 
 _MASK = (1 << 64) - 1
+# The two multipliers of splitmix64's finish.
 MIX_FIRST, MIX_SECOND = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
 
 
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -9,7 +9,7 @@
 from yokesill.gateway.forwarding import LEAST_SERVICES, ZONE_LOST_PAUSE_S, Coordinator, CoordinatorChoice
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.server_table import ServerTable
-from yokesill.gateway.servers.server_zones import LOOK_AGAIN_S, ServerZones
+from yokesill.gateway.servers.server_zones import REFRESH_S, ServerZones
 
 NOW = 1000.0
 NAMES = tuple(f"s{number}" for number in range(LEAST_SERVICES))
@@ -73,7 +73,7 @@
     places.zones(WIDE, NOW)
     if gone:
         servers.replace(list[ServerRecord](), NOW)
-    assert places.zones(WIDE, NOW + LOOK_AGAIN_S) == (frozenset() if gone else {"a"})
+    assert places.zones(WIDE, NOW + REFRESH_S) == (frozenset() if gone else {"a"})
 
 
 def test_after_one_coordinator_of_another_zone_was_lost_that_zone_is_gone_around() -> None:
