--- a/src/yokesill/gateway/servers/probation.py
+++ b/src/yokesill/gateway/servers/probation.py
@@ -2,7 +2,7 @@
 
 While the suspicion lasts the server gets no first attempts. Then it is on probation, one attempt at a time,
 until it answers as usual: otherwise every node would send everything back at the same moment. How long a
-suspicion lasts is the detector's decision (``outliers/judge``, 0.7 to 3 s); which servers may be suspected
+suspicion lasts is the detector's decision (``outliers/detector``, 0.7 to 3 s); which servers may be suspected
 at all is in `eligibility`. Times in seconds of the node's clock.
 """
 
