--- a/bench/quarantine_cost.py
+++ b/bench/quarantine_cost.py
@@ -36,17 +36,17 @@
     return taken / MOST_RECORDS
 
 
-def sent(standing: QuarantineStatus | None) -> tuple[int, int]:
+def sent(status: QuarantineStatus | None) -> tuple[int, int]:
     """Return datagrams and bytes that one node sends: of a finding, or of the losses of one wide request."""
     peers = [Peer(f"node-{n}", f"10.0.{n % 256}.{n // 256}:7003", f"zone-{n % ZONES}") for n in range(NODES)]
     exchange = QuarantineExchange(peers[0], random.Random(1))
     exchange.set_peers(peers)
     name = "0123456789abcdef01234567"
-    if standing is None:
+    if status is None:
         for number in range(SHARDS):
             exchange.report_loss(LossReport(name, Loss(f"i-{number:010x}", f"shard-{number:03d}")))
     else:
-        exchange.announce(QuarantineFinding(name, standing))
+        exchange.announce(QuarantineFinding(name, status))
     datagrams = exchange.flush()
     return len(datagrams), sum(len(each.data) for each in datagrams)
 
--- a/bench/rollout_fleet.py
+++ b/bench/rollout_fleet.py
@@ -158,7 +158,7 @@
         known = node.records.get(service)
         if known is None or order.revision > known.revision:
             node.records[service] = order
-        node.decider.take_order(order, self.now)
+        node.decider.set_order(order, self.now)
 
     def _serve(self) -> None:
         running = [node for node in self.nodes.values() if node.running]
@@ -215,7 +215,7 @@
             for name in decider.reporting_to(self.now) if report.orders else ():
                 self._send(node.name, name, report)
         if decider.urgent(self.now) or self.now - node.spoke_at_s >= decider.interval_s:
-            word = decider.word(self.now)
+            word = decider.decisions(self.now)
             if word is not None:
                 node.spoke_at_s = self.now
                 for name in self.nodes:
@@ -236,9 +236,9 @@
         if not node.running or lost or (sender != to and self.source.random() < self.loss):
             return
         if isinstance(message, RolloutReport):
-            node.decider.heard_report(message, self.now)
+            node.decider.receive_report(message, self.now)
             return
-        node.decider.heard_word(message, self.now)
+        node.decider.receive_decisions(message, self.now)
         for word in message.orders:
             until = self.now + message.valid_s
             node.words.setdefault(word.order.service, {})[message.node] = (word, until)
--- a/src/yokesill/gateway/crash_events.py
+++ b/src/yokesill/gateway/crash_events.py
@@ -26,7 +26,7 @@
     """Another node found that a request is to be suspected or quarantined."""
 
     fingerprint: str
-    standing: QuarantineStatus
+    status: QuarantineStatus
 
 
 class RequestQuarantined(NamedTuple):
@@ -69,4 +69,4 @@
     """This node found that a request is to be suspected or quarantined: tell all nodes."""
 
     fingerprint: str
-    standing: QuarantineStatus
+    status: QuarantineStatus
--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -26,9 +26,7 @@
     def standing(self, request: GatewayRequest, now: float) -> QuarantineStatus:
         """Return what holds for a request."""
         return (
-            self.detector.standing(fingerprint(request), now)
-            if len(self.detector)
-            else QuarantineStatus.CLEAR
+            self.detector.status(fingerprint(request), now) if len(self.detector) else QuarantineStatus.CLEAR
         )
 
     # --- what this node saw ---
@@ -73,8 +71,8 @@
         self, event: ev.QuarantineStatusReceived, now: float, actions: list[ev.Action]
     ) -> None:
         """Take what another node found."""
-        if self.detector.told(event.fingerprint, event.standing, now):
-            self._changed(event.fingerprint, event.standing, "told", actions)
+        if self.detector.receive_status(event.fingerprint, event.status, now):
+            self._changed(event.fingerprint, event.status, "told", actions)
 
     def record(self, fingerprints: frozenset[str], actions: list[ev.Action]) -> None:
         """Take which requests the registry records."""
--- a/src/yokesill/gateway/events.py
+++ b/src/yokesill/gateway/events.py
@@ -143,7 +143,7 @@
 class RolloutDecisionsReceived(NamedTuple):
     """A decider told what holds for some orders."""
 
-    word: RolloutDecisions
+    decisions: RolloutDecisions
 
 
 class VersionsEstablished(NamedTuple):
--- a/src/yokesill/gateway/requests/losses.py
+++ b/src/yokesill/gateway/requests/losses.py
@@ -30,7 +30,7 @@
     def suspected(self, now: float) -> bool:
         """Whether servers are suspected to end by it."""
         judge = self._crashes.detector
-        return len(judge) > 0 and judge.standing(self.fingerprint, now) is QuarantineStatus.SUSPECTED
+        return len(judge) > 0 and judge.status(self.fingerprint, now) is QuarantineStatus.SUSPECTED
 
     def suspects_first(self, calls: list[ServiceCall]) -> list[ServiceCall]:
         """Return calls in the order in which to try them: services first whose servers ended."""
--- a/src/yokesill/gateway/rollouts.py
+++ b/src/yokesill/gateway/rollouts.py
@@ -6,9 +6,9 @@
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.servers.server_state import ServerState
 from yokesill.rollouts.canary import Canary
-from yokesill.rollouts.evidence import OrderEvidence
 from yokesill.rollouts.messages import OrderReport, Sample
 from yokesill.rollouts.node_orders import NodeOrders
+from yokesill.rollouts.order_samples import OrderSamples
 from yokesill.rollouts.orders import OrderId, RolloutState
 from yokesill.rollouts.versions import ServiceVersions
 
@@ -18,7 +18,7 @@
 
     def __init__(self, versions: ServiceVersions) -> None:
         self.orders = NodeOrders(versions, Canary())
-        self._evidence: dict[OrderId, OrderEvidence] = {}
+        self._samples: dict[OrderId, OrderSamples] = {}
         self._repeatable: frozenset[str] = frozenset()
 
     @property
@@ -50,7 +50,9 @@
             order = self.orders.open.get(service)
             if order is None or self.effective[service] is not RolloutState.CANARY:
                 continue
-            if (route.repeatable or service not in self._repeatable) and canary.takes(asked, order.id, now):
+            if (route.repeatable or service not in self._repeatable) and canary.includes(
+                asked, order.id, now
+            ):
                 chosen.append((canary.rank(asked, order.id), service))
         return [service for _, service in sorted(chosen)[:most]]
 
@@ -88,13 +90,13 @@
             latency_s = max(0.0, now - sent_at - server.round_trip - node_late_s)
         new = server.record.version == order.target
         sample = Sample(route.name, server.record.instance, new, succeeded, latency_s)
-        self._of(order.id).ended(sample)
+        self._of(order.id).add(sample)
 
     def report(self, servers_of: Callable[[str], Iterable[ServerState]]) -> tuple[OrderReport, ...]:
         """Return what was sent and seen under each open order; its samples are told once."""
         orders = list(self.orders.open.values())
         kept = {each.id for each in orders}
-        self._evidence = {order: each for order, each in self._evidence.items() if order in kept}
+        self._samples = {order: each for order, each in self._samples.items() if order in kept}
         reports = []
         for order in orders:
             seen, state = self._of(order.id), self.effective[order.service]
@@ -104,8 +106,8 @@
             reports.append(OrderReport(order.id, state, *counts, seen.take_samples()))
         return tuple(reports)
 
-    def _of(self, order: OrderId) -> OrderEvidence:
-        seen = self._evidence.get(order)
+    def _of(self, order: OrderId) -> OrderSamples:
+        seen = self._samples.get(order)
         if seen is None:
-            seen = self._evidence[order] = OrderEvidence()
+            seen = self._samples[order] = OrderSamples()
         return seen
--- a/src/yokesill/gateway/state_updates.py
+++ b/src/yokesill/gateway/state_updates.py
@@ -139,7 +139,7 @@
 @apply_update.register
 def _(event: ev.RolloutDecisionsReceived, learning: StateUpdates, now: float, actions: Actions) -> None:
     if learning.context.options.rollouts is not None:
-        learning.rollouts(learning.context.rollouts.orders.heard(event.word, now), actions)
+        learning.rollouts(learning.context.rollouts.orders.received(event.decisions, now), actions)
 
 
 @apply_update.register
--- a/src/yokesill/quarantine/detector.py
+++ b/src/yokesill/quarantine/detector.py
@@ -45,23 +45,23 @@
     ``shared`` if other nodes know something of it, too.
     """
 
-    __slots__ = ("at_s", "lost", "shared", "standing", "trials")
+    __slots__ = ("at_s", "lost", "shared", "status", "trials")
 
     def __init__(self, now: float) -> None:
         self.at_s = now
-        self.standing = QuarantineStatus.CLEAR
+        self.status = QuarantineStatus.CLEAR
         self.lost: dict[str, set[str]] = {}
         self.trials: set[str] = set()
         self.shared = False
 
     def judge(self) -> None:
-        """Raise the standing by the evidence."""
+        """Raise the status by the evidence."""
         lost = sum(map(len, self.lost.values()))
-        if self.standing is QuarantineStatus.CLEAR and lost >= LOST_TO_SUSPECT:
-            self.standing = QuarantineStatus.SUSPECTED
+        if self.status is QuarantineStatus.CLEAR and lost >= LOST_TO_SUSPECT:
+            self.status = QuarantineStatus.SUSPECTED
         needed = 1 if lost >= LOST_BESIDE_ONE_TRIAL else TRIALS_TO_QUARANTINE
-        if self.standing is QuarantineStatus.SUSPECTED and len(self.trials) >= needed:
-            self.standing = QuarantineStatus.QUARANTINED
+        if self.status is QuarantineStatus.SUSPECTED and len(self.trials) >= needed:
+            self.status = QuarantineStatus.QUARANTINED
 
 
 class CrashDetector:
@@ -81,9 +81,7 @@
     @property
     def quarantined(self) -> frozenset[str]:
         """All requests that are kept from servers."""
-        unrecorded = (
-            each for each, of in self._records.items() if of.standing is QuarantineStatus.QUARANTINED
-        )
+        unrecorded = (each for each, of in self._records.items() if of.status is QuarantineStatus.QUARANTINED)
         return self._recorded.union(unrecorded)
 
     @property
@@ -91,12 +89,12 @@
         """Those of them that are recorded for good."""
         return self._recorded
 
-    def standing(self, fingerprint: str, now: float) -> QuarantineStatus:
+    def status(self, fingerprint: str, now: float) -> QuarantineStatus:
         """Return what holds for a request now."""
         if fingerprint in self._recorded:
             return QuarantineStatus.QUARANTINED
         record = self._current(fingerprint, now)
-        return QuarantineStatus.CLEAR if record is None else record.standing
+        return QuarantineStatus.CLEAR if record is None else record.status
 
     def suspected_services(self, fingerprint: str) -> frozenset[str]:
         """Return the services of which servers ended under a request and none answered it since."""
@@ -106,7 +104,7 @@
     # --- evidence ---
 
     def lost(self, fingerprint: str, loss: Loss, now: float) -> QuarantineStatus | None:
-        """Take that a server ended under a request; return its standing if that has changed."""
+        """Take that a server ended under a request; return its status if that has changed."""
         if fingerprint in self._recorded:
             return None
         record = self._current(fingerprint, now)
@@ -115,11 +113,11 @@
             self._forget_old()
         record.at_s = now
         record.lost.setdefault(loss.service, set()).add(loss.instance)
-        before = record.standing
+        before = record.status
         if loss.trial and before is QuarantineStatus.SUSPECTED:
             record.trials.add(loss.instance)
         record.judge()
-        return record.standing if record.standing is not before else None
+        return record.status if record.status is not before else None
 
     def share(self, fingerprint: str) -> None:
         """Take that other nodes know of a request."""
@@ -140,7 +138,7 @@
         the servers of one shard and be answered by those of all others.
         """
         record = self._records.get(fingerprint)
-        if record is None or record.standing is QuarantineStatus.QUARANTINED:
+        if record is None or record.status is QuarantineStatus.QUARANTINED:
             return False
         if trial:
             del self._records[fingerprint]
@@ -153,13 +151,13 @@
 
     # --- what others found ---
 
-    def told(self, fingerprint: str, standing: QuarantineStatus, now: float) -> bool:
+    def receive_status(self, fingerprint: str, status: QuarantineStatus, now: float) -> bool:
         """Take another node's finding; return whether it is news. Nothing is cleared by being told."""
-        if standing <= self.standing(fingerprint, now):
+        if status <= self.status(fingerprint, now):
             return False
         record = self._records.setdefault(fingerprint, _Record(now))
         record.at_s = now
-        record.standing = standing
+        record.status = status
         record.shared = True
         self._forget_old()
         return True
@@ -174,7 +172,7 @@
         record = self._records.get(fingerprint)
         if record is None:
             return None
-        kept_s = UNRECORDED_S if record.standing is QuarantineStatus.QUARANTINED else EVIDENCE_S
+        kept_s = UNRECORDED_S if record.status is QuarantineStatus.QUARANTINED else EVIDENCE_S
         if now - record.at_s <= kept_s:
             return record
         del self._records[fingerprint]
@@ -187,7 +185,7 @@
 
         def worth(fingerprint: str) -> tuple[QuarantineStatus, float]:
             record = self._records[fingerprint]
-            return record.standing, record.at_s
+            return record.status, record.at_s
 
         for fingerprint in heapq.nsmallest(FORGOTTEN_AT_ONCE, self._records, key=worth):
             del self._records[fingerprint]
--- a/src/yokesill/quarantine/exchange.py
+++ b/src/yokesill/quarantine/exchange.py
@@ -50,7 +50,7 @@
             nodes,
             ENTRIES_PER_DATAGRAM,
             lambda entries, relay: encode(QuarantineFindings(entries, relay)),
-            lambda finding: finding.standing is QuarantineStatus.QUARANTINED,
+            lambda finding: finding.status is QuarantineStatus.QUARANTINED,
         )
 
     @property
@@ -97,7 +97,7 @@
             raise ValueError("it comes from no node that is known")
         message = decode(data)
         if isinstance(message, QuarantineFindings) and message.relay:
-            self._findings.relay(message.standings)
+            self._findings.relay(message.findings)
         return message
 
     def flush(self) -> list[Datagram]:
--- a/src/yokesill/quarantine/messages.py
+++ b/src/yokesill/quarantine/messages.py
@@ -32,7 +32,7 @@
     """A request is to be suspected, or kept from servers."""
 
     fingerprint: str
-    standing: QuarantineStatus
+    status: QuarantineStatus
 
 
 class Losses(NamedTuple):
@@ -50,7 +50,7 @@
 class QuarantineFindings(NamedTuple):
     """An owner's findings; with ``relay`` the receiver passes them on within its zone."""
 
-    standings: tuple[QuarantineFinding, ...]
+    findings: tuple[QuarantineFinding, ...]
     relay: bool
 
 
@@ -63,7 +63,7 @@
         return encode_frame(Kind.LOSSES, [[each.fingerprint, *each.loss] for each in message.losses])
     if isinstance(message, Answers):
         return encode_frame(Kind.ANSWERS, [list(each) for each in message.answers])
-    entries = [[each.fingerprint, int(each.standing)] for each in message.standings]
+    entries = [[each.fingerprint, int(each.status)] for each in message.findings]
     return encode_frame(Kind.QUARANTINE_FINDINGS, entries, message.relay)
 
 
--- a/src/yokesill/rollouts/assessment.py
+++ b/src/yokesill/rollouts/assessment.py
@@ -63,7 +63,7 @@
     expected: float
 
 
-class Verdict(NamedTuple):
+class VersionAssessment(NamedTuple):
     """What was found and the inputs that decided.
 
     ``evidence`` is how much likelier the answers are under a bad version than under a good one, ``needed``
@@ -100,7 +100,7 @@
         return {**self._asdict(), "expected": round(self.expected, 2), "evidence": evidence}
 
 
-def judge(cells: Sequence[Cell]) -> Verdict:
+def assess(cells: Sequence[Cell]) -> VersionAssessment:
     """Return what the answers of a new version, of both kinds, say."""
     servers = {cell.instance for cell in cells}
     tests = [
@@ -108,7 +108,7 @@
         for kind, route, weight, each in _tests(cells)
     ]
     if not tests:
-        return Verdict()
+        return VersionAssessment()
     _, kind, route, loudest = max(tests, key=lambda item: item[0])
     evidence = sum(item[0] for item in tests)
     finding = Finding.OPEN
@@ -116,7 +116,7 @@
         finding = Finding.BAD
     elif all(_clears(each, [cell for cell in cells if cell.kind is each]) for each in Kind):
         finding = Finding.GOOD
-    return Verdict(
+    return VersionAssessment(
         finding,
         kind,
         route,
--- a/src/yokesill/rollouts/canary.py
+++ b/src/yokesill/rollouts/canary.py
@@ -1,4 +1,4 @@
-"""What deciders told this node, and which requests are canaries by it."""
+"""Which requests are canaries, by the deciders' shares and a hash of each request."""
 
 from typing import NamedTuple
 
@@ -10,19 +10,19 @@
 
 
 class _Share(NamedTuple):
-    """The share that one decider told, and until when it holds in seconds of the node's clock."""
+    """One decider's share, and until when it holds in seconds of the node's clock."""
 
     share: float
     until_s: float
 
 
 class Canary:
-    """The words heard of orders; times in seconds of the node's clock.
+    """The decisions received on orders; times in seconds of the node's clock.
 
-    A share holds as long as its word says: a node that hears nothing goes back to the old version. Where
-    several deciders speak, the least share counts. What state an order is in was recorded before it was
-    told, so it holds for good, and never goes back, but for ``ROLLED_BACK``: from the first such word on
-    nothing else that deciders say of the order counts.
+    A share holds as long as its message says: a node that receives nothing goes back to the old version. Of
+    several deciders' shares the least counts. An order's state was recorded before it was announced, so it
+    holds for good and never goes back, but for ``ROLLED_BACK``: after the first such decision no other
+    decision on the order counts.
     """
 
     __slots__ = ("_hashes", "_shares", "_states")
@@ -32,20 +32,20 @@
         self._states: dict[OrderId, RolloutState] = {}
         self._hashes: dict[OrderId, int] = {}
 
-    def hear(self, word: RolloutDecisions, now: float) -> None:
-        """Take a decider's word."""
-        for each in word.orders:
+    def receive(self, message: RolloutDecisions, now: float) -> None:
+        """Apply a decider's decisions."""
+        for each in message.orders:
             shares = self._shares.setdefault(each.order, {})
-            shares[word.node] = _Share(each.share, now + word.valid_s)
-            self._hear_state(each)
+            shares[message.node] = _Share(each.share, now + message.valid_s)
+            self._receive_state(each)
 
-    def _hear_state(self, word: OrderDecision) -> None:
-        known = self._states.get(word.order)
-        if known is None or (not known.final and (word.state.rank > known.rank)):
-            self._states[word.order] = word.state
+    def _receive_state(self, decision: OrderDecision) -> None:
+        known = self._states.get(decision.order)
+        if known is None or (not known.final and (decision.state.rank > known.rank)):
+            self._states[decision.order] = decision.state
 
     def state(self, order: OrderId) -> RolloutState | None:
-        """Return the state that words told; ``None`` where none spoke of the order."""
+        """Return the state that deciders announced; ``None`` where none did."""
         return self._states.get(order)
 
     def share(self, order: OrderId, now: float) -> float:
@@ -53,10 +53,10 @@
         fresh = [each.share for each in self._shares.get(order, {}).values() if now < each.until_s]
         return min(fresh, default=0.0)
 
-    def takes(self, request_id: str, order: OrderId, now: float) -> bool:
+    def includes(self, request_id: str, order: OrderId, now: float) -> bool:
         """Whether a request goes to the new version while the order is a canary.
 
-        By a hash of both names: no node keeps a state for it or asks another, and over all nodes the share
+        By a hash of both names: no node keeps a state for it or calls another, and over all nodes the share
         is right in the mean. Of 240 requests at a share of 0.1 that spreads by sqrt(240 * 0.1 * 0.9) = 5.
         """
         share = self.share(order, now)
@@ -70,7 +70,7 @@
         return weight(name_hash(request_id), hashed)
 
     def forget(self, order: OrderId) -> None:
-        """Drop what was told of an order that is gone."""
+        """Drop what was received on an order that is gone."""
         self._shares.pop(order, None)
         self._states.pop(order, None)
         self._hashes.pop(order, None)
--- a/src/yokesill/rollouts/decider.py
+++ b/src/yokesill/rollouts/decider.py
@@ -1,14 +1,19 @@
-"""One node's part in deciding on all roll-outs."""
+"""One node's share in deciding on all roll-outs: feeds each order's progress, and collects what to send.
+
+Who decides is in ``decider_role``, what is decided in ``order_progress`` and the modules that it names.
+"""
 
 import random
 from collections.abc import Collection, Mapping
 from typing import Any
 
 from yokesill.rollouts.decider_role import DeciderRole
+from yokesill.rollouts.listed_versions import ListedVersions
 from yokesill.rollouts.messages import RolloutDecisions, RolloutReport
-from yokesill.rollouts.order_progress import OrderFigures, OrderProgress
+from yokesill.rollouts.order_figures import OrderFigures
+from yokesill.rollouts.order_progress import OrderProgress
 from yokesill.rollouts.orders import Overtaken, RolloutLimits, RolloutOrder, RolloutState
-from yokesill.rollouts.stages import Circumstances
+from yokesill.rollouts.stages import DeciderView
 from yokesill.verdict import Failure
 
 
@@ -37,80 +42,79 @@
         self._terms = terms
         self._role = DeciderRole(own, source, now)
         self._orders: dict[str, OrderProgress] = {}
-        self._told: dict[str, RolloutState] = {}
+        self._announced: dict[str, RolloutState] = {}
         self._services: frozenset[str] | None = None
-        self._versions: dict[str, Mapping[str, int]] = {}
-        self._gone_since_s: dict[str, float] = {}
+        self._versions = ListedVersions()
         self._under_way: set[str] = set()
-        self._able = True
+        self._reaches_registry = True
         self._urgent = False
-        self._notes: list[tuple[str, dict[str, Any]]] = []
+        self._log_events: list[tuple[str, dict[str, Any]]] = []
 
     @property
     def interval_s(self) -> float:
-        """How often reports and words go out while there are open orders."""
+        """How often reports and decisions go out while there are open orders."""
         return self._role.interval_s
 
     @property
     def deciding(self) -> bool:
         """Whether this node decides now."""
-        return self._role.on
+        return self._role.deciding
 
     def open_services(self, now: float) -> tuple[str, ...]:
         """Return the services with an order that is open or became final just now; others need no ticks."""
-        return tuple(service for service, each in self._orders.items() if each.telling(now))
+        return tuple(service for service, each in self._orders.items() if each.is_announced(now))
 
     def set_nodes(self, cores: Mapping[str, float]) -> None:
-        """Take all nodes by name, with how much of a processor each has."""
+        """Set all nodes by name, with how much of a processor each has."""
         self._role.set_nodes(cores)
 
     def set_services(self, names: Collection[str]) -> None:
-        """Take which services the configuration names."""
+        """Set which services the configuration names."""
         self._services = frozenset(names)
 
     def set_versions(self, service: str, counts: Mapping[str, int]) -> None:
-        """Take how many servers of each version a service has, those that leave not counted."""
-        self._versions[service] = dict(counts)
+        """Set how many servers of each version a service has, those that leave not counted."""
+        self._versions.set(service, counts)
 
-    def set_registry(self, able: bool, now: float) -> None:
-        """Take whether this node reaches the registry."""
-        self._able = able
+    def set_registry(self, reaches_registry: bool, now: float) -> None:
+        """Set whether this node reaches the registry."""
+        self._reaches_registry = reaches_registry
 
-    def take_order(self, order: RolloutOrder, now: float) -> None:
-        """Take an order as the registry holds it; an older one than is known changes nothing."""
+    def set_order(self, order: RolloutOrder, now: float) -> None:
+        """Set an order as the registry holds it; an older one than is known changes nothing."""
         known = self._orders.get(order.service)
         if known is not None and known.order.id == order.id:
-            known.take(order, now)
+            known.update_record(order, now)
         elif known is None or order.revision > known.order.revision:
             self._drop(order.service)
             self._orders[order.service] = OrderProgress(order, self._terms, now)
-            self._note("rollout_order", order, state=order.state, duration_s=order.duration_s)
+            self._log_event("rollout_order", order, state=order.state, duration_s=order.duration_s)
 
     def withdraw(self, service: str, now: float) -> None:
-        """Take that a service has no order any more."""
+        """Drop the order of a service that has none any more."""
         known = self._orders.get(service)
         if known is not None:
-            self._note("rollout_withdrawn", known.order, state=known.state)
+            self._log_event("rollout_withdrawn", known.order, state=known.state)
             self._drop(service)
 
-    def take_all(self, orders: Collection[RolloutOrder], now: float) -> None:
-        """Take all orders that there are."""
+    def replace_orders(self, orders: Collection[RolloutOrder], now: float) -> None:
+        """Replace all orders."""
         for service in self._orders.keys() - {order.service for order in orders}:
             self.withdraw(service, now)
         for order in orders:
-            self.take_order(order, now)
+            self.set_order(order, now)
 
-    def heard_word(self, word: RolloutDecisions, now: float) -> None:
-        """Take another decider's word."""
-        if word.node == self._own:
+    def receive_decisions(self, message: RolloutDecisions, now: float) -> None:
+        """Take another decider's decisions."""
+        if message.node == self._own:
             return
-        self._role.heard(word.node, word.able, now)
-        for each in word.orders:
+        self._role.received(message.node, message.reaches_registry, now)
+        for each in message.orders:
             known = self._orders.get(each.order.service)
             if known is not None and known.order.id == each.order:
-                known.heard(each, now)
+                known.receive_decision(each, now)
 
-    def heard_report(self, report: RolloutReport, now: float) -> None:
+    def receive_report(self, report: RolloutReport, now: float) -> None:
         """Take a node's report, this node's own too."""
         self._role.reported(report.node, now)
         for each in report.orders:
@@ -119,77 +123,76 @@
                 known.report(report.node, report.incarnation, each, now)
 
     def tick(self, now: float) -> list[RolloutOrder]:
-        """Decide; return the orders whose state, time and reason are to be recorded.
+        """Decide; return the orders whose state, time and reason are to be written.
 
-        Each is to be written on the condition of its revision, and its outcome told to ``recorded``. Until
-        then no other record of that service is returned.
+        Each is to be written on the condition of its revision, and ``recorded`` called with its outcome.
+        Until then no other record of that service is returned.
         """
-        telling = [each for each in self._orders.values() if each.telling(now)]
-        began = self._role.look(bool(telling), now)
-        for progress in telling:
-            progress.follows_from_start &= self._role.on and (
+        orders = [each for each in self._orders.values() if each.is_announced(now)]
+        began = self._role.update(bool(orders), now)
+        for progress in orders:
+            progress.follows_from_start &= self._role.deciding and (
                 not began or progress.state is RolloutState.ORDERED
             )
         if began:
             self._urgent = True
-            self._notes.append(
-                ("rollout_decider", {"incarnation": self._incarnation, "orders": len(telling)})
+            self._log_events.append(
+                ("rollout_decider", {"incarnation": self._incarnation, "orders": len(orders)})
             )
-        if not self._role.on:
+        if not self._role.deciding:
             return []
         records = []
-        common = self._common(now)
-        for progress in telling:
-            seen = self._seen(progress, common, now)
-            record = progress.step(seen, now)
+        common = self._common_view(now)
+        for progress in orders:
+            view = self._view_of(progress, common, now)
+            record = progress.step(view, now)
             service = progress.order.service
             if record is not None and service not in self._under_way:
                 self._under_way.add(service)
-                progress.attempted(record.state)
+                progress.write_started(record.state)
                 records.append(record)
-            told = progress.told(seen, now)
-            if self._told.get(service, RolloutState.ORDERED) is not told:
-                self._told[service] = told
+            state = progress.announced_state(view, now)
+            if self._announced.get(service, RolloutState.ORDERED) is not state:
+                self._announced[service] = state
                 self._urgent = True
         return records
 
     def recorded(
         self, attempted: RolloutOrder, outcome: RolloutOrder | Overtaken | Failure, now: float
     ) -> None:
-        """Take how writing a record ended."""
+        """Note how writing a record ended."""
         self._under_way.discard(attempted.service)
         known = self._orders.get(attempted.service)
         if known is not None and known.order.id == attempted.id:
-            known.answered(attempted, outcome, now)
+            known.write_ended(attempted, outcome, now)
             self._urgent |= isinstance(outcome, RolloutOrder)
         if not isinstance(outcome, Overtaken):
             return
         if outcome.order is not None:
-            self.take_order(outcome.order, now)
+            self.set_order(outcome.order, now)
         elif known is not None and known.order.id == attempted.id:
             self.withdraw(attempted.service, now)
 
-    def word(self, now: float) -> RolloutDecisions | None:
+    def decisions(self, now: float) -> RolloutDecisions | None:
         """Return what to tell every node now; ``None`` from a node that does not decide.
 
-        One that can't reach the registry says nothing of shares, so that they end unless another decider
-        tells them.
+        One that can't reach the registry announces no shares: they end unless another decider announces them.
         """
         self._urgent = False
-        if not self._role.on:
+        if not self._role.deciding:
             return None
-        common = self._common(now)
-        words = [each.word(self._seen(each, common, now), now) for each in self._orders.values()]
-        told = [each for each in words if each is not None]
-        if not self._able:
-            told = [each for each in told if each.state is not RolloutState.CANARY]
-        if not told and self._able:
+        common = self._common_view(now)
+        all_orders = [each.decision(self._view_of(each, common, now), now) for each in self._orders.values()]
+        announced = [each for each in all_orders if each is not None]
+        if not self._reaches_registry:
+            announced = [each for each in announced if each.state is not RolloutState.CANARY]
+        if not announced and self._reaches_registry:
             return None
-        return RolloutDecisions(self._own, self._able, self._role.patience_s, tuple(told))
+        return RolloutDecisions(self._own, self._reaches_registry, self._role.patience_s, tuple(announced))
 
     def urgent(self, now: float) -> bool:
-        """Whether a word should go out at once."""
-        return self._urgent and self._role.on
+        """Whether decisions should go out at once."""
+        return self._urgent and self._role.deciding
 
     def reporting_to(self, now: float) -> tuple[str, ...]:
         """Return the nodes to send reports to; none while no order is open."""
@@ -197,52 +200,46 @@
 
     def figures(self, now: float) -> tuple[OrderFigures, ...]:
         """Return how each order stands, by service."""
-        common = self._common(now)
+        common = self._common_view(now)
         progress = (self._orders[service] for service in sorted(self._orders))
-        return tuple(each.figures(self._seen(each, common, now), now) for each in progress)
+        return tuple(each.figures(self._view_of(each, common, now), now) for each in progress)
 
-    def take_notes(self) -> list[tuple[str, dict[str, Any]]]:
+    def take_log_events(self) -> list[tuple[str, dict[str, Any]]]:
         """Return what is to be logged since the last call: names of lines and their fields."""
-        notes, self._notes = self._notes, []
+        log_events, self._log_events = self._log_events, []
         for progress in self._orders.values():
-            notes += progress.take_notes()
-        return notes
+            log_events += progress.take_log_events()
+        return log_events
 
-    def _common(self, now: float) -> Circumstances:
+    def _common_view(self, now: float) -> DeciderView:
         """Return what holds around all orders."""
         role = self._role
-        return Circumstances(
-            seniors=role.seniors(now),
-            able=self._able,
+        return DeciderView(
+            deciders_before=role.deciders_before(now),
+            reaches_registry=self._reaches_registry,
             informed=role.informed(now),
-            woken=role.woken(now),
-            hears_most=role.hears_most(now),
+            just_woken=role.just_woken(now),
+            hears_most_nodes=role.hears_most_nodes(now),
             live=role.live(now),
         )
 
-    def _seen(self, progress: OrderProgress, common: Circumstances, now: float) -> Circumstances:
+    def _view_of(self, progress: OrderProgress, common: DeciderView, now: float) -> DeciderView:
         """Return what holds around one order."""
         order = progress.order
-        counts = self._versions.get(order.service)
-        servers = None if counts is None else counts.get(order.target, 0)
-        gone = counts is not None and servers == 0 and sum(counts.values()) > 0
-        if not gone:
-            self._gone_since_s.pop(order.service, None)
-        since_s = self._gone_since_s.setdefault(order.service, now) if gone else now
+        servers, gone_s = self._versions.of_target(order, now)
         return common._replace(
             informed=common.informed or progress.follows_from_start,
-            known=self._services is None or order.service in self._services,
+            service_known=self._services is None or order.service in self._services,
             servers=servers,
-            gone_s=now - since_s,
+            servers_gone_s=gone_s,
         )
 
     def _drop(self, service: str) -> None:
         known = self._orders.pop(service, None)
         if known is not None:
-            self._notes += known.take_notes()
-        self._told.pop(service, None)
-        self._versions.pop(service, None)
-        self._gone_since_s.pop(service, None)
+            self._log_events += known.take_log_events()
+        self._announced.pop(service, None)
+        self._versions.drop(service)
 
-    def _note(self, name: str, order: RolloutOrder, **details: Any) -> None:
-        self._notes.append((name, {"service": order.service, "target": order.target, **details}))
+    def _log_event(self, name: str, order: RolloutOrder, **details: Any) -> None:
+        self._log_events.append((name, {"service": order.service, "target": order.target, **details}))
--- a/src/yokesill/rollouts/decider_role.py
+++ b/src/yokesill/rollouts/decider_role.py
@@ -46,8 +46,8 @@
         self._cores: dict[str, float] = {own: 1.0}
         self._group: RankedGroup | None = None
         self._began_at_s = now
-        self._looked_at_s = now
-        self._on_since_s: float | None = None
+        self._updated_at_s = now
+        self._deciding_since_s: float | None = None
         self._woke_at_s = float("-inf")
         self._able_at_s: dict[str, float] = {}
         self._unable_at_s: dict[str, float] = {}
@@ -65,9 +65,9 @@
         return INTERVALS_MISSED * self.interval_s
 
     @property
-    def on(self) -> bool:
+    def deciding(self) -> bool:
         """Whether this node decides."""
-        return self._on_since_s is not None
+        return self._deciding_since_s is not None
 
     def set_nodes(self, cores: Mapping[str, float]) -> None:
         """Take all nodes and their processors; this node counts in any case."""
@@ -76,20 +76,20 @@
             self._cores = wanted
             self._set_members()
 
-    def heard(self, node: str, able: bool, now: float) -> None:
+    def received(self, node: str, reaches_registry: bool, now: float) -> None:
         """Take a decider's word."""
         if node == self._own:
             return
-        (self._able_at_s if able else self._unable_at_s)[node] = now
-        (self._unable_at_s if able else self._able_at_s).pop(node, None)
+        (self._able_at_s if reaches_registry else self._unable_at_s)[node] = now
+        (self._unable_at_s if reaches_registry else self._able_at_s).pop(node, None)
         if self._group is not None:
-            self._group.received(node, able, True, now)
+            self._group.received(node, reaches_registry, True, now)
 
     def reported(self, node: str, now: float) -> None:
         """Take a node's report."""
         self._reported_at_s[node] = now
 
-    def look(self, needed: bool, now: float) -> bool:
+    def update(self, needed: bool, now: float) -> bool:
         """Look who decides; return whether this node has just begun to.
 
         Parameters
@@ -99,43 +99,43 @@
         now
             The node's clock, in seconds.
         """
-        paused = now - self._looked_at_s > PAUSE_S
-        self._looked_at_s = now
+        paused = now - self._updated_at_s > PAUSE_S
+        self._updated_at_s = now
         if not needed:
-            self._group = self._on_since_s = None
+            self._group = self._deciding_since_s = None
             return False
         if self._group is None:
             self._begin(now)
         elif paused:
             self._woke_at_s = now
-            self._on_since_s = None
+            self._deciding_since_s = None
         if len(self._listed_at_s) < len(self._cores):
             self._listed_at_s = {node: self._listed_at_s.get(node, now) for node in self._cores}
         assert self._group is not None
         if not self._group.acts(now):
-            self._on_since_s = None
+            self._deciding_since_s = None
             return False
-        began = self._on_since_s is None
+        began = self._deciding_since_s is None
         if began:
-            self._on_since_s = now
+            self._deciding_since_s = now
         return began
 
-    def woken(self, now: float) -> bool:
+    def just_woken(self, now: float) -> bool:
         """Whether this node has not run for a while until just now."""
-        return now - self._woke_at_s < WAKE_S or now - self._looked_at_s > PAUSE_S
+        return now - self._woke_at_s < WAKE_S or now - self._updated_at_s > PAUSE_S
 
     def informed(self, now: float) -> bool:
         """Whether it has decided for long enough to have heard each node's totals."""
-        return self._on_since_s is not None and now - self._on_since_s >= self.patience_s
+        return self._deciding_since_s is not None and now - self._deciding_since_s >= self.patience_s
 
-    def seniors(self, now: float) -> int:
-        """Return how many able deciders rank before this one, silent ones not counted.
+    def deciders_before(self, now: float) -> int:
+        """Return how many reaches_registry deciders rank before this one, silent ones not counted.
 
         Who has had no time to speak yet is taken to be there.
         """
         starting = now - self._began_at_s < self.patience_s
         above = self._ranked[: self._ranked.index(self._own)]
-        there = [node for node in above if self._speaks(node, now)]
+        there = [node for node in above if self._is_deciding(node, now)]
         if starting:
             there = [node for node in above[:DECIDERS] if node not in self._unable_at_s]
         return len(there)
@@ -146,7 +146,7 @@
         new = {node for node, at_s in self._listed_at_s.items() if now - at_s < LIVE_S}
         return frozenset(heard | (new & self._cores.keys()))
 
-    def hears_most(self, now: float) -> bool:
+    def hears_most_nodes(self, now: float) -> bool:
         """Whether half of the listed nodes report, or had no time to yet."""
         if now - self._began_at_s < self.patience_s:
             return True
@@ -157,24 +157,26 @@
         """Return whom nodes tell: deciders that spoke lately, and the next by rank up to two."""
         if self._group is None:
             return ()
-        speaking = [
-            node for node in self._ranked if self._speaks(node, now) or (node == self._own and self.on)
+        deciding = [
+            node
+            for node in self._ranked
+            if self._is_deciding(node, now) or (node == self._own and self.deciding)
         ]
         rest = [
             node
             for rank, node in enumerate(self._ranked)
-            if node not in speaking and self._may_speak(node, rank, now)
+            if node not in deciding and self._may_decide_soon(node, rank, now)
         ]
-        return tuple((speaking + rest)[: max(DECIDERS, len(speaking))])
+        return tuple((deciding + rest)[: max(DECIDERS, len(deciding))])
 
     @property
     def _ranked(self) -> tuple[str, ...]:
         return self._group.ranked if self._group is not None else (self._own,)
 
-    def _speaks(self, node: str, now: float) -> bool:
+    def _is_deciding(self, node: str, now: float) -> bool:
         return now - self._able_at_s.get(node, float("-inf")) < self.patience_s
 
-    def _may_speak(self, node: str, rank: int, now: float) -> bool:
+    def _may_decide_soon(self, node: str, rank: int, now: float) -> bool:
         """Whether a node that is not heard may be a decider soon."""
         if node == self._own or now - self._began_at_s < self.patience_s:
             return True
--- a/src/yokesill/rollouts/messages.py
+++ b/src/yokesill/rollouts/messages.py
@@ -66,11 +66,11 @@
 class RolloutDecisions(NamedTuple):
     """A decider's decisions on orders, which hold for ``valid_s`` from their arrival.
 
-    ``able``: it can reach the registry, so that others may leave deciding to it.
+    ``reaches_registry``: it can reach the registry, so that others may leave deciding to it.
     """
 
     node: str
-    able: bool
+    reaches_registry: bool
     valid_s: float
     orders: tuple[OrderDecision, ...]
 
@@ -84,7 +84,7 @@
     if isinstance(message, RolloutReport):
         return encode_frame(Kind.ROLLOUT_REPORT, message.node, message.incarnation, entries)
     valid_ms = round(message.valid_s * 1000)
-    return encode_frame(Kind.ROLLOUT_DECISIONS, message.node, message.able, valid_ms, entries)
+    return encode_frame(Kind.ROLLOUT_DECISIONS, message.node, message.reaches_registry, valid_ms, entries)
 
 
 def entry_to_wire(entry: OrderReport | OrderDecision) -> list[Any]:
@@ -129,9 +129,9 @@
     return Sample(text(route), text(instance), bool(new), bool(succeeded), latency_s)
 
 
-def _decisions(node: Any, able: Any, valid_ms: Any, entries: Any) -> RolloutDecisions:
+def _decisions(node: Any, reaches_registry: Any, valid_ms: Any, entries: Any) -> RolloutDecisions:
     orders = tuple(_decision(*each) for each in entries)
-    return RolloutDecisions(text(node), bool(able), count(valid_ms) / 1000, orders)
+    return RolloutDecisions(text(node), bool(reaches_registry), count(valid_ms) / 1000, orders)
 
 
 def _decision(order: Any, state: Any, share: Any, elapsed_ms: Any) -> OrderDecision:
--- a/src/yokesill/rollouts/node_orders.py
+++ b/src/yokesill/rollouts/node_orders.py
@@ -1,4 +1,8 @@
-"""The orders that one node knows, and what it obeys of them: the registry's record joined with words."""
+"""The orders that one node knows, and their effective states: the record joined with deciders' decisions.
+
+The effective state decides which versions this node may use (``versions``). Relies on the record for what
+holds for good, and on decisions for what must be in force before the record arrives.
+"""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -8,16 +12,17 @@
 from yokesill.rollouts.orders import OrderId, RolloutOrder, RolloutState
 from yokesill.rollouts.versions import ServiceVersions
 
-# What counts of an order that the registry's feed has not told this node yet: it goes to the new version when
-# all do, and leaves it when anybody says so, but is nobody's canary on hearsay.
-_HEARSAY = (RolloutState.SWITCHING, RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
+# Decided states that apply to an order before the registry's feed has brought it: this node goes to the new
+# version when all do and leaves it when any decider says so, but gives no canary share without the record.
+_BEFORE_RECORD = (RolloutState.SWITCHING, RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
 
 
 class OrderChange(NamedTuple):
-    """An order whose state has changed for this node: the one it obeys, or (``recorded``) the record's.
+    """An order whose effective state, or (``recorded``) whose record's state, has changed for this node.
 
     ``before`` is ``None`` for one that is new, and ``state`` for one that is gone. ``why`` is the record's
-    reason, or what is wrong with the order; or whether a ``record`` or a ``word`` is obeyed.
+    reason, or what is wrong with the order; or whether the effective state comes from the ``record`` or
+    from a decider's ``word``.
     """
 
     order: OrderId
@@ -31,23 +36,23 @@
     """All orders of one node; times in seconds of its clock.
 
     ``open`` are the orders, by service, whose record is not final: the ones to report on. ``effective`` is
-    what this node obeys of the order of each service that has one.
+    the effective state of each service's order. ``synchronised``: all orders of the registry are known.
     """
 
-    __slots__ = ("_gone", "_known", "_versions", "canary", "effective", "open", "told")
+    __slots__ = ("_gone", "_known", "_versions", "canary", "effective", "open", "synchronised")
 
     def __init__(self, versions: ServiceVersions, canary: Canary) -> None:
-        self.told = False
+        self.synchronised = False
         self.open: dict[str, RolloutOrder] = {}
         self.effective: dict[str, RolloutState] = {}
         self._known: dict[str, RolloutOrder] = {}
-        # Up to which object a service's orders are over: words of them that still travel count no more.
+        # Up to which object a service's orders are over: decisions on them that still travel are ignored.
         self._gone: dict[str, int] = {}
         self._versions = versions
         self.canary = canary
 
     def recorded(self) -> tuple[RolloutOrder, ...]:
-        """Return all orders as the registry told them."""
+        """Return all orders as the registry has them."""
         return tuple(each for each in self._known.values() if each.revision)
 
     def ordered(self, order: RolloutOrder) -> list[OrderChange]:
@@ -61,11 +66,11 @@
         same = before is not None and before.id == order.id and not again
         if before is not None and not same:
             changes += self._drop(before)
-        told = before.state if before is not None and same and before.revision else None
-        if told is not order.state:
-            changes.append(OrderChange(order.id, told, order.state, True, order.problem or order.reason))
+        recorded = before.state if before is not None and same and before.revision else None
+        if recorded is not order.state:
+            changes.append(OrderChange(order.id, recorded, order.state, True, order.problem or order.reason))
         self._known[order.service] = order
-        return changes + self._obey(order)
+        return changes + self._update_effective(order)
 
     def withdrawn(self, service: str) -> list[OrderChange]:
         """Take that a service's order is gone."""
@@ -81,41 +86,41 @@
     def replaced(self, orders: Iterable[RolloutOrder]) -> list[OrderChange]:
         """Take all orders as of one moment."""
         orders = list(orders)
-        self.told = True
+        self.synchronised = True
         gone = self._known.keys() - {each.service for each in orders}
         changes = [change for service in sorted(gone) for change in self.withdrawn(service)]
         return changes + [change for order in orders for change in self.ordered(order)]
 
-    def heard(self, word: RolloutDecisions, now: float) -> list[OrderChange]:
-        """Take a decider's word."""
-        told = [each for each in word.orders if self._concerns(each.order)]
-        self.canary.hear(word._replace(orders=tuple(told)), now)
+    def received(self, message: RolloutDecisions, now: float) -> list[OrderChange]:
+        """Take a decider's message."""
+        decisions = [each for each in message.orders if self._concerns(each.order)]
+        self.canary.receive(message._replace(orders=tuple(decisions)), now)
         changes: list[OrderChange] = []
-        for each in told:
+        for each in decisions:
             known = self._known.get(each.order.service)
             if known is not None and known.id == each.order:
-                changes += self._obey(known)
-            elif each.state in _HEARSAY:
+                changes += self._update_effective(known)
+            elif each.state in _BEFORE_RECORD:
                 changes += self._drop(known) if known is not None else []
                 order = RolloutOrder(each.order.service, each.order.target, 0.0, each.order.made, 0)
                 self._known[order.service] = order
-                changes += self._obey(order)
+                changes += self._update_effective(order)
         return changes
 
     def _concerns(self, order: OrderId) -> bool:
-        """Whether a word may speak of what this node does: of its own order, or of one made later."""
+        """Whether a decision applies to this node: it is on its own order, or on one made later."""
         known = self._known.get(order.service)
         if known is not None:
             return known.id == order or order.made > known.made
         return order.made > self._gone.get(order.service, -1)
 
-    def _obey(self, order: RolloutOrder) -> list[OrderChange]:
-        """Join the record with the words; a word that it was taken back gives way to ``COMPLETED`` only."""
+    def _update_effective(self, order: RolloutOrder) -> list[OrderChange]:
+        """Join the record with decisions; only a recorded ``COMPLETED`` outweighs a decision to roll back."""
         before = self.effective.get(order.service)
-        told = self.canary.state(order.id)
+        decided = self.canary.state(order.id)
         state = order.state
-        if told is not None and not state.final and (told.final or told.rank > state.rank):
-            state = told
+        if decided is not None and not state.final and (decided.final or decided.rank > state.rank):
+            state = decided
         if order.problem and not state.final:
             state = RolloutState.ORDERED
         final = order.state.final or (not order.revision and state.final)
@@ -126,7 +131,7 @@
         if before is state:
             return []
         self.effective[order.service] = state
-        self._versions.obey(order.id, state)
+        self._versions.set_state(order.id, state)
         return [OrderChange(order.id, before, state, False, "record" if state is order.state else "word")]
 
     def _drop(self, order: RolloutOrder) -> list[OrderChange]:
--- a/src/yokesill/rollouts/evidence.py
+++ b/src/yokesill/rollouts/order_samples.py
@@ -1,17 +1,17 @@
-"""What one node sent under an order, and what came of it, until it is reported."""
+"""What one node sent under an order, and samples of the outcomes, until they are reported."""
 
 from yokesill.rollouts.messages import Sample
 
-# Samples kept between two reports; a report of them fits two datagrams. A node meets some requests a second
-# for each service; what a strong one drops of its hundreds it counts.
+# Samples kept between two reports; a report of them fits two datagrams. A node has some requests a second for
+# each service; what a strong one drops of its hundreds it counts.
 MOST_NEW, MOST_OLD = 24, 12
 
 
-class OrderEvidence:
-    """One node's requests under one order since it learnt of it.
+class OrderSamples:
+    """One node's requests under one order since it knows it.
 
     ``sent_old`` and ``sent_new`` are totals of everything that was sent to either version, whatever came
-    of it; ``dropped`` is how many samples found no room.
+    of it; ``dropped`` is how many samples were over the limit.
     """
 
     __slots__ = ("_new", "_old", "dropped", "sent_new", "sent_old")
@@ -28,8 +28,8 @@
         else:
             self.sent_old += 1
 
-    def ended(self, sample: Sample) -> None:
-        """Keep how an attempt ended."""
+    def add(self, sample: Sample) -> None:
+        """Keep how an attempt ended, or count it as dropped."""
         kept, most = (self._new, MOST_NEW) if sample.new else (self._old, MOST_OLD)
         if len(kept) < most:
             kept.append(sample)
--- a/src/yokesill/rollouts/observations.py
+++ b/src/yokesill/rollouts/version_answers.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from yokesill.rollouts.assessment import LATEST_TURNS, Cell, Kind, Verdict, judge
+from yokesill.rollouts.assessment import LATEST_TURNS, Cell, Kind, VersionAssessment, assess
 from yokesill.rollouts.messages import Sample
 
 # Answers are compared with the old version's of the same two seconds: what hits both (a zone cut off, a
@@ -44,14 +44,14 @@
     latency_s: float | None
 
 
-class Observations:
+class VersionAnswers:
     """The answers of a service's two versions during one roll-out."""
 
     def __init__(self) -> None:
         self._old: dict[str, deque[_Seen]] = {}
         self._new: dict[str, deque[_Seen]] = {}
-        self._verdict = Verdict()
-        self._judged_at_s = float("-inf")
+        self._assessment = VersionAssessment()
+        self._assessed_at_s = float("-inf")
         self._added = self._suspect = False
         self._bounds_s: dict[str, float | None] = {}
         self._now_slice = 0
@@ -65,15 +65,15 @@
         for sample in samples:
             self._add(sample)
 
-    def verdict(self, now: float) -> Verdict:
+    def assessment(self, now: float) -> VersionAssessment:
         """Return what all answers so far say of the new version."""
-        suspect = self._suspect or (self._added and self._verdict.leaning_bad)
-        if suspect or (self._added and now - self._judged_at_s >= RENEW_S):
+        suspect = self._suspect or (self._added and self._assessment.leaning_bad)
+        if suspect or (self._added and now - self._assessed_at_s >= RENEW_S):
             self._bounds_s = {route: _slow_bound_s(answers) for route, answers in self._old.items()}
-            self._verdict = judge(list(self._cells()))
-            self._judged_at_s = now
+            self._assessment = assess(list(self._cells()))
+            self._assessed_at_s = now
             self._added = self._suspect = False
-        return self._verdict
+        return self._assessment
 
     def kept(self) -> dict[str, int]:
         """Return how many answers are kept, by route."""
--- a/src/yokesill/rollouts/versions.py
+++ b/src/yokesill/rollouts/versions.py
@@ -43,11 +43,11 @@
             kept.list(counts, frozenset(known), now)
             self._gate(service, kept)
 
-    def obey(self, order: OrderId, state: RolloutState) -> None:
+    def set_state(self, order: OrderId, state: RolloutState) -> None:
         """Take what this node obeys of a service's order; it replaces any other order of the service."""
         if self._active:
             kept = self._service(order.service)
-            kept.obey(order, state)
+            kept.set_state(order, state)
             self._gate(order.service, kept)
 
     def withdraw(self, service: str) -> None:
@@ -168,12 +168,12 @@
             most = min(others, key=lambda each: (-self.counts[each], len(each), each))
             self.established, self.sure = frozenset({most}), len(others) == 1
 
-    def obey(self, order: OrderId, state: RolloutState) -> None:
+    def set_state(self, order: OrderId, state: RolloutState) -> None:
         again = self.state is not None and self.state.final and not state.final
         if self.order != order or again:
             self.forget_order()
             self.order = order
-            self._meet(state)
+            self._begin(state)
         self.state = state
         if state is RolloutState.COMPLETED:
             self.barred = self.established - self._target
@@ -181,7 +181,7 @@
         elif state is RolloutState.ROLLED_BACK and not self.in_place:
             self.barred = self._target
 
-    def _meet(self, state: RolloutState) -> None:
+    def _begin(self, state: RolloutState) -> None:
         """Take a new order: what was guessed to serve is every version but its target."""
         target = self._target
         self.in_place = state is RolloutState.ORDERED and self.sure and self.established == target
--- a/src/yokesill/serving/feed_updates.py
+++ b/src/yokesill/serving/feed_updates.py
@@ -52,4 +52,4 @@
             return False
         if self.awaits_quarantine and not router.quarantine.told:
             return False
-        return router.rollouts.told or not self.awaits_rollouts
+        return router.rollouts.synchronised or not self.awaits_rollouts
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -98,9 +98,9 @@
                 self._exchange.report_loss(LossReport(fingerprint, loss))
             case ev.AnswerObserved(fingerprint, service, trial):
                 self._exchange.report_answer(AnswerReport(fingerprint, service, trial))
-            case ev.RequestJudged(fingerprint, standing):
-                self._exchange.announce(QuarantineFinding(fingerprint, standing))
-                self._record_soon(fingerprint, standing)
+            case ev.RequestJudged(fingerprint, status):
+                self._exchange.announce(QuarantineFinding(fingerprint, status))
+                self._record_soon(fingerprint, status)
         self._wake()
 
     def receive(self, data: bytes, sender: str, now: float) -> None:
@@ -112,11 +112,11 @@
             case Answers(answers):
                 for answer in answers:
                     self._feed(ev.AnswerReported(*answer))
-            case QuarantineFindings(standings):
-                for fingerprint, standing in standings:
-                    self._feed(ev.QuarantineStatusReceived(fingerprint, standing))
+            case QuarantineFindings(findings):
+                for fingerprint, status in findings:
+                    self._feed(ev.QuarantineStatusReceived(fingerprint, status))
                     if self._exchange.owns(fingerprint):
-                        self._record_soon(fingerprint, standing)
+                        self._record_soon(fingerprint, status)
 
     # --- the record ---
 
@@ -128,8 +128,8 @@
             task_group.start_soon(self._record, self._records)
             task_group.start_soon(self._lift_old, self._records)
 
-    def _record_soon(self, fingerprint: str, standing: QuarantineStatus) -> None:
-        if standing is QuarantineStatus.QUARANTINED and fingerprint not in self._crashes.detector.recorded:
+    def _record_soon(self, fingerprint: str, status: QuarantineStatus) -> None:
+        if status is QuarantineStatus.QUARANTINED and fingerprint not in self._crashes.detector.recorded:
             self._unrecorded[fingerprint] = None
             self._record_due.set()
 
--- a/src/yokesill/serving/rollout_link.py
+++ b/src/yokesill/serving/rollout_link.py
@@ -36,36 +36,35 @@
 # Many orders that change in one moment are told together.
 URGENT_GAP_S = 0.05
 
-Receive = Callable[[RolloutDecisions], None]
 Send = Callable[[str, bytes], Awaitable[None]]
 
 
-class RouterSide:
+class RouterPort:
     """What the link asks of the node's router.
 
     Parameters
     ----------
     report
         Return what this node did and saw under the open orders since it was last asked.
-    hear
-        Take a decider's word.
+    apply_decisions
+        Apply a decider's decisions.
     versions
         Return how many servers of a service are listed, by their version.
     services
         Return the services that the configuration in force names; ``None`` while there is none.
     """
 
-    __slots__ = ("hear", "report", "services", "versions")
+    __slots__ = ("apply_decisions", "report", "services", "versions")
 
     def __init__(
         self,
         report: Callable[[], tuple[OrderReport, ...]],
-        hear: Receive,
+        apply_decisions: Callable[[RolloutDecisions], None],
         versions: Callable[[str], Mapping[str, int]],
         services: Callable[[], Collection[str] | None],
     ) -> None:
         self.report = report
-        self.hear = hear
+        self.apply_decisions = apply_decisions
         self.versions = versions
         self.services = services
 
@@ -94,7 +93,7 @@
         own: NodeContact,
         incarnation: int,
         decider: RolloutDecider,
-        router: RouterSide,
+        router: RouterPort,
         records: RolloutRecords,
         reaches_registry: Callable[[], bool] = lambda: True,
     ) -> None:
@@ -127,11 +126,11 @@
         now = anyio.current_time()
         match event:
             case RolloutOrdered(order):
-                self._decider.take_order(order, now)
+                self._decider.set_order(order, now)
             case RolloutWithdrawn(service):
                 self._decider.withdraw(service, now)
             case RolloutsReplaced(orders):
-                self._decider.take_all(orders, now)
+                self._decider.replace_orders(orders, now)
             case _:
                 return
         self._wanted.set()
@@ -181,10 +180,10 @@
         if self._addresses.get(message.node) != sender:
             return
         if isinstance(message, RolloutReport):
-            self._decider.heard_report(message, now)
+            self._decider.receive_report(message, now)
         else:
-            self._decider.heard_word(message, now)
-            self._router.hear(message)
+            self._decider.receive_decisions(message, now)
+            self._router.apply_decisions(message)
         if self._decider.urgent(now):
             self._wanted.set()
 
@@ -201,7 +200,7 @@
         for record in decider.tick(now):
             self._start_recording(record)
         await self._speak(now)
-        for name, details in decider.take_notes():
+        for name, details in decider.take_log_events():
             self._log.info(name, **details)
 
     async def _report(self, now: float) -> None:
@@ -215,7 +214,7 @@
         datagrams = [encode(report._replace(orders=each)) for each in in_datagrams(report.orders)]
         for node in decider.reporting_to(now):
             if node == self._own.node:
-                decider.heard_report(report, now)
+                decider.receive_report(report, now)
             for data in datagrams if node in self._addresses else ():
                 await self._tell(self._addresses[node], data)
 
@@ -223,11 +222,11 @@
         silent_s = now - self._spoke_at_s
         if silent_s < (URGENT_GAP_S if self._decider.urgent(now) else self._decider.interval_s / 2):
             return
-        word = self._decider.word(now)
+        word = self._decider.decisions(now)
         if word is None:
             return
         self._spoke_at_s = now
-        self._router.hear(word)
+        self._router.apply_decisions(word)
         # One that can't reach the registry says so even when it has nothing to tell.
         for part in tuple(in_datagrams(word.orders)) or ((),):
             data = encode(word._replace(orders=part))
--- a/src/yokesill/serving/rollout_part.py
+++ b/src/yokesill/serving/rollout_part.py
@@ -11,7 +11,7 @@
 from yokesill.rollouts.decider import RolloutDecider
 from yokesill.rollouts.orders import RolloutLimits
 from yokesill.serving.driver import GatewayDriver
-from yokesill.serving.rollout_link import RolloutLink, RouterSide
+from yokesill.serving.rollout_link import RolloutLink, RouterPort
 
 
 def create_rollout_link(
@@ -27,9 +27,9 @@
     incarnation = time.time_ns() // 1_000_000
     router = driver.router
     decider = RolloutDecider(own.node, incarnation, terms, source, anyio.current_time())
-    side = RouterSide(
+    side = RouterPort(
         report=lambda: router.rollout_report(anyio.current_time()),
-        hear=lambda word: driver.feed(RolloutDecisionsReceived(word)),
+        apply_decisions=lambda decisions: driver.feed(RolloutDecisionsReceived(decisions)),
         versions=router.version_counts,
         services=lambda: _services(driver),
     )
--- a/src/yokesill/serving/rollout_view.py
+++ b/src/yokesill/serving/rollout_view.py
@@ -2,7 +2,7 @@
 
 from typing import TypedDict
 
-from yokesill.rollouts.order_progress import OrderFigures
+from yokesill.rollouts.order_figures import OrderFigures
 
 
 class OrderView(TypedDict):
--- a/src/yokesill/serving/state_snapshot.py
+++ b/src/yokesill/serving/state_snapshot.py
@@ -19,7 +19,7 @@
     """
     configuration, servers = router.configuration, router.servers
     follows = router.options.rollouts is not None
-    if configuration is None or (follows and not router.rollouts.told):
+    if configuration is None or (follows and not router.rollouts.synchronised):
         return None
     rollouts = (router.rollouts.recorded(), servers.versions.established())
     quarantined = router.quarantine.detector.quarantined
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -46,7 +46,7 @@
 from yokesill.registry import api_client, feed_states, feeds as registry, snapshots
 from yokesill.replication import messages as replication
 from yokesill.resources import hashing
-from yokesill.rollouts import datagrams as rollout_datagrams, messages as rollouts, order_progress, orders
+from yokesill.rollouts import datagrams as rollout_datagrams, messages as rollouts, order_figures, orders
 from yokesill.serving import rollout_view
 from yokesill.serving.builder import build_node
 from yokesill.serving.header_names import HeaderNames
@@ -463,7 +463,7 @@
 
 
 def _view(fields: list[Any], identity: list[Any], state: str) -> Any:
-    told = order_progress.OrderFigures(orders.OrderId(*identity), orders.RolloutState(state), *fields)
+    told = order_figures.OrderFigures(orders.OrderId(*identity), orders.RolloutState(state), *fields)
     return rollout_view.view_of(told)
 
 
--- a/tests/gateway/test_rollout_canaries.py
+++ b/tests/gateway/test_rollout_canaries.py
@@ -20,7 +20,7 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Configuration, Route, ServerRecord, ServiceLimits
 from yokesill.gateway.limits.budget import BudgetLimits
-from yokesill.rollouts.evidence import MOST_NEW, MOST_OLD
+from yokesill.rollouts.order_samples import MOST_NEW, MOST_OLD
 from yokesill.rollouts.orders import RolloutState
 from yokesill.verdict import Failure, Reason, Verdict
 
--- a/tests/quarantine/test_crash_judge.py
+++ b/tests/quarantine/test_crash_judge.py
@@ -18,7 +18,7 @@
 def suspected(judge: CrashDetector, now: float = 0.0) -> CrashDetector:
     for number in range(LOST_TO_SUSPECT):
         judge.lost(NAME, Loss(f"i-{number}", f"s-{number}"), now)
-    assert judge.standing(NAME, now) is QuarantineStatus.SUSPECTED
+    assert judge.status(NAME, now) is QuarantineStatus.SUSPECTED
     return judge
 
 
@@ -40,14 +40,14 @@
     judge = CrashDetector()
     for _ in range(2 * LOST_TO_SUSPECT):
         judge.lost(NAME, Loss("i-1", "s-1"), 0.0)
-    assert judge.standing(NAME, 0.0) is QuarantineStatus.CLEAR
+    assert judge.status(NAME, 0.0) is QuarantineStatus.CLEAR
 
 
 def test_a_trial_before_any_suspicion_counts_as_any_other_loss() -> None:
     judge = CrashDetector()
     for number in range(LOST_TO_SUSPECT):
         judge.lost(NAME, Loss(f"i-{number}", "s", trial=True), 0.0)
-    assert judge.standing(NAME, 0.0) is QuarantineStatus.SUSPECTED
+    assert judge.status(NAME, 0.0) is QuarantineStatus.SUSPECTED
 
 
 def test_an_answer_clears_where_one_server_ended_and_one_in_a_trial_clears_all() -> None:
@@ -61,7 +61,7 @@
     assert not judge.answered(NAME, "s-9", trial=False)
     assert judge.lost(NAME, Loss("i-3", "s-2"), 0.0) is QuarantineStatus.SUSPECTED
     assert judge.answered(NAME, "s-3", trial=True)
-    assert judge.standing(NAME, 0.0) is QuarantineStatus.CLEAR
+    assert judge.status(NAME, 0.0) is QuarantineStatus.CLEAR
     assert len(judge) == 0
 
 
@@ -72,20 +72,20 @@
     for service in ("s-1", "s-2"):
         assert not judge.answered(NAME, service, trial=False)
     judge.lost(NAME, Loss("i-3", "s-7"), 0.0)
-    assert judge.standing(NAME, 0.0) is QuarantineStatus.SUSPECTED
+    assert judge.status(NAME, 0.0) is QuarantineStatus.SUSPECTED
     assert judge.suspected_services(NAME) == {"s-7"}
 
 
 def test_nothing_clears_what_is_quarantined_but_its_record() -> None:
     judge = CrashDetector()
-    assert judge.told(NAME, QuarantineStatus.QUARANTINED, 0.0)
+    assert judge.receive_status(NAME, QuarantineStatus.QUARANTINED, 0.0)
     assert not judge.answered(NAME, "s", trial=True)
-    assert not judge.told(NAME, QuarantineStatus.SUSPECTED, 0.0)
+    assert not judge.receive_status(NAME, QuarantineStatus.SUSPECTED, 0.0)
     judge.record(frozenset({"other"}))
     assert judge.quarantined == {NAME, "other"}
     judge.record(frozenset({NAME}))
     judge.record(frozenset())
-    assert judge.standing(NAME, 0.0) is QuarantineStatus.CLEAR
+    assert judge.status(NAME, 0.0) is QuarantineStatus.CLEAR
 
 
 @pytest.mark.parametrize(
@@ -94,15 +94,15 @@
 )
 def test_what_nobody_records_is_forgotten_after_a_while(standing: QuarantineStatus, kept_s: float) -> None:
     judge = CrashDetector()
-    judge.told(NAME, standing, 10.0)
-    assert judge.standing(NAME, 10.0 + kept_s) is standing
-    assert judge.standing(NAME, 10.1 + kept_s) is QuarantineStatus.CLEAR
+    judge.receive_status(NAME, standing, 10.0)
+    assert judge.status(NAME, 10.0 + kept_s) is standing
+    assert judge.status(NAME, 10.1 + kept_s) is QuarantineStatus.CLEAR
     assert len(judge) == 0
 
 
 def test_records_are_bounded_and_the_quarantined_ones_stay() -> None:
     judge = CrashDetector()
-    judge.told(NAME, QuarantineStatus.QUARANTINED, 0.0)
+    judge.receive_status(NAME, QuarantineStatus.QUARANTINED, 0.0)
     for number in range(2 * MOST_RECORDS):
         judge.lost(f"innocent-{number}", Loss("i", "s"), float(number))
     assert len(judge) <= MOST_RECORDS
--- a/tests/quarantine/test_quarantine_exchange.py
+++ b/tests/quarantine/test_quarantine_exchange.py
@@ -66,16 +66,16 @@
 
 
 @pytest.mark.parametrize(
-    ("standing", "crossed"), [(QuarantineStatus.SUSPECTED, 2 * 2), (QuarantineStatus.QUARANTINED, 10)]
+    ("status", "crossed"), [(QuarantineStatus.SUSPECTED, 2 * 2), (QuarantineStatus.QUARANTINED, 10)]
 )
 def test_a_finding_reaches_every_node_and_a_suspicion_crosses_zones_a_few_times_only(
-    standing: QuarantineStatus, crossed: int
+    status: QuarantineStatus, crossed: int
 ) -> None:
     nodes = {peer.address: exchange(peer) for peer in PEERS}
     told: set[str] = set()
     crossings = 0
-    nodes[PEERS[0].address].announce(QuarantineFinding("ab", standing))
-    assert nodes[PEERS[0].address].urgent is (standing is QuarantineStatus.QUARANTINED)
+    nodes[PEERS[0].address].announce(QuarantineFinding("ab", status))
+    assert nodes[PEERS[0].address].urgent is (status is QuarantineStatus.QUARANTINED)
     while any(each.pending for each in nodes.values()):
         for sender in PEERS:
             for datagram in nodes[sender.address].flush():
--- a/tests/rollouts/test_decider.py
+++ b/tests/rollouts/test_decider.py
@@ -5,7 +5,7 @@
 from rollout_world import NEW, OLD, Server
 
 from yokesill.rollouts.orders import RolloutState
-from yokesill.rollouts.stages import Stage
+from yokesill.rollouts.stages import switch_at_s
 
 COMPLETED, ROLLED_BACK = RolloutState.COMPLETED, RolloutState.ROLLED_BACK
 ORDERED_AT_S = 1.0
@@ -181,7 +181,7 @@
     fleet = ordered(duration_s=365 * 86400.0)
     fleet.run(60.0)
     assert fleet.state() is RolloutState.CANARY and fleet.sent_new < 0.1 * 20 * 60 + 50
-    assert Stage.switch_at_s(365 * 86400.0) == 600.0
+    assert switch_at_s(365 * 86400.0) == 600.0
 
 
 def test_a_short_order_moves_with_some_evidence() -> None:
@@ -252,7 +252,7 @@
     assert (figures.state, figures.order.target) == (RolloutState.CANARY, NEW)
     assert 0.0 < figures.share <= 1 / 3 and 1.9 < figures.elapsed_s < 2.6
     fleet.run(10.0)
-    notes = dict(note for node in fleet.nodes.values() for note in node.decider.take_notes())
+    notes = dict(note for node in fleet.nodes.values() for note in node.decider.take_log_events())
     assert notes["rollout_verdict"]["finding"] == "bad" and notes["rollout_verdict"]["bad"] > 0
     assert notes["rollout_stage"]["state"] is ROLLED_BACK
     assert "rollout_decider" in notes and "rollout_taken_back" in notes
--- a/tests/rollouts/test_decider_failures.py
+++ b/tests/rollouts/test_decider_failures.py
@@ -35,11 +35,11 @@
     samples = tuple(Sample("r", f"v2-{number % 3}", True, False) for number in range(30))
     report = OrderReport(order.id, fleet.nodes[names[0]].obeys("svc"), 0, 0, 0, samples)
     for name in names:
-        fleet.nodes[name].decider.heard_report(RolloutReport(names[0], 0, (report,)), fleet.now)
+        fleet.nodes[name].decider.receive_report(RolloutReport(names[0], 0, (report,)), fleet.now)
 
 
 def told(fleet: Fleet, name: str) -> set[RolloutState]:
-    word = fleet.nodes[name].decider.word(fleet.now)
+    word = fleet.nodes[name].decider.decisions(fleet.now)
     return set() if word is None else {each.state for each in word.orders}
 
 
@@ -78,7 +78,7 @@
     waiting = fleet.nodes[second(fleet)].decider
     order = RolloutOrder("other", "v2", 12.0, 90, 90)
     waiting.set_services(["svc", "other"])
-    waiting.take_order(order, fleet.now)
+    waiting.set_order(order, fleet.now)
     written = [waiting.tick(fleet.now + later) for later in (0.05, 0.4, 0.65, 0.75)]
     assert [len(each) for each in written] == [0, 0, 0, 1]
 
@@ -113,7 +113,7 @@
     name = first(fleet)
     fleet.restart(name)
     fleet.run(0.3)
-    word = fleet.nodes[name].decider.word(fleet.now)
+    word = fleet.nodes[name].decider.decisions(fleet.now)
     assert word is not None and [each.share for each in word.orders] == [0.0]
 
 
@@ -181,7 +181,7 @@
     cut = first(fleet)
     fleet.cut_off(cut)
     fleet.run(4.0)
-    word = fleet.nodes[cut].decider.word(fleet.now)
+    word = fleet.nodes[cut].decider.decisions(fleet.now)
     assert word is not None and [each.share for each in word.orders] == [0.0]
 
 
@@ -262,7 +262,7 @@
     older = fleet.registry.orders["svc"]
     fleet.until(COMPLETED)
     decider = fleet.nodes[first(fleet)].decider
-    decider.take_order(older, fleet.now)
+    decider.set_order(older, fleet.now)
     (figures,) = decider.figures(fleet.now)
     assert figures.state is COMPLETED and decider.tick(fleet.now) == []
 
@@ -337,8 +337,8 @@
     refused = first(fleet)
     fleet.registry.refuses.add(refused)
     fleet.run(1.0)
-    word = fleet.nodes[refused].decider.word(fleet.now)
-    assert word is not None and not word.able and not word.orders
+    word = fleet.nodes[refused].decider.decisions(fleet.now)
+    assert word is not None and not word.reaches_registry and not word.orders
     assert fleet.until(COMPLETED) <= ENDS_S
     assert refused not in [node for node, state, _ in fleet.registry.written if state is not CANARY]
 
--- a/tests/rollouts/test_node_orders.py
+++ b/tests/rollouts/test_node_orders.py
@@ -33,7 +33,7 @@
 @pytest.mark.parametrize("told", [CANARY, SWITCHING, COMPLETED, ROLLED_BACK])
 def test_a_word_counts_before_the_feed_tells_the_record(told: RolloutState) -> None:
     node = known(ORDER)
-    assert node.heard(word(told), 1.0) == [OrderChange(ORDER.id, ORDERED, told, False, "word")]
+    assert node.received(word(told), 1.0) == [OrderChange(ORDER.id, ORDERED, told, False, "word")]
     assert node.effective["s"] is told
     assert node.open["s"] == ORDER
 
@@ -41,8 +41,8 @@
 @pytest.mark.parametrize("told", [ORDERED, CANARY])
 def test_a_stale_word_or_record_takes_nothing_back(told: RolloutState) -> None:
     node = known(ORDER)
-    node.heard(word(SWITCHING), 1.0)
-    node.heard(word(told, node="d2"), 2.0)
+    node.received(word(SWITCHING), 1.0)
+    node.received(word(told, node="d2"), 2.0)
     node.ordered(record(told))
     assert node.effective["s"] is SWITCHING
 
@@ -50,8 +50,8 @@
 @pytest.mark.parametrize("told", [ORDERED, CANARY, SWITCHING, COMPLETED])
 def test_once_anybody_said_that_it_is_bad_no_word_counts_any_more(told: RolloutState) -> None:
     node = known(ORDER)
-    node.heard(word(ROLLED_BACK), 1.0)
-    node.heard(word(told, node="d2"), 1.1)
+    node.received(word(ROLLED_BACK), 1.0)
+    node.received(word(told, node="d2"), 1.1)
     assert node.effective["s"] is ROLLED_BACK
     node.ordered(record(SWITCHING))
     assert node.effective["s"] is ROLLED_BACK
@@ -59,7 +59,7 @@
 
 def test_only_the_record_itself_says_that_it_was_completed_all_the_same() -> None:
     node = known(ORDER)
-    node.heard(word(ROLLED_BACK), 1.0)
+    node.received(word(ROLLED_BACK), 1.0)
     node.ordered(record(COMPLETED))
     assert node.effective["s"] is COMPLETED
 
@@ -68,7 +68,7 @@
 def test_a_final_record_stands(final: RolloutState) -> None:
     node = known(record(final))
     for told in (CANARY, SWITCHING, COMPLETED, ROLLED_BACK):
-        node.heard(word(told), 1.0)
+        node.received(word(told), 1.0)
         assert node.effective["s"] is final
     assert node.open == {}
 
@@ -100,7 +100,7 @@
     told: RolloutState, obeyed: RolloutState | None
 ) -> None:
     node = known()
-    node.heard(word(told), 1.0)
+    node.received(word(told), 1.0)
     assert node.effective.get("s") is obeyed
     assert ("s" in node.open) is (obeyed is SWITCHING)
     assert node.recorded() == ()
@@ -110,44 +110,44 @@
 
 def test_a_share_that_was_told_before_the_feed_told_the_order_holds() -> None:
     node = known()
-    node.heard(word(CANARY), 1.0)
+    node.received(word(CANARY), 1.0)
     node.ordered(ORDER)
     assert node.canary.share(ORDER.id, 1.1) == 0.1
 
 
 def test_words_of_a_withdrawn_order_count_no_more_but_those_of_the_next_do() -> None:
     node = known(ORDER)
-    node.heard(word(SWITCHING), 1.0)
+    node.received(word(SWITCHING), 1.0)
     changes = node.withdrawn("s")
     assert (changes[-1].state, changes[-1].recorded) == (None, True)
-    node.heard(word(SWITCHING), 1.1)
+    node.received(word(SWITCHING), 1.1)
     assert node.effective == {}
     made_again = ORDER._replace(made=12, revision=12)
     node.ordered(made_again)
-    node.heard(word(SWITCHING), 1.2)
+    node.received(word(SWITCHING), 1.2)
     assert node.effective["s"] is ORDERED
-    node.heard(word(CANARY, order=made_again.id), 1.3)
+    node.received(word(CANARY, order=made_again.id), 1.3)
     assert node.effective["s"] is CANARY
 
 
 def test_an_order_for_another_version_begins_anew() -> None:
     node = known(ORDER)
-    node.heard(word(ROLLED_BACK), 1.0)
+    node.received(word(ROLLED_BACK), 1.0)
     other = ORDER._replace(target="v3", revision=9)
     node.ordered(other)
     assert node.effective["s"] is ORDERED
-    node.heard(word(SWITCHING), 1.1)
+    node.received(word(SWITCHING), 1.1)
     assert node.effective["s"] is ORDERED
 
 
 @pytest.mark.parametrize("final", [COMPLETED, ROLLED_BACK])
 def test_an_order_that_is_repeated_after_one_that_was_missed_begins_anew(final: RolloutState) -> None:
     node = known(ORDER)
-    node.heard(word(final), 1.0)
+    node.received(word(final), 1.0)
     node.ordered(record(final))
     node.replaced([record(ORDERED, 30)])
     assert node.effective["s"] is ORDERED
-    node.heard(word(CANARY), 2.0)
+    node.received(word(CANARY), 2.0)
     assert node.effective["s"] is CANARY
 
 
@@ -161,7 +161,7 @@
 
 def test_an_order_with_a_problem_moves_nothing() -> None:
     node = known(ORDER._replace(problem="rollouts.s.durationS: is missing"))
-    node.heard(word(SWITCHING), 1.0)
+    node.received(word(SWITCHING), 1.0)
     assert node.effective["s"] is ORDERED
     assert "s" in node.open
 
@@ -169,10 +169,10 @@
 def test_the_least_fresh_share_counts() -> None:
     canary = Canary()
     assert canary.share(ORDER.id, 0.0) == 0.0
-    canary.hear(word(CANARY, 0.1, "d1"), 1.0)
-    canary.hear(word(CANARY, 0.04, "d2"), 1.2)
+    canary.receive(word(CANARY, 0.1, "d1"), 1.0)
+    canary.receive(word(CANARY, 0.04, "d2"), 1.2)
     assert canary.share(ORDER.id, 1.3) == 0.04
-    canary.hear(word(CANARY, 0.1, "d1"), 2.0)
+    canary.receive(word(CANARY, 0.1, "d1"), 2.0)
     assert canary.share(ORDER.id, 1.2 + VALID_S) == 0.1
     assert canary.share(ORDER.id, 2.0 + VALID_S) == 0.0
 
@@ -180,8 +180,8 @@
 def test_of_all_requests_the_share_is_taken_alike_at_every_node() -> None:
     nodes = [Canary() for _ in range(2)]
     for each in nodes:
-        each.hear(word(CANARY, 0.1), 1.0)
-    taken = [[each.takes(f"r{number}", ORDER.id, 1.1) for number in range(4000)] for each in nodes]
+        each.receive(word(CANARY, 0.1), 1.0)
+    taken = [[each.includes(f"r{number}", ORDER.id, 1.1) for number in range(4000)] for each in nodes]
     assert taken[0] == taken[1]
     assert 340 <= sum(taken[0]) <= 460
 
@@ -189,6 +189,6 @@
 def test_services_take_different_requests() -> None:
     canary, other = Canary(), ORDER.id._replace(service="t")
     for order in (ORDER.id, other):
-        canary.hear(word(CANARY, 0.1, order=order), 1.0)
-    both = sum(all(canary.takes(f"r{n}", order, 1.1) for order in (ORDER.id, other)) for n in range(4000))
+        canary.receive(word(CANARY, 0.1, order=order), 1.0)
+    both = sum(all(canary.includes(f"r{n}", order, 1.1) for order in (ORDER.id, other)) for n in range(4000))
     assert 15 <= both <= 70
--- a/tests/rollouts/test_service_versions.py
+++ b/tests/rollouts/test_service_versions.py
@@ -32,9 +32,9 @@
     def list(self, *listed: str, vanished: tuple[str, ...] = ()) -> None:
         self.versions.listed("s", Counter(listed), (*listed, *vanished), self.now)
 
-    def obey(self, *states: RolloutState, order: OrderId = ORDER) -> None:
+    def set_state(self, *states: RolloutState, order: OrderId = ORDER) -> None:
         for state in states:
-            self.versions.obey(order, state)
+            self.versions.set_state(order, state)
 
     def old(self) -> set[str]:
         return self._allowed(False)
@@ -76,7 +76,7 @@
 def test_what_each_state_lets_reach(state: RolloutState, old: set[str], new: set[str]) -> None:
     node = Versions("v1", "v1")
     node.list("v1", "v1", "v2", "v2")
-    node.obey(state)
+    node.set_state(state)
     assert (node.old(), node.new()) == (old, new)
 
 
@@ -86,7 +86,7 @@
     state: RolloutState, old: set[str], new: set[str], servers_first: bool
 ) -> None:
     node = Versions(*(("v1", "v2", "v2") if servers_first else ()))
-    node.obey(state)
+    node.set_state(state)
     node.list("v1", "v2", "v2")
     assert (node.old(), node.new()) == (old, new)
 
@@ -94,7 +94,7 @@
 @pytest.mark.parametrize(("listed", "old"), [(("v1", "v2"), {"v1"}), (("v2",), {"v2"})])
 def test_a_withdrawn_order_leaves_what_served(listed: tuple[str, ...], old: set[str]) -> None:
     node = Versions("v1", "v2")
-    node.obey(CANARY)
+    node.set_state(CANARY)
     node.versions.withdraw("s")
     node.list(*listed)
     node.now += GRACE_S
@@ -104,7 +104,7 @@
 
 def test_a_withdrawn_order_that_was_completed_stays_so() -> None:
     node = Versions("v1", "v2")
-    node.obey(SWITCHING, COMPLETED)
+    node.set_state(SWITCHING, COMPLETED)
     node.versions.withdraw("s")
     assert node.old() == {"v2"}
 
@@ -112,28 +112,28 @@
 def test_an_order_for_another_version_takes_the_place_of_the_first() -> None:
     node = Versions("v1")
     node.list("v1", "v2", "v3")
-    node.obey(SWITCHING)
-    node.obey(CANARY, order=ORDER._replace(target="v3"))
+    node.set_state(SWITCHING)
+    node.set_state(CANARY, order=ORDER._replace(target="v3"))
     assert (node.old(), node.new()) == ({"v1"}, {"v3"})
 
 
 def test_the_way_back_can_be_ordered_after_it_was_completed() -> None:
     node = Versions("v1", "v2")
-    node.obey(SWITCHING, COMPLETED)
-    node.obey(CANARY, order=ORDER._replace(target="v1", made=9))
+    node.set_state(SWITCHING, COMPLETED)
+    node.set_state(CANARY, order=ORDER._replace(target="v1", made=9))
     assert (node.old(), node.new()) == ({"v2"}, {"v1"})
 
 
 def test_an_order_that_is_repeated_after_one_that_was_missed_begins_anew() -> None:
     node = Versions("v1", "v2")
-    node.obey(CANARY, ROLLED_BACK, ORDERED, CANARY)
+    node.set_state(CANARY, ROLLED_BACK, ORDERED, CANARY)
     assert (node.old(), node.new()) == ({"v1"}, {"v2"})
-    node.obey(COMPLETED)
+    node.set_state(COMPLETED)
     node.list("v3")
     node.now += GRACE_S
     assert node.old() == {"v3"}
     node.list("v3", "v2")
-    node.obey(CANARY)
+    node.set_state(CANARY)
     assert (node.old(), node.new()) == ({"v3"}, {"v2"})
 
 
@@ -146,7 +146,7 @@
 ) -> None:
     node = Versions("v1")
     node.list("v1", "v2")
-    node.obey(state)
+    node.set_state(state)
     node.list("v2", vanished=("v1",))
     assert node.old() == {"v1"}
     node.now += GRACE_S
@@ -178,14 +178,14 @@
     node.list("v2", vanished=("v1",))
     node.now += GRACE_S
     assert node.old() == {"v2"}
-    node.obey(ORDERED)
+    node.set_state(ORDERED)
     node.list("v1", "v2")
     assert (node.old(), node.new()) == ({"v1"}, set())
 
 
 def test_a_version_that_was_taken_back_never_takes_the_place_of_others() -> None:
     node = Versions("v1", "v2")
-    node.obey(CANARY, ROLLED_BACK)
+    node.set_state(CANARY, ROLLED_BACK)
     node.list("v2")
     node.now += 10 * GRACE_S
     assert node.old().isdisjoint({"v2"})
@@ -197,7 +197,7 @@
 def test_what_was_left_never_takes_the_place_of_the_target() -> None:
     node = Versions("v1")
     node.list("v1", "v2")
-    node.obey(CANARY, SWITCHING, COMPLETED)
+    node.set_state(CANARY, SWITCHING, COMPLETED)
     node.list("v1", vanished=("v2",))
     node.now += 10 * GRACE_S
     assert node.old() == {"v2"}
@@ -206,7 +206,7 @@
 @pytest.mark.parametrize("state", [ORDERED, CANARY, SWITCHING, ROLLED_BACK, COMPLETED])
 def test_an_order_for_what_serves_changes_nothing(state: RolloutState) -> None:
     node = Versions("v2")
-    node.obey(ORDERED, state)
+    node.set_state(ORDERED, state)
     node.list("v1", "v2")
     assert node.old() == {"v2"}
 
@@ -222,7 +222,7 @@
 def test_a_service_that_is_served_by_one_version_again_costs_nothing() -> None:
     node = Versions("v1")
     node.list("v1", "v2")
-    node.obey(CANARY, ROLLED_BACK)
+    node.set_state(CANARY, ROLLED_BACK)
     node.list("v1", vanished=("v2",))
     assert node.old() == {"v1"}
     node.list("v1")
@@ -232,7 +232,7 @@
 def test_where_nothing_is_rolled_out_versions_do_not_count() -> None:
     versions = ServiceVersions(False, GRACE_S)
     versions.listed("s", {"v1": 2, "v2": 1}, ("v1", "v2"), 1.0)
-    versions.obey(ORDER, CANARY)
+    versions.set_state(ORDER, CANARY)
     versions.establish({"s": ("v1",)})
     assert versions.gated == set()
 
@@ -242,7 +242,7 @@
     node.list(vanished=())
     node.versions.keep({"s"})
     assert node.versions.established() == {"s": ("v1",)}
-    node.obey(CANARY)
+    node.set_state(CANARY)
     node.versions.keep(())
     assert node.versions.established() == {"s": ("v1",)}
     node.versions.withdraw("s")
--- a/tests/rollouts/test_verdict.py
+++ b/tests/rollouts/test_verdict.py
@@ -4,7 +4,7 @@
 
 from yokesill.rollouts.assessment import Finding, Kind
 from yokesill.rollouts.messages import Sample
-from yokesill.rollouts.observations import Observations
+from yokesill.rollouts.version_answers import VersionAnswers
 
 SERVERS = ("a", "b", "c")
 
@@ -13,7 +13,7 @@
     """Old and new answers that come side by side, two old ones to a new one, ten new ones a second."""
 
     def __init__(self) -> None:
-        self.seen = Observations()
+        self.seen = VersionAnswers()
         self.source = random.Random(5)
         self.now = 100.0
 
@@ -38,29 +38,29 @@
 
     @property
     def finding(self) -> Finding:
-        return self.seen.verdict(self.now).finding
+        return self.seen.assessment(self.now).finding
 
 
 def test_a_version_of_which_half_the_answers_fail_is_bad() -> None:
     answers = Answers()
     answers.old(40)
     answers.new(18, fails=9)
-    verdict = answers.seen.verdict(answers.now)
-    assert (verdict.finding, verdict.kind, verdict.bad, verdict.answers) == (
+    assessment = answers.seen.assessment(answers.now)
+    assert (assessment.finding, assessment.kind, assessment.bad, assessment.answers) == (
         Finding.BAD,
         Kind.FAILING,
         9,
         18,
     )
-    assert verdict.reason == "9 of 18 answers failing on all routes, 0.1 expected"
+    assert assessment.reason == "9 of 18 answers failing on all routes, 0.1 expected"
 
 
 def test_a_version_whose_answers_take_three_times_as_long_is_bad() -> None:
     answers = Answers()
     answers.old(40)
     answers.new(12, latency_s=0.06)
-    verdict = answers.seen.verdict(answers.now)
-    assert (verdict.finding, verdict.kind) == (Finding.BAD, Kind.SLOW)
+    assessment = answers.seen.assessment(answers.now)
+    assert (assessment.finding, assessment.kind) == (Finding.BAD, Kind.SLOW)
 
 
 def test_a_version_as_good_as_the_old_one_is_good() -> None:
@@ -74,7 +74,7 @@
     answers = Answers()
     answers.old(200)
     answers.new(1, fails=1)
-    assert not answers.seen.verdict(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).leaning_bad
 
 
 def test_a_server_that_fails_everything_makes_no_bad_version() -> None:
@@ -82,7 +82,7 @@
     answers.old(60)
     answers.new(20, fails=20, servers=("a",))
     answers.new(20, servers=("b", "c"))
-    assert not answers.seen.verdict(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).leaning_bad
 
 
 def test_a_slow_server_makes_no_bad_version() -> None:
@@ -90,14 +90,14 @@
     answers.old(60)
     answers.new(20, latency_s=0.2, servers=("a",))
     answers.new(20, servers=("b", "c"))
-    assert not answers.seen.verdict(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).leaning_bad
 
 
 def test_the_first_answers_of_one_server_prove_nothing() -> None:
     answers = Answers()
     answers.old(60)
     answers.new(4, fails=4, servers=("a",))
-    assert not answers.seen.verdict(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).leaning_bad
 
 
 def test_a_version_of_a_single_server_can_be_bad() -> None:
@@ -111,7 +111,7 @@
     answers = Answers()
     answers.old(60, fails=18)
     answers.new(20, fails=6)
-    assert not answers.seen.verdict(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).leaning_bad
 
 
 def test_what_hits_both_versions_for_two_seconds_is_not_the_new_ones_fault() -> None:
@@ -121,7 +121,7 @@
     answers.now += 2.0
     answers.old(40, fails=20)
     answers.new(10, fails=5)
-    assert not answers.seen.verdict(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).leaning_bad
 
 
 def test_a_route_that_is_slow_by_its_nature_is_compared_with_itself() -> None:
@@ -137,8 +137,8 @@
     for route, latency_s, new_s in (("quick", 0.005, 0.02), ("slow", 0.5, 0.5)):
         answers.old(40, latency_s=latency_s, route=route)
         answers.new(20, latency_s=new_s, route=route)
-    verdict = answers.seen.verdict(answers.now)
-    assert (verdict.finding, verdict.kind, verdict.route) == (Finding.BAD, Kind.SLOW, "quick")
+    assessment = answers.seen.assessment(answers.now)
+    assert (assessment.finding, assessment.kind, assessment.route) == (Finding.BAD, Kind.SLOW, "quick")
 
 
 def test_a_fault_on_one_of_three_routes_is_found_there() -> None:
@@ -146,8 +146,8 @@
     for route in ("a", "b", "c"):
         answers.old(40, route=route)
         answers.new(12, fails=7 if route == "b" else 0, route=route)
-    verdict = answers.seen.verdict(answers.now)
-    assert (verdict.finding, verdict.route) == (Finding.BAD, "b")
+    assessment = answers.seen.assessment(answers.now)
+    assert (assessment.finding, assessment.route) == (Finding.BAD, "b")
 
 
 def test_a_version_that_turns_bad_late_is_found_in_spite_of_good_answers_before() -> None:
@@ -164,14 +164,14 @@
     answers = Answers()
     answers.old(5)
     answers.new(30, latency_s=0.5)
-    assert not answers.seen.verdict(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).leaning_bad
 
 
 def test_answers_without_a_time_are_not_called_slow() -> None:
     answers = Answers()
     answers.old(40)
     answers.seen.add([Sample("r", server, True, True, None) for server in SERVERS * 5], answers.now)
-    assert not answers.seen.verdict(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).leaning_bad
 
 
 def test_what_is_kept_of_answers_is_bounded() -> None:
--- a/tests/serving/fleet_of_nodes.py
+++ b/tests/serving/fleet_of_nodes.py
@@ -23,7 +23,7 @@
 from yokesill.rollouts.decider import RolloutDecider
 from yokesill.rollouts.orders import RolloutLimits, RolloutOrder, RolloutState
 from yokesill.serving.driver import GatewayDriver
-from yokesill.serving.rollout_link import RolloutLink, RouterSide
+from yokesill.serving.rollout_link import RolloutLink, RouterPort
 from yokesill.verdict import Failure, Reason, Verdict
 
 OLD, NEW = "v1", "v2"
@@ -154,9 +154,9 @@
         self.driver = GatewayDriver(self.router, ModelClient(fleet, self.name), lambda _note: None)
         self.decider = RolloutDecider(self.name, number, ROLLOUT_TERMS, source, now)
         self.contact = NodeContact(self.name, "z1", rollouts=self.address)
-        side = RouterSide(
+        side = RouterPort(
             report=lambda: self.router.rollout_report(anyio.current_time()),
-            hear=lambda word: self.driver.feed(ev.RolloutDecisionsReceived(word)),
+            apply_decisions=lambda word: self.driver.feed(ev.RolloutDecisionsReceived(word)),
             versions=self.router.version_counts,
             services=lambda: {"desk"},
         )
--- a/tests/serving/test_process.py
+++ b/tests/serving/test_process.py
@@ -197,7 +197,7 @@
 
 def test_a_node_waits_for_the_orders_of_roll_outs() -> None:
     async def main(node: Node) -> None:
-        node.process.node.router.rollouts.told = False
+        node.process.node.router.rollouts.synchronised = False
         assert not node.process.node.updates.synchronised()
         node.process.node.driver.feed(RolloutsReplaced(()))
         assert node.process.node.updates.synchronised()
--- a/tests/serving/test_quarantine_link.py
+++ b/tests/serving/test_quarantine_link.py
@@ -63,7 +63,7 @@
 def test_what_others_have_recorded_and_what_is_only_suspected_needs_no_call() -> None:
     records = Records()
     with_link(records, FOUND, 30.0, frozenset({"00ff"}))
-    with_link(records, FOUND._replace(standing=QuarantineStatus.SUSPECTED), 30.0, frozenset())
+    with_link(records, FOUND._replace(status=QuarantineStatus.SUSPECTED), 30.0, frozenset())
     assert records.calls == []
 
 
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -139,7 +139,7 @@
 def test_a_deciders_share_and_a_watchers_report_hold_no_longer_than_they_said() -> None:
     canary = Canary()
     order = OrderId("desk", 5, "v2")
-    canary.hear(
+    canary.receive(
         RolloutDecisions("n1", True, 2.0, (OrderDecision(order, RolloutState.CANARY, 0.1, 1.0),)), 100.0
     )
     assert canary.share(order, 101.0) > 0.0
