--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -23,12 +23,10 @@
         self.told = False
         self.newly_quarantined: set[str] = set()
 
-    def standing(self, request: GatewayRequest, now: float) -> QuarantineStatus:
+    def status(self, request: GatewayRequest, now: float) -> QuarantineStatus:
         """Return a request's status."""
         return (
-            self.detector.standing(fingerprint(request), now)
-            if len(self.detector)
-            else QuarantineStatus.CLEAR
+            self.detector.status(fingerprint(request), now) if len(self.detector) else QuarantineStatus.CLEAR
         )
 
     # --- what this node saw ---
@@ -74,8 +72,8 @@
         self, event: ev.QuarantineStatusReceived, now: float, actions: list[ev.Action]
     ) -> None:
         """Adopt what another node found."""
-        if self.detector.told(event.fingerprint, event.standing, now):
-            self._changed(event.fingerprint, event.standing, "told", actions)
+        if self.detector.receive_status(event.fingerprint, event.status, now):
+            self._changed(event.fingerprint, event.status, "told", actions)
 
     def record(self, fingerprints: frozenset[str], actions: list[ev.Action]) -> None:
         """Adopt the registry's list of quarantined requests."""
--- a/src/yokesill/gateway/events.py
+++ b/src/yokesill/gateway/events.py
@@ -150,7 +150,7 @@
 class RolloutDecisionsReceived(NamedTuple):
     """A decider sent its decisions on some orders."""
 
-    word: RolloutDecisions
+    decisions: RolloutDecisions
 
 
 class VersionsEstablished(NamedTuple):
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -128,7 +128,7 @@
             failure = refusal.unknown_service(request.host, request.path, configuration.version)
             step.actions.append(ev.Refuse(request.key, failure))
             return
-        if self._context.crashes.standing(request, step.now) is QuarantineStatus.QUARANTINED:
+        if self._context.crashes.status(request, step.now) is QuarantineStatus.QUARANTINED:
             verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
             failure = refusal.quarantined(fingerprint(request), verdict)
             step.actions.append(ev.Refuse(request.key, failure))
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -219,7 +219,7 @@
 
 def _is_suspected(router: GatewayRouter, request: GatewayRequest) -> bool:
     """Whether a request may crash servers: if a coordinator failed, two nodes would send it."""
-    return router.quarantine.standing(request, anyio.current_time()) > QuarantineStatus.CLEAR
+    return router.quarantine.status(request, anyio.current_time()) > QuarantineStatus.CLEAR
 
 
 def _create_exchanges(
