--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -87,6 +87,11 @@
         self.rollouts = Rollouts(self.servers.versions)
         self.cold_starts = ColdStarts(self.options.node, self.options.cold_starts)
 
+    @property
+    def configuration_version(self) -> int:
+        """The configuration's version; 0 before there is one."""
+        return self.configuration.version if self.configuration is not None else 0
+
     def budget(self, service: str) -> ExtraAttemptBudget:
         """Return the service's budget of extra attempts."""
         budget = self._budgets.get(service)
--- a/src/yokesill/gateway/requests/deferral.py
+++ b/src/yokesill/gateway/requests/deferral.py
@@ -22,6 +22,7 @@
 from yokesill.gateway.requests.hedging import hedge_delay_s
 from yokesill.gateway.requests.pacing import has_free_slot
 from yokesill.gateway.requests.probing import is_isolated
+from yokesill.gateway.requests.server_choice import select
 from yokesill.gateway.requests.service_call import NEVER, ServiceCall
 from yokesill.gateway.servers.selection import Choice
 from yokesill.gateway.step import Step
@@ -44,7 +45,7 @@
     """Send the deferred calls that may be sent now; the request waits in the queue for those it needs."""
     if not fan_out.deferred or is_isolated(fan_out, step):
         return
-    choices = [(call, call.select(step.now)) for call in fan_out.calls if call.deferred_cause]
+    choices = [(call, select(fan_out, call, step.now)) for call in fan_out.calls if call.deferred_cause]
     choices.sort(key=lambda each: NEVER if each[1] is None else each[1].expected_s)
     for call, choice in choices:
         if choice is None or _may_send(fan_out, choice, step.now):
@@ -59,7 +60,7 @@
 def dispatch_deferred(fan_out: FanOut, service: str, step: Step) -> float | None:
     """Send a service's deferred call, whose turn it is; return ``None``, or when a slot is free instead."""
     call = fan_out.by_service[service]
-    choice = call.select(step.now)
+    choice = select(fan_out, call, step.now)
     if choice is not None and not has_free_slot(choice, fan_out.context, step.now):
         return choice.room_at_s
     _send_deferred(fan_out, call, choice, step)
--- a/src/yokesill/gateway/requests/fan_out.py
+++ b/src/yokesill/gateway/requests/fan_out.py
@@ -49,7 +49,6 @@
         request: GatewayRequest,
         route: Route,
         services: tuple[str, ...],
-        version: int,
         context: GatewayContext,
     ) -> None:
         # Weak: two that held each other would stay, with a whole request's answers, until the interpreter
@@ -57,7 +56,7 @@
         self.waiting_request = weakref.ref(owner)
         self.request = request
         self.route = route
-        self.version = version
+        self.version = context.configuration_version
         self.context = context
         self.objective_at_s, self.deadline_at_s, self.late_after_s = request_times(request, route, context)
         self.isolation = Isolation(request, context.crashes)
--- a/src/yokesill/gateway/requests/first_attempts.py
+++ b/src/yokesill/gateway/requests/first_attempts.py
@@ -15,6 +15,7 @@
 from yokesill.gateway.requests.fan_out import FanOut
 from yokesill.gateway.requests.hedging import hedge_delay_s
 from yokesill.gateway.requests.probing import is_isolated, probe_next
+from yokesill.gateway.requests.server_choice import select
 from yokesill.gateway.requests.service_call import LEAST_TIME_TO_SEND_S, NEVER, ServiceCall
 from yokesill.gateway.servers.selection import Choice
 from yokesill.gateway.step import Step
@@ -26,7 +27,7 @@
     delay_s = hedge_delay_s(fan_out, now)
     if fan_out.context.rollouts.effective:
         _choose_canaries(fan_out, now)
-    choices = [(call, call.select(now)) for call in fan_out.calls]
+    choices = [(call, select(fan_out, call, now)) for call in fan_out.calls]
     if sum(_can_send(fan_out, call, choice, now) for call, choice in choices) < fan_out.required:
         _close_all(fan_out, choices, step)
         return
@@ -45,7 +46,7 @@
 
 def send_held(fan_out: FanOut, call: ServiceCall, step: Step) -> None:
     """Send the first attempt of a call that was held until now, or defer it."""
-    _send_or_defer(fan_out, call, call.select(step.now), hedge_delay_s(fan_out, step.now), step)
+    _send_or_defer(fan_out, call, select(fan_out, call, step.now), hedge_delay_s(fan_out, step.now), step)
 
 
 def _can_send(fan_out: FanOut, call: ServiceCall, choice: Choice | None, now: float) -> bool:
--- a/src/yokesill/gateway/requests/hedging.py
+++ b/src/yokesill/gateway/requests/hedging.py
@@ -20,6 +20,7 @@
 from yokesill.gateway.requests.fan_out import FanOut
 from yokesill.gateway.requests.pacing import has_spare_slot
 from yokesill.gateway.requests.probing import is_isolated
+from yokesill.gateway.requests.server_choice import select
 from yokesill.gateway.requests.service_call import NEVER, ServiceCall
 from yokesill.gateway.step import Step
 
@@ -98,6 +99,6 @@
     context, route = fan_out.context, fan_out.route
     if not route.repeatable or not call.has_attempts_left or not context.options.hedges:
         return
-    choice = call.select(step.now, hedging=True)
+    choice = select(fan_out, call, step.now, hedging=True)
     if choice is not None and has_spare_slot(choice, call.service, context, step.now):
         call.send("hedge", choice, fan_out.deadline_at_s, delay_s, step)
--- a/src/yokesill/gateway/requests/probing.py
+++ b/src/yokesill/gateway/requests/probing.py
@@ -5,6 +5,7 @@
 """
 
 from yokesill.gateway.requests.fan_out import FanOut
+from yokesill.gateway.requests.server_choice import select_repeat
 from yokesill.gateway.requests.service_call import NEVER, ServiceCall
 from yokesill.gateway.step import Step
 
@@ -27,7 +28,7 @@
 
 def _probe(fan_out: FanOut, call: ServiceCall, step: Step) -> int | None:
     """Send a probe and return its number; close the call if there is no server to send it to."""
-    choice = call.select_repeat(step.now)
+    choice = select_repeat(fan_out, call, step.now)
     attempt = choice and call.send("trial", choice, fan_out.deadline_at_s, NEVER, step)
     if attempt is None:
         call.close_unsent(step.now)
--- a/src/yokesill/gateway/requests/request.py
+++ b/src/yokesill/gateway/requests/request.py
@@ -45,7 +45,6 @@
         request: GatewayRequest,
         route: Route,
         services: tuple[str, ...],
-        version: int,
         context: GatewayContext,
     ) -> None:
         self.request = request
@@ -53,7 +52,7 @@
         self.done = False
         self._context = context
         self._hedge_timer_at_s = NEVER
-        self._fan_out = FanOut(self, request, route, services, version, context)
+        self._fan_out = FanOut(self, request, route, services, context)
         self.objective_at_s = self._fan_out.objective_at_s
         self.deadline_at_s = self._fan_out.deadline_at_s
 
--- a/src/yokesill/gateway/requests/retrying.py
+++ b/src/yokesill/gateway/requests/retrying.py
@@ -22,6 +22,7 @@
 from yokesill.gateway.requests.hedging import hedge_delay_s
 from yokesill.gateway.requests.pacing import has_free_slot
 from yokesill.gateway.requests.probing import is_isolated, probe_next
+from yokesill.gateway.requests.server_choice import select_repeat
 from yokesill.gateway.requests.service_call import NEVER, ServiceCall
 from yokesill.gateway.step import Step
 
@@ -35,7 +36,7 @@
     """Send a call's next attempt, or close it; then send what else this makes necessary."""
     isolated = is_isolated(fan_out, step)
     idle = call.open and not call.live_numbers
-    if isolated and idle and call.select_repeat(step.now) is not None:
+    if isolated and idle and select_repeat(fan_out, call, step.now) is not None:
         call.hedge_at_s = NEVER
         fan_out.isolation.held.append(call)
         probe_next(fan_out, step)
@@ -48,7 +49,7 @@
 
 def _retry_or_close(fan_out: FanOut, call: ServiceCall, step: Step) -> None:
     delay_s = hedge_delay_s(fan_out, step.now)
-    choice = call.select_repeat(step.now)
+    choice = select_repeat(fan_out, call, step.now)
     if choice is not None and not has_free_slot(choice, fan_out.context, step.now):
         fan_out.defer(call, "retry", step)
         return
--- /dev/null
+++ b/src/yokesill/gateway/requests/server_choice.py
@@ -0,0 +1,62 @@
+"""Which server a call's next attempt would go to.
+
+``servers.selection`` ranks the servers that a service has now; the ``context`` says which of them this node
+may use at all. Here each attempt gets the version of the servers' software that a roll-out gives it:
+
+- a canary's first attempt goes to the new version if that has a sound server, and everything else to the old
+  one;
+- a service that is switched over is asked at the new version, and at the old one only if the new one has no
+  server that can be sent an attempt; a hedge then stays at the new one.
+"""
+
+from collections.abc import Collection
+
+from yokesill.gateway.requests.fan_out import FanOut
+from yokesill.gateway.requests.service_call import ServiceCall
+from yokesill.gateway.servers.selection import Choice, Wanted, choose_server
+from yokesill.rollouts.orders import RolloutState
+
+
+def select(fan_out: FanOut, call: ServiceCall, now: float, hedging: bool = False) -> Choice | None:
+    """Return the server that an attempt would go to now; ``None`` when there is none."""
+    effective = fan_out.context.rollouts.effective
+    state = effective.get(call.service) if effective else None
+    if state is RolloutState.SWITCHING:
+        return _select_while_switching(fan_out, call, now, hedging)
+    if call.canary and not call.attempts and state is RolloutState.CANARY:
+        choice = _choose(fan_out, call, call.tried, now, new=True)
+        if choice is not None and choice.sound and not choice.server.leaving:
+            return choice
+    return _choose(fan_out, call, call.tried, now)
+
+
+def select_repeat(fan_out: FanOut, call: ServiceCall, now: float) -> Choice | None:
+    """Return the server of an attempt that may be the call's second one, if it may have another at all."""
+    return select(fan_out, call, now) if call.may_repeat and call.has_attempts_left else None
+
+
+def _select_while_switching(fan_out: FanOut, call: ServiceCall, now: float, hedging: bool) -> Choice | None:
+    """Return a server of the new version; one whose entry vanished comes after the old version's."""
+    choice = _choose(fan_out, call, call.tried, now, new=True)
+    if hedging or (choice is not None and not choice.server.leaving):
+        return choice
+    untried = _choose(fan_out, call, (), now, new=True) if call.tried else choice
+    if untried is not None and not untried.server.leaving:
+        return None
+    return _choose(fan_out, call, call.tried, now) or choice
+
+
+def _choose(
+    fan_out: FanOut, call: ServiceCall, tried: Collection[str], now: float, new: bool = False
+) -> Choice | None:
+    context, route, service = fan_out.context, fan_out.route, call.service
+    wanted = Wanted(
+        tried=tried,
+        subset=context.subset(service, now, new),
+        typical_s=context.typical(route).median,
+        removed_grace_s=context.options.removed_grace_s,
+        connection_limit=context.connection_limit(service),
+        last_resort=len(route.services) == 1,
+        nodes=context.node_shares.active_nodes(service) if context.options.paces else 0,
+    )
+    return choose_server(context.candidates(service, route, now, new), wanted, now, context.random_source)
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -1,21 +1,18 @@
 """The attempts of one request at the servers of one service.
 
 Owns what was sent and what came back, and whether the request may have run there: its verdict is a promise
-to the caller. Which server an attempt goes to is decided here and in ``servers.selection``; whether one is
-sent at all is decided by ``first_attempts``, ``deferral``, ``hedging``, ``retrying`` and ``probing``.
+to the caller. Which server an attempt goes to is decided by ``server_choice``; whether one is sent at all by
+``first_attempts``, ``deferral``, ``hedging``, ``retrying`` and ``probing``.
 """
 
-from collections.abc import Collection
-
 from yokesill.gateway.context import GatewayContext, LiveAttempt
 from yokesill.gateway.documents import Route
 from yokesill.gateway.events import LogEvent, SendAttempt
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
 from yokesill.gateway.requests import refusal
-from yokesill.gateway.servers.selection import Choice, Wanted, choose_server
+from yokesill.gateway.servers.selection import Choice
 from yokesill.gateway.servers.server_state import ServerState
 from yokesill.gateway.step import Step
-from yokesill.rollouts.orders import RolloutState
 from yokesill.verdict import Failure, Reason, Verdict
 
 # An attempt with less time left is not sent: it would cost a server work for an answer that comes too late.
@@ -47,6 +44,8 @@
         How long attempts waited for pacing slots before they were sent, in seconds.
     canary
         Whether the first attempt may go to a new version.
+    tried
+        The instances that were sent an attempt; one that refused the connection is taken out again.
     attempts, extra_attempts
         How many were sent, and how many of them the budget paid for.
     """
@@ -63,13 +62,13 @@
         self.waited_s = 0.0
         self.late = False
         self.canary = False
+        self.tried: set[str] = set()
         self.attempts = 0
         self.extra_attempts = 0
         self._request = request
         self._route = route
         self._context = context
         self._live: dict[int, LiveAttempt] = {}
-        self._tried: set[str] = set()
         self._deferred_at_s = 0.0
         # Another node that had the request before may have sent all attempts but the last.
         self._ran = max(1, route.max_attempts - 1) if request.asked_before else 0
@@ -113,53 +112,6 @@
         candidates = self._context.candidates(self.service, self._route, now)
         return min((each.available_at_s(now) for each in candidates), default=NEVER)
 
-    # --- which server ---
-
-    def select(self, now: float, hedging: bool = False) -> Choice | None:
-        """Return the server that an attempt would go to now; ``None`` when there is none.
-
-        The first attempt of a canary goes to the new version if that has a sound server, and everything
-        else to the old one. A service that is switched over is asked at the new version, and at the old one
-        only if the new one has no server that can be asked; a hedge then stays at the new one.
-        """
-        effective = self._context.rollouts.effective
-        state = effective.get(self.service) if effective else None
-        if state is RolloutState.SWITCHING:
-            return self._select_while_switching(now, hedging)
-        if self.canary and not self.attempts and state is RolloutState.CANARY:
-            choice = self._choose(self._tried, now, new=True)
-            if choice is not None and choice.sound and not choice.server.leaving:
-                return choice
-        return self._choose(self._tried, now)
-
-    def _select_while_switching(self, now: float, hedging: bool) -> Choice | None:
-        """Return a server of the new version; one whose entry vanished comes after the old version's."""
-        choice = self._choose(self._tried, now, new=True)
-        if hedging or (choice is not None and not choice.server.leaving):
-            return choice
-        untried = self._choose((), now, new=True) if self._tried else choice
-        if untried is not None and not untried.server.leaving:
-            return None
-        return self._choose(self._tried, now) or choice
-
-    def _choose(self, tried: Collection[str], now: float, new: bool = False) -> Choice | None:
-        context = self._context
-        wanted = Wanted(
-            tried=tried,
-            subset=context.subset(self.service, now, new),
-            typical_s=context.typical(self._route).median,
-            removed_grace_s=context.options.removed_grace_s,
-            connection_limit=context.connection_limit(self.service),
-            last_resort=len(self._route.services) == 1,
-            nodes=context.node_shares.active_nodes(self.service) if context.options.paces else 0,
-        )
-        candidates = context.candidates(self.service, self._route, now, new)
-        return choose_server(candidates, wanted, now, context.random_source)
-
-    def select_repeat(self, now: float) -> Choice | None:
-        """Return the server of another attempt, if there may be one at all."""
-        return self.select(now) if self.may_repeat and self.has_attempts_left else None
-
     # --- sending ---
 
     def send(
@@ -195,7 +147,7 @@
         context.live[number] = self._live[number] = attempt
         server.begin(number, context.typical(self._route).median, now)
         context.sent(server, now)
-        self._tried.add(server.record.instance)
+        self.tried.add(server.record.instance)
         self.attempts += 1
         self.extra_attempts += extra
         self.late = False
@@ -282,7 +234,7 @@
         never_left = failure.verdict is Verdict.NOT_RUN and failure.reason in NEVER_LEFT
         self._may_have_arrived = self._may_have_arrived or not never_left
         if never_left and failure.reason is Reason.CONNECTION_REFUSED and attempt is not None:
-            self._tried.discard(attempt.server.record.instance)
+            self.tried.discard(attempt.server.record.instance)
         if failure.verdict is not Verdict.NOT_RUN:
             self._ran += 1
             self._verdict = max(self._verdict, failure.verdict)
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -26,19 +26,17 @@
 from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.options import GatewayOptions
-from yokesill.gateway.requests import refusal
-from yokesill.gateway.requests.fingerprints import fingerprint
+from yokesill.gateway.requests.admission import admit
 from yokesill.gateway.requests.request import RequestMachine
 from yokesill.gateway.requests.splits import SplitCursors
 from yokesill.gateway.servers.evidence import ServerEvidence
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.gateway.state_updates import StateUpdates, apply_update
 from yokesill.gateway.step import Step
-from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.rollouts.messages import OrderReport
 from yokesill.rollouts.node_orders import NodeOrders
 from yokesill.rollouts.orders import RolloutOrder
-from yokesill.verdict import Failure, Reason, Verdict
+from yokesill.verdict import Failure, Reason
 
 
 class GatewayRouter:
@@ -118,23 +116,12 @@
     # --- requests ---
 
     def _request_arrived(self, request: GatewayRequest, step: Step) -> None:
-        """Refuse a request that may go nowhere, or begin it."""
-        configuration = self._context.configuration
-        if configuration is None:
-            step.actions.append(ev.Refuse(request.key, refusal.not_ready()))
+        """Refuse a request that is not admitted, or begin it."""
+        admitted = admit(request, self._context, step.now)
+        if isinstance(admitted, Failure):
+            step.actions.append(ev.Refuse(request.key, admitted))
             return
-        route = configuration.find(request.host, request.path)
-        if route is None:
-            failure = refusal.unknown_service(request.host, request.path, configuration.version)
-            step.actions.append(ev.Refuse(request.key, failure))
-            return
-        if self._context.crashes.status(request, step.now) is QuarantineStatus.QUARANTINED:
-            verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
-            failure = refusal.quarantined(fingerprint(request), verdict)
-            step.actions.append(ev.Refuse(request.key, failure))
-            return
-        services = self._services_of(route)
-        machine = RequestMachine(request, route, services, configuration.version, self._context)
+        machine = RequestMachine(request, admitted, self._services_of(admitted), self._context)
         self._requests[request.key] = machine
         machine.begin(step)
         self._track(machine, step)
