--- a/src/yokesill/gateway/attempt_outcomes.py
+++ b/src/yokesill/gateway/attempt_outcomes.py
@@ -39,7 +39,7 @@
         state = self._count_reply(attempt, route, reply, step.now)
         self._count_for_rollouts(attempt, route, reply.succeeded, late_s, step.now)
         self._log_state(attempt, state, reply.status, step)
-        self._evidence.tell(attempt, step.now, step.actions)
+        self._evidence.report(attempt, step.now, step.actions)
 
     def failed(self, attempt: LiveAttempt, route: Route, failure: Failure, step: Step) -> None:
         """Count an end without a usable answer."""
@@ -54,7 +54,7 @@
             state = server.failed(attempt.sent_at_s, now)
             self._count_for_rollouts(attempt, route, False, 0.0, now)
             self._log_state(attempt, state, failure.reason.value, step)
-            self._evidence.tell(attempt, now, step.actions)
+            self._evidence.report(attempt, now, step.actions)
 
     def _count_reply(self, attempt: LiveAttempt, route: Route, reply: ServerReply, now: float) -> str | None:
         """Count an answer for its server and route; return the server's new state if it changed."""
--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -1,4 +1,4 @@
-"""What the requests of one node share: servers, attempts under way, budgets, what was learnt of routes.
+"""What the requests of one node share: servers, attempts under way, budgets, what was learned of routes.
 
 Owns the node's state behind the router; the rules of ``requests`` and ``servers`` read and change it. Which
 servers a request may go to at all (``candidates``), and how many of them and how many connections this node
@@ -40,8 +40,8 @@
 class LiveAttempt:
     """An attempt under way; ``extra`` when the budget paid for it.
 
-    ``told`` when the other nodes were told that its server is silent. ``probe`` when its request is suspected
-    of crashing servers and was sent to this one alone.
+    ``silence_reported`` once the other nodes know that its server is silent. ``probe`` when its request is
+    suspected of crashing servers and was sent to this one alone.
     """
 
     number: int
@@ -49,7 +49,7 @@
     server: ServerState
     sent_at_s: float
     extra: bool
-    told: bool = False
+    silence_reported: bool = False
     probe: bool = False
 
 
@@ -75,7 +75,7 @@
     node_shares: NodeShares = field(init=False)
     rollouts: Rollouts = field(init=False)
     _node_hash: int = field(init=False, default=0)
-    _terms: BudgetLimits | None = None
+    _budget_limits: BudgetLimits | None = None
     _budgets: dict[str, ExtraAttemptBudget] = field(default_factory=dict)
     _typical: dict[str, TypicalLatency] = field(default_factory=dict)
     _longest_timeout_s: dict[str, float] = field(default_factory=dict)
@@ -96,8 +96,8 @@
         """Return the service's budget of extra attempts."""
         budget = self._budgets.get(service)
         if budget is None:
-            terms = self._terms or self.options.budget
-            budget = self._budgets[service] = ExtraAttemptBudget(terms, self.started_at)
+            limits = self._budget_limits or self.options.budget
+            budget = self._budgets[service] = ExtraAttemptBudget(limits, self.started_at)
         return budget
 
     def extra_attempts_left(self, service: str, now: float) -> float:
@@ -108,14 +108,14 @@
         """Pay for one extra attempt; ``False`` when the budget does not allow it."""
         return self.budget(service).take(self.node_shares.active_nodes(service), now)
 
-    def set_budget(self, terms: BudgetLimits) -> None:
-        """Keep every service to other terms; windows of another length are counted anew."""
+    def set_budget(self, limits: BudgetLimits) -> None:
+        """Keep every service to other limits; windows of another length are counted anew."""
         for service, budget in list(self._budgets.items()):
-            if budget.terms.window_s == terms.window_s:
-                budget.terms = terms
+            if budget.terms.window_s == limits.window_s:
+                budget.terms = limits
             else:
-                self._budgets[service] = ExtraAttemptBudget(terms, self.started_at)
-        self._terms = terms
+                self._budgets[service] = ExtraAttemptBudget(limits, self.started_at)
+        self._budget_limits = limits
 
     def typical(self, route: Route) -> TypicalLatency:
         """Return what the route's attempts usually take."""
@@ -139,7 +139,7 @@
         return longest_s - caller_timeout_s
 
     def forget_unused(self, before: Configuration | None) -> None:
-        """Drop what was learnt of routes and services that neither this nor the last version names.
+        """Drop what was learned of routes and services that neither this nor the last version names.
 
         Requests that began under the last version may still be under way.
         """
@@ -155,7 +155,7 @@
         self.servers.versions.keep(services)
 
     def kept_estimates(self) -> int:
-        """How many routes and services something learnt is kept of."""
+        """How many routes and services something learned is kept."""
         return len(self._typical) + len(self._longest_timeout_s) + len(self._budgets)
 
     def observe_lateness(self, late_s: float) -> None:
--- a/src/yokesill/gateway/crash_events.py
+++ b/src/yokesill/gateway/crash_events.py
@@ -70,7 +70,7 @@
 
 
 class RequestJudged(NamedTuple):
-    """This node found that a request is to be suspected or quarantined: tell all nodes."""
+    """This node found that a request is to be suspected or quarantined: report it to all nodes."""
 
     fingerprint: str
     status: QuarantineStatus
--- a/src/yokesill/gateway/requests/__init__.py
+++ b/src/yokesill/gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""One request from its arrival to its final answer: fan-out, hedges, retries, refusals."""
+"""One request from its arrival to its final answer; each rule has a module, ``request`` calls them."""
--- a/src/yokesill/gateway/requests/deferral.py
+++ b/src/yokesill/gateway/requests/deferral.py
@@ -7,7 +7,7 @@
    of the deferred calls as are missing then are needed, those with the least expected latency first.
 2. A needed call is sent when a slot is free, or when waiting for one would end after the request's deadline.
 3. A call that the answer can do without is sent only where a slot has gone unused for a whole turn. Otherwise
-   it is skipped, so that the slow server answers requests that need it.
+   it is skipped, and the slow server answers requests that need it instead.
 4. A needed call without a slot waits in the node's ``PacingQueue``, which decides whose turn a free slot is.
 
 All times are in seconds of the node's clock. Measured with bench/overload.py, five seeds: with all servers of
--- a/src/yokesill/gateway/requests/refusal.py
+++ b/src/yokesill/gateway/requests/refusal.py
@@ -4,12 +4,14 @@
 Retry-After:
 
 - no configuration yet: 300 ms;
-- no route, and single calls that can't be sent: no time, since only the whole request's refusal tells one;
+- no route: no Retry-After, since coming back doesn't help;
 - a request that is quarantined: 60 s;
 - a request that never ran (``Verdict.NOT_RUN``): the moment at which enough of its services have a server
   again, if that is known and the caller still waits then; otherwise 100 ms;
 - a request that ran or may have run: 250 ms.
 
+The failures of single calls have no Retry-After: only the refusal of the whole request names one.
+
 Most refusals end when something known ends: the ejections of the servers in the way, the moment that a full
 server named. A caller sent back earlier is refused twice, one sent back later waits for nothing.
 """
@@ -111,7 +113,7 @@
     Parameters
     ----------
     available_at_s
-        For each service of the request, when one of its servers may be asked again, in seconds of the
+        For each service of the request, when one of its servers takes attempts again, in seconds of the
         node's clock; infinite where that is unknown.
     required
         How many of the services an answer needs.
--- a/src/yokesill/gateway/requests/server_choice.py
+++ b/src/yokesill/gateway/requests/server_choice.py
@@ -5,8 +5,8 @@
 
 - a canary's first attempt goes to the new version if that has a sound server, and everything else to the old
   one;
-- a service that is switched over is asked at the new version, and at the old one only if the new one has no
-  server that can be sent an attempt; a hedge then stays at the new one.
+- attempts at a service that is switched over go to the new version, and to the old one only if the new one
+  has no server that can be sent an attempt; a hedge then stays at the new one.
 """
 
 from collections.abc import Collection
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -108,7 +108,7 @@
         return self._may_have_arrived or bool(self._live)
 
     def available_at_s(self, now: float) -> float:
-        """Return when a server of the service may be asked, whichever were tried; infinite if unknown."""
+        """Return when a server of the service takes attempts, tried ones too; infinite if unknown."""
         candidates = self._context.candidates(self.service, self._route, now)
         return min((each.available_at_s(now) for each in candidates), default=NEVER)
 
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -3,8 +3,7 @@
 Owns a node's requests under way and which attempt belongs to which; hands each event to whom it concerns:
 
 - a request's arrival, timers, attempts and its caller's leaving to its ``RequestMachine``;
-- an attempt's end first to ``AttemptOutcomes``, for the server, so that the request decides on the newest
-  state;
+- an attempt's end first to ``AttemptOutcomes``: the request then decides on the server's newest state;
 - a free slot at a slow server to the request whose turn it is (``PacingQueue``);
 - everything else, what the registry and the other nodes report, to ``StateUpdates``.
 
@@ -58,7 +57,7 @@
         step = Step(now)
         _handle(event, self, step)
         self._give_up_quarantined(step)
-        self._evidence.tell_of_silent_servers(self._route_of, now, step.actions)
+        self._evidence.report_silent_servers(self._route_of, now, step.actions)
         return step.actions
 
     # --- what others read ---
@@ -106,12 +105,12 @@
         return self._context.rollouts.report(self.servers.of_service)
 
     def kept_estimates(self) -> int:
-        """How many routes and services something learnt is kept of."""
+        """How many routes and services something learned is kept."""
         return self._context.kept_estimates()
 
-    def set_budget(self, terms: BudgetLimits) -> None:
+    def set_budget(self, limits: BudgetLimits) -> None:
         """Keep to other limits from now on; what was spent still counts."""
-        self._context.set_budget(terms)
+        self._context.set_budget(limits)
 
     # --- requests ---
 
--- a/src/yokesill/gateway/servers/evidence.py
+++ b/src/yokesill/gateway/servers/evidence.py
@@ -40,12 +40,12 @@
         typical_s = attempt.server.round_trip + self._context.typical(route).median
         return now - attempt.sent_at_s >= TIMEOUT_FACTOR * typical_s
 
-    def tell(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
+    def report(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
         """Report the server if the attempt's end counted against it, unless its silence was reported."""
-        if attempt.server.take_evidence() and not attempt.told:
-            self._tell(attempt, now, actions)
+        if attempt.server.take_evidence() and not attempt.silence_reported:
+            self._report(attempt, now, actions)
 
-    def tell_of_silent_servers(
+    def report_silent_servers(
         self, route_of: Callable[[int], Route | None], now: float, actions: list[Action]
     ) -> None:
         """Report, once each, attempts that have been out for much longer than a pause."""
@@ -55,12 +55,12 @@
         for number, attempt in self._context.live.items():
             route = route_of(number)
             typical = None if route is None else self._context.known_typical(route)
-            if attempt.told or typical is None:
+            if attempt.silence_reported or typical is None:
                 continue
             if now - attempt.sent_at_s >= max(SILENCE_TO_REPORT_S, SILENCE_TO_REPORT_FACTOR * typical.median):
-                attempt.told = True
-                self._tell(attempt, now, actions)
+                attempt.silence_reported = True
+                self._report(attempt, now, actions)
 
-    def _tell(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
+    def _report(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
         server = attempt.server
         actions.append(ServerObserved(server.record.instance, server.take_successes(now)))
--- a/tests/gateway/test_rollout_versions.py
+++ b/tests/gateway/test_rollout_versions.py
@@ -16,7 +16,7 @@
     order_for,
     servers_of,
 )
-from test_room import slowed
+from test_pacing import slowed
 
 from yokesill.gateway import events as ev
 from yokesill.registry.snapshots import decode_snapshot, encode_snapshot
