--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -13,14 +13,14 @@
 class CrashTracker:
     """One node's detector of requests that crash servers, and the actions that follow from its findings.
 
-    ``told`` once the registry or a peer has sent the list of quarantined requests. ``newly_quarantined`` are
-    those of which attempts may still be under way here. While nothing is known of any request, no fingerprint
-    is computed.
+    ``list_known`` once the registry or a peer has sent the list of quarantined requests.
+    ``newly_quarantined`` are those of which attempts may still be under way here. While nothing is known of
+    any request, no fingerprint is computed.
     """
 
     def __init__(self) -> None:
         self.detector = CrashDetector()
-        self.told = False
+        self.list_known = False
         self.newly_quarantined: set[str] = set()
 
     def status(self, request: GatewayRequest, now: float) -> QuarantineStatus:
@@ -77,7 +77,7 @@
 
     def record(self, fingerprints: frozenset[str], actions: list[ev.Action]) -> None:
         """Adopt the registry's list of quarantined requests."""
-        before, self.told = self.detector.recorded, True
+        before, self.list_known = self.detector.recorded, True
         self.detector.record(fingerprints)
         for each in sorted(fingerprints - before):
             self._changed(each, QuarantineStatus.QUARANTINED, "recorded", actions)
--- a/src/yokesill/gateway/requests/merge.py
+++ b/src/yokesill/gateway/requests/merge.py
@@ -1,9 +1,14 @@
-"""Merges shard replies: records of a fixed size, the greatest by bytes first, equal ones all kept."""
+"""Merges shard replies into one answer.
+
+A reply's body is a sequence of records of a fixed size. The answer holds the greatest of all, compared as
+bytes, greatest first; equal ones are all kept.
+"""
 
 import heapq
 import struct
 from collections.abc import Iterable
 
+# The size of a record in every shard reply; servers and callers rely on it.
 RECORD_BYTES = 16
 _RECORD = struct.Struct(f"{RECORD_BYTES}s")
 
--- a/src/yokesill/gateway/requests/splits.py
+++ b/src/yokesill/gateway/requests/splits.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Collection
 
-from yokesill.gateway.documents import Split
+from yokesill.gateway.documents import Route, Split
 
 # Long against the weights of any split, so that nodes begin anywhere in a run of choices.
 START_STEPS = 100
@@ -48,12 +48,15 @@
         self._random = source
         self._cursors: dict[str, tuple[Split, SplitCursor]] = {}
 
-    def next(self, route: str, split: Split) -> str:
-        """Return the service of a route's next request."""
-        kept = self._cursors.get(route)
+    def services_of(self, route: Route) -> tuple[str, ...]:
+        """Return the services of a route's next request: all that it gathers from, or one of its split."""
+        split = route.destination
+        if not isinstance(split, Split):
+            return split.services
+        kept = self._cursors.get(route.name)
         if kept is None or kept[0] != split:
-            kept = self._cursors[route] = (split, SplitCursor(split, self._random.random()))
-        return kept[1].next()
+            kept = self._cursors[route.name] = (split, SplitCursor(split, self._random.random()))
+        return (kept[1].next(),)
 
     def keep(self, routes: Collection[str]) -> None:
         """Drop the cursors of all other routes."""
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -21,7 +21,7 @@
 from yokesill.gateway.attempt_outcomes import AttemptOutcomes
 from yokesill.gateway.context import GatewayContext, LiveAttempt
 from yokesill.gateway.crash_tracker import CrashTracker
-from yokesill.gateway.documents import Configuration, Route, Split
+from yokesill.gateway.documents import Configuration, Route
 from yokesill.gateway.limits.budget import BudgetLimits
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.options import GatewayOptions
@@ -120,16 +120,11 @@
         if isinstance(admitted, Failure):
             step.actions.append(ev.Refuse(request.key, admitted))
             return
-        machine = RequestMachine(request, admitted, self._services_of(admitted), self._context)
+        machine = RequestMachine(request, admitted, self._cursors.services_of(admitted), self._context)
         self._requests[request.key] = machine
         machine.begin(step)
         self._track(machine, step)
 
-    def _services_of(self, route: Route) -> tuple[str, ...]:
-        if not isinstance(route.destination, Split):
-            return route.destination.services
-        return (self._cursors.next(route.name, route.destination),)
-
     def _timer_fired(self, event: ev.TimerFired, step: Step) -> None:
         if event.kind is ev.TimerKind.PACING:
             self._context.pacing_queue.woken_up(event.key)
--- a/src/yokesill/serving/feed_updates.py
+++ b/src/yokesill/serving/feed_updates.py
@@ -50,6 +50,6 @@
         router = self._driver.router
         if router.configuration is None or len(router.servers) == 0:
             return False
-        if self.awaits_quarantine and not router.quarantine.told:
+        if self.awaits_quarantine and not router.quarantine.list_known:
             return False
         return router.rollouts.synchronised or not self.awaits_rollouts
