--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -40,7 +40,7 @@
 from yokesill.serving.probes import ProbeApplication
 from yokesill.serving.reachability import Reachability
 from yokesill.serving.rollout_link import RolloutLink
-from yokesill.serving.rollout_part import create_rollout_link
+from yokesill.serving.rollout_port import create_rollout_link
 from yokesill.serving.settings import GatewaySettings
 from yokesill.serving.state_snapshot import configuration_version, snapshot_of, whole_feed
 from yokesill.telemetry.figures import GatewayFigures
@@ -230,7 +230,7 @@
     findings = Findings(contact, core.settings.datagrams, driver, records, source)
     rollouts = _create_rollout_link(core, registry.following)
     if rollouts is not None:
-        registry.updates.subscribe(rollouts.take)
+        registry.updates.subscribe(rollouts.apply_update)
     registry.updates.subscribe(partial(_apply_connection_limits, callers.listener, core.router))
     reachability = _create_reachability(core, callers.application, life_cycle)
     learner = _create_peer_learner(core, registry)
--- a/tests/serving/fleet_of_nodes.py
+++ b/tests/serving/fleet_of_nodes.py
@@ -23,7 +23,8 @@
 from yokesill.rollouts.decider import RolloutDecider
 from yokesill.rollouts.orders import RolloutLimits, RolloutOrder, RolloutState
 from yokesill.serving.driver import GatewayDriver
-from yokesill.serving.rollout_link import RolloutLink, RouterPort
+from yokesill.serving.rollout_link import RolloutLink
+from yokesill.serving.rollout_port import RouterPort
 from yokesill.verdict import Failure, Reason, Verdict
 
 OLD, NEW = "v1", "v2"
@@ -154,19 +155,15 @@
         self.driver = GatewayDriver(self.router, ModelClient(fleet, self.name), lambda _note: None)
         self.decider = RolloutDecider(self.name, number, ROLLOUT_TERMS, source, now)
         self.contact = NodeContact(self.name, "z1", rollouts=self.address)
-        side = RouterPort(
-            report=lambda: self.router.rollout_report(anyio.current_time()),
-            apply_decisions=lambda word: self.driver.feed(ev.RolloutDecisionsReceived(word)),
-            versions=self.router.version_counts,
-            services=lambda: {"desk"},
+        self.link = RolloutLink(
+            self.contact, number, self.decider, RouterPort(self.driver), Records(fleet.registry, self.name)
         )
-        self.link = RolloutLink(self.contact, number, self.decider, side, Records(fleet.registry, self.name))
         self.scope = anyio.CancelScope()
 
     def learn(self, event: ev.Event) -> None:
         if not self.dead:
             self.driver.feed(event)
-            self.link.take(event)
+            self.link.apply_update(event)
 
     async def run(self) -> None:
         with self.scope:
--- a/tests/serving/test_rollout_fleet.py
+++ b/tests/serving/test_rollout_fleet.py
@@ -14,8 +14,8 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
 from yokesill.rollouts.orders import RolloutState
-from yokesill.serving import rollout_part
 from yokesill.serving.driver import GatewayDriver
+from yokesill.serving.rollout_port import RouterPort
 
 RATE_PER_S, DURATION_S, SWITCH_AT_S = 20.0, 12.0, 9.0
 
@@ -209,9 +209,9 @@
     async def main() -> None:
         router = GatewayRouter(GatewayOptions("z1", rollouts=ROLLOUT_TERMS), random.Random(1), 0.0)
         driver = GatewayDriver(router, NoClient(), lambda _note: None)
-        assert rollout_part._services(driver) is None
+        assert RouterPort(driver).services() is None
         driver.feed(ev.ConfigurationLearnt(configuration(1, single_route())))
-        assert set(rollout_part._services(driver) or ()) == {"desk"}
+        assert set(RouterPort(driver).services() or ()) == {"desk"}
 
     run_virtual(main)
 
