--- a/src/yokesill/peers/capacity_rank.py
+++ b/src/yokesill/peers/capacity_rank.py
@@ -1,9 +1,9 @@
-"""Which nodes of a zone are much stronger than most of it."""
+"""Which nodes are strong: they rank first among a zone's watchers and coordinate wide requests."""
 
 from collections.abc import Iterable, Mapping
 
-# A node gathers for others only if it needs less than half of their time for it: what is handed over
-# costs a hop, which must be won back.
+# A node coordinates for others only if it needs at most half of their time: a forwarded request costs a hop,
+# which must be won back (``docs/design/hand-over.md``).
 STRONG_FACTOR = 2.0
 
 
@@ -28,7 +28,7 @@
 
 
 def gathering_nodes(nodes: Iterable[tuple[str, str, float]]) -> frozenset[str]:
-    """Return which nodes of all zones gather wide requests: the strong ones, or a zone's all if it has none.
+    """Return which nodes of all zones coordinate wide requests: strong ones, or all of a zone without any.
 
     Parameters
     ----------
--- a/src/yokesill/quarantine/detector.py
+++ b/src/yokesill/quarantine/detector.py
@@ -1,25 +1,28 @@
-"""Judges requests by the servers that ended under them.
+"""When a request is suspected of crashing servers, quarantined, or released.
 
-A server's end takes with it all requests that it was working on, so that one end says little of any of
-them. A request under which several servers ended is suspected: it is tried at one server at a time. Does a
-server answer it, it is cleared. Do the servers end under which it was tried alone, it is quarantined.
+Inputs: servers lost under a request, servers that answered it, whether it ran alone there (a trial), and what
+other nodes found. A crash takes all requests of its server with it, so one loss says little of any of them. A
+request that several servers were lost under is suspected: it is tried at one server at a time. An answer in a
+trial clears it; servers lost in trials quarantine it. ``docs/design/quarantine.md`` has what was measured.
 """
 
 import enum
 import heapq
 from typing import NamedTuple
 
-# Three servers may end under a request before anybody can tell it from a server's own fault; a request
-# beside it at a server is on fewer of them, or answered by others.
+# With fewer losses a request can't be told from a server's own fault; an innocent request beside it was at
+# fewer of those servers, or is answered by others.
 LOST_TO_SUSPECT = 3
-# One trial may share its server with the very request that ends servers; two in a row hardly do, nor does one
-# after so many servers that none has answered.
+# One trial may share its server with the very request that crashes servers; two in a row hardly do, nor does
+# one after so many losses that no server answered the request.
 TRIALS_TO_QUARANTINE, LOST_BESIDE_ONE_TRIAL = 2, 2 * LOST_TO_SUSPECT
-# Evidence is kept for so long: a request that ends a server once in ten minutes costs less than the memory.
+# Evidence is kept for so long: a request that crashes a server once in ten minutes costs less than the
+# memory.
 EVIDENCE_S = 600.0
-# What nobody has recorded for good is let go after so long, in seconds.
+# A quarantine that nobody recorded in the registry ends after so long, as a recorded one does.
 UNRECORDED_S = 3600.0
-# 1.1 KB each (bench/quarantine_cost.py), 4.7 MB in all; what is beyond that is forgotten, the oldest first.
+# 1.1 KB each (bench/quarantine_cost.py), 4.7 MB in all. Beyond, the oldest are dropped, so many at a time
+# that sorting them is rare.
 MOST_RECORDS, FORGOTTEN_AT_ONCE = 4096, 512
 
 
@@ -32,7 +35,7 @@
 
 
 class Loss(NamedTuple):
-    """A server that ended under a request; ``trial`` if the request was tried there alone."""
+    """A server that was lost under a request; ``trial`` if the request ran there alone."""
 
     instance: str
     service: str
@@ -40,7 +43,7 @@
 
 
 class _Record:
-    """What is known of one request: servers that ended under it, by service, and those of trials.
+    """What is known of one request: servers lost under it, by service, and those of trials.
 
     ``shared`` if other nodes know something of it, too.
     """
@@ -54,8 +57,8 @@
         self.trials: set[str] = set()
         self.shared = False
 
-    def judge(self) -> None:
-        """Raise the status by the evidence."""
+    def update_status(self) -> None:
+        """Raise the status if the evidence is enough."""
         lost = sum(map(len, self.lost.values()))
         if self.status is QuarantineStatus.CLEAR and lost >= LOST_TO_SUSPECT:
             self.status = QuarantineStatus.SUSPECTED
@@ -65,7 +68,7 @@
 
 
 class CrashDetector:
-    """What one node knows of requests under which servers ended; by their fingerprints.
+    """What one node knows of requests that servers were lost under, by their fingerprints.
 
     Times are in seconds of the node's clock.
     """
@@ -80,13 +83,13 @@
 
     @property
     def quarantined(self) -> frozenset[str]:
-        """All requests that are kept from servers."""
+        """All quarantined requests."""
         unrecorded = (each for each, of in self._records.items() if of.status is QuarantineStatus.QUARANTINED)
         return self._recorded.union(unrecorded)
 
     @property
     def recorded(self) -> frozenset[str]:
-        """Those of them that are recorded for good."""
+        """Those of them that the registry records."""
         return self._recorded
 
     def status(self, fingerprint: str, now: float) -> QuarantineStatus:
@@ -97,14 +100,14 @@
         return QuarantineStatus.CLEAR if record is None else record.status
 
     def suspected_services(self, fingerprint: str) -> frozenset[str]:
-        """Return the services of which servers ended under a request and none answered it since."""
+        """Return the services that lost servers under a request and did not answer it since."""
         record = self._records.get(fingerprint)
         return frozenset(record.lost) if record is not None else frozenset()
 
     # --- evidence ---
 
     def lost(self, fingerprint: str, loss: Loss, now: float) -> QuarantineStatus | None:
-        """Take that a server ended under a request; return its status if that has changed."""
+        """Note that a server was lost under a request; return its status if that has changed."""
         if fingerprint in self._recorded:
             return None
         record = self._current(fingerprint, now)
@@ -116,11 +119,11 @@
         before = record.status
         if loss.trial and before is QuarantineStatus.SUSPECTED:
             record.trials.add(loss.instance)
-        record.judge()
+        record.update_status()
         return record.status if record.status is not before else None
 
     def share(self, fingerprint: str) -> None:
-        """Take that other nodes know of a request."""
+        """Note that other nodes know of a request."""
         record = self._records.get(fingerprint)
         if record is not None:
             record.shared = True
@@ -131,11 +134,11 @@
         return record is not None and record.shared
 
     def answered(self, fingerprint: str, service: str, trial: bool) -> bool:
-        """Take that a server answered a request; return whether that clears it of something.
+        """Note that a server answered a request; return whether that clears it of something.
 
-        An answer in a trial clears it of all. Any other one clears it of its own service and of those of
-        which one server ended, by its own fault then. Of which several ended it does not: a request may end
-        the servers of one shard and be answered by those of all others.
+        An answer in a trial clears it of all. Any other one clears it of its own service and of those
+        that lost one server, by that server's own fault then; not of those that lost several: a request may
+        crash the servers of one shard and be answered by those of all others.
         """
         record = self._records.get(fingerprint)
         if record is None or record.status is QuarantineStatus.QUARANTINED:
@@ -152,7 +155,7 @@
     # --- what others found ---
 
     def receive_status(self, fingerprint: str, status: QuarantineStatus, now: float) -> bool:
-        """Take another node's finding; return whether it is news. Nothing is cleared by being told."""
+        """Apply another node's finding; return whether it raises the status. It never lowers it."""
         if status <= self.status(fingerprint, now):
             return False
         record = self._records.setdefault(fingerprint, _Record(now))
@@ -163,7 +166,7 @@
         return True
 
     def record(self, fingerprints: frozenset[str]) -> None:
-        """Take which requests are recorded for good; one that was taken off the record is cleared."""
+        """Set which requests the registry records; one that is not recorded any more is cleared."""
         for fingerprint in self._recorded | fingerprints:
             self._records.pop(fingerprint, None)
         self._recorded = fingerprints
--- a/src/yokesill/rollouts/decider.py
+++ b/src/yokesill/rollouts/decider.py
@@ -25,7 +25,7 @@
     own
         This node's name.
     incarnation
-        Tells this start of the node from earlier ones.
+        Distinguishes this start of the node from earlier ones.
     terms
         What the contract allows.
     source
@@ -174,7 +174,7 @@
             self.withdraw(attempted.service, now)
 
     def decisions(self, now: float) -> RolloutDecisions | None:
-        """Return what to tell every node now; ``None`` from a node that does not decide.
+        """Return what to announce to every node now; ``None`` from a node that does not decide.
 
         One that can't reach the registry announces no shares: they end unless another decider announces them.
         """
--- a/src/yokesill/rollouts/decider_role.py
+++ b/src/yokesill/rollouts/decider_role.py
@@ -1,7 +1,8 @@
-"""Whether this node decides on roll-outs, who else does, and whom it hears.
+"""Who decides on roll-outs, and so writes their records: the first two of all nodes by rank that report.
 
-The first two of all nodes by rank decide, and whoever follows them when they fall silent. Nothing
-guards them: what a decider too many could do wrong is undone by the records' condition.
+Inputs: all nodes with their processors, deciders' messages (and whether they reach the registry), nodes'
+reports; times in seconds of the node's clock. Without a lease and without a vote: what a decider too many
+could do wrong is undone by the records' condition on their revision (``docs/design/rollouts.md``).
 """
 
 import random
@@ -12,18 +13,21 @@
 from yokesill.rollouts.barrier import LIVE_S
 
 RANK_SUBJECT = "rollout-decider"
+# One may be gone or partitioned. Each decider more costs another report of every node.
 DECIDERS = 2
-# Reports and words: two of them lost in a row still leave half of the bound for taking a version back.
+# Between two reports, and two messages of decisions: two lost in a row still leave half of the bound for
+# taking a version back (``RolloutLimits.rollback_s``, 5 s).
 INTERVAL_S = 0.5
 # 400 nodes tell two deciders 800 reports a second each, 0.1 ms of theirs; beyond, the interval grows.
 NODES_AT_INTERVAL = 400
-# After so many intervals without a word a decider is taken for gone; reports are complete after as many.
+# After so many intervals without a message a decider counts as gone; reports are complete after as many.
 INTERVALS_MISSED = 3
-# How much longer each further rank waits, so that not all take over at once: a word's way and a turn.
+# How much longer each further rank waits, so that not all take over at once: a message's way and a turn.
 STEP_S = 0.1
-# A node that has not run for so long has missed words and reports.
+# A node that has not run for so long has missed two intervals of messages and reports.
 PAUSE_S = 1.0
-# How long a node that woke up trusts nothing that it knew before.
+# For so long a node that woke up trusts nothing that it knew before: three intervals, as for a decider that
+# is gone.
 WAKE_S = 1.5
 
 
@@ -56,12 +60,12 @@
 
     @property
     def interval_s(self) -> float:
-        """How often reports and words go out."""
+        """How often reports and decisions go out."""
         return INTERVAL_S * max(1.0, len(self._cores) / NODES_AT_INTERVAL)
 
     @property
     def patience_s(self) -> float:
-        """After which silence a decider is taken for gone."""
+        """After which silence a decider counts as gone."""
         return INTERVALS_MISSED * self.interval_s
 
     @property
@@ -70,14 +74,14 @@
         return self._deciding_since_s is not None
 
     def set_nodes(self, cores: Mapping[str, float]) -> None:
-        """Take all nodes and their processors; this node counts in any case."""
+        """Set all nodes and their processors; this node counts in any case."""
         wanted = {self._own: 1.0, **cores}
         if wanted != self._cores:
             self._cores = wanted
             self._set_members()
 
     def received(self, node: str, reaches_registry: bool, now: float) -> None:
-        """Take a decider's word."""
+        """Note that another decider sent its decisions."""
         if node == self._own:
             return
         (self._able_at_s if reaches_registry else self._unable_at_s)[node] = now
@@ -86,16 +90,16 @@
             self._group.received(node, reaches_registry, True, now)
 
     def reported(self, node: str, now: float) -> None:
-        """Take a node's report."""
+        """Note that a node reported."""
         self._reported_at_s[node] = now
 
     def update(self, needed: bool, now: float) -> bool:
-        """Look who decides; return whether this node has just begun to.
+        """Update who decides; return whether this node has just begun to.
 
         Parameters
         ----------
         needed
-            Whether there is anything to decide or to tell.
+            Whether there is anything to decide or to announce.
         now
             The node's clock, in seconds.
         """
@@ -125,36 +129,36 @@
         return now - self._woke_at_s < WAKE_S or now - self._updated_at_s > PAUSE_S
 
     def informed(self, now: float) -> bool:
-        """Whether it has decided for long enough to have heard each node's totals."""
+        """Whether it has decided for long enough to have received each node's totals."""
         return self._deciding_since_s is not None and now - self._deciding_since_s >= self.patience_s
 
     def deciders_before(self, now: float) -> int:
-        """Return how many reaches_registry deciders rank before this one, silent ones not counted.
+        """Return how many deciders that reach the registry rank before this one, silent ones not counted.
 
-        Who has had no time to speak yet is taken to be there.
+        While nobody had time to send a message yet, the first by rank count.
         """
-        starting = now - self._began_at_s < self.patience_s
+        is_start = now - self._began_at_s < self.patience_s
         above = self._ranked[: self._ranked.index(self._own)]
         there = [node for node in above if self._is_deciding(node, now)]
-        if starting:
+        if is_start:
             there = [node for node in above[:DECIDERS] if node not in self._unable_at_s]
         return len(there)
 
     def live(self, now: float) -> frozenset[str]:
         """Return the nodes that are there: they reported lately, or were listed just now."""
-        heard = {node for node, at_s in self._reported_at_s.items() if now - at_s < LIVE_S}
+        reporting = {node for node, at_s in self._reported_at_s.items() if now - at_s < LIVE_S}
         new = {node for node, at_s in self._listed_at_s.items() if now - at_s < LIVE_S}
-        return frozenset(heard | (new & self._cores.keys()))
+        return frozenset(reporting | (new & self._cores.keys()))
 
     def hears_most_nodes(self, now: float) -> bool:
         """Whether half of the listed nodes report, or had no time to yet."""
         if now - self._began_at_s < self.patience_s:
             return True
-        heard = sum(now - self._reported_at_s.get(node, float("-inf")) < LIVE_S for node in self._cores)
-        return 2 * heard >= len(self._cores)
+        reporting = sum(now - self._reported_at_s.get(node, float("-inf")) < LIVE_S for node in self._cores)
+        return 2 * reporting >= len(self._cores)
 
     def reporting_to(self, now: float) -> tuple[str, ...]:
-        """Return whom nodes tell: deciders that spoke lately, and the next by rank up to two."""
+        """Return whom nodes report to: nodes that decided lately, and the next by rank up to two."""
         if self._group is None:
             return ()
         deciding = [
@@ -177,7 +181,7 @@
         return now - self._able_at_s.get(node, float("-inf")) < self.patience_s
 
     def _may_decide_soon(self, node: str, rank: int, now: float) -> bool:
-        """Whether a node that is not heard may be a decider soon."""
+        """Whether a node that sent no decisions may be a decider soon."""
         if node == self._own or now - self._began_at_s < self.patience_s:
             return True
         return rank >= DECIDERS and node not in self._able_at_s.keys() | self._unable_at_s
--- a/src/yokesill/rollouts/exposure.py
+++ b/src/yokesill/rollouts/exposure.py
@@ -1,7 +1,9 @@
 """How large a share of a service's requests its new version may get while it may still be bad.
 
-Counted are requests at servers of either version, over all nodes. A node's counts are totals since its
-start, so a lost report costs nothing and a repeated one adds nothing.
+Inputs: requests at servers of either version, over all nodes; the contract's limits; the time left. A node's
+counts are totals since its start: a lost report costs nothing, a repeated one adds nothing. The share spends
+what the contract allows evenly until the switch, less all that the switch needs and a margin. Constants were
+set by ``bench/rollout_verdicts.py``; its table is in ``docs/design/rollouts.md``.
 """
 
 from collections import deque
@@ -13,19 +15,20 @@
 LARGEST_SHARE = 1 / 3
 # From the switch on everything goes to the new version until the order's time is over, also if it turns bad
 # just before that: the contract counts it all. The switch begins so long before the end: it takes 1.5 s (a
-# record and its telling, 1.1 s under watch, another record; virtual time), and a registry that answers in
-# 0.25 s in place of 4 ms still fits. Of versions that fail one in ten at 20 requests a second, 2.5 s in its
-# place put up to 7 in 100 beyond the bound, with the contract's whole share before it 30; this none
+# record and its announcement, 1.1 s under watch, another record; virtual time), and a registry that answers
+# in 0.25 s in place of 4 ms still fits. Of versions that fail one in ten at 20 requests a second, 2.5 s in
+# its place put up to 7 in 100 beyond the bound, with the contract's whole share before it 30; this none
 # (``bench/rollout_verdicts.py``, 40 plays a case), and no fewer are found.
 SWITCH_S = 2.2
 # Of the contract's share the canary gets so much at least: without answers a bad version would be found at
 # the switch only. Up to 26 requests a second over 12 s that and the whole switch keep to the bound.
-LEAST_OF_SHARE = 0.6
-# Requests that reports and words lag behind: a report's interval and the way to and fro.
+LEAST_SHARE_OF_LIMIT = 0.6
+# By how much reports and decisions lag behind: two intervals of reports.
 LAG_S = 1.0
 # Thinning is by chance: two standard deviations of 25 requests, and those that dying nodes never report.
-MARGIN = 10.0
-# Over how long the rate of requests is measured, and the least time for a figure.
+MARGIN_REQUESTS = 10.0
+# Over how long the rate of requests is measured, and the least time for a figure. Chosen, not measured: eight
+# intervals of reports, and less than one of them.
 RATE_S, LEAST_RATE_S = 4.0, 0.4
 # Reports come by the dozen; the rate needs no more points than this.
 POINT_S = 0.1
@@ -92,13 +95,13 @@
         How long the share has to last.
     left_s
         How long until the order's deadline: what comes until then raises the bound. No more than the
-        switch is counted on, lest a long order spends at once what its last hour allows.
+        switch is counted on, so a long order does not spend at once what its last hour allows.
     now
         The node's clock, in seconds.
     """
     rate = counts.rate(now)
     totals = counts.totals
-    slack = max(0.0, terms.canary_slack - MARGIN)
+    slack = max(0.0, terms.canary_slack - MARGIN_REQUESTS)
     if rate is None:
         return min(LARGEST_SHARE, terms.canary_share)
     unreported = rate * LAG_S
@@ -110,4 +113,4 @@
     coming = rate * max(canary_left_s, LAG_S)
     if coming <= 0.0:
         return LARGEST_SHARE
-    return min(LARGEST_SHARE, max(LEAST_OF_SHARE * terms.canary_share, free / coming))
+    return min(LARGEST_SHARE, max(LEAST_SHARE_OF_LIMIT * terms.canary_share, free / coming))
--- a/src/yokesill/rollouts/messages.py
+++ b/src/yokesill/rollouts/messages.py
@@ -1,4 +1,4 @@
-"""What nodes and deciders tell each other of roll-outs: reports and decisions.
+"""What nodes and deciders send each other in roll-outs: reports and decisions.
 
 Nothing depends on the arrival of one datagram: counts are totals, decisions are repeated, and a lost report
 costs some samples. ``rollouts/datagrams`` splits them.
@@ -26,7 +26,7 @@
 
 
 class OrderReport(NamedTuple):
-    """What one node did and saw under one order since it learnt of it.
+    """What one node did and saw under one order since it knows it.
 
     ``state`` is the order's effective state at the node. ``sent_old`` and ``sent_new`` are totals
     of requests sent to servers of the old and of the new version, and ``old_in_flight`` how many are under
@@ -42,7 +42,7 @@
 
 
 class RolloutReport(NamedTuple):
-    """A node's sign of life to the deciders; ``incarnation`` tells its starts apart."""
+    """A node's sign of life to the deciders; ``incarnation`` distinguishes its starts."""
 
     node: str
     incarnation: int
@@ -53,7 +53,7 @@
     """What holds for one order.
 
     ``share`` (0 to 1) of the service's requests goes to the new version while ``state`` is ``CANARY``.
-    ``state`` was recorded in the registry before it is told, but for ``ROLLED_BACK``: nothing more goes
+    ``state`` was recorded in the registry before it is announced, but for ``ROLLED_BACK``: nothing more goes
     to the new version from the moment at which anybody says so. ``elapsed_s`` has passed since the order.
     """
 
--- a/src/yokesill/rollouts/order_progress.py
+++ b/src/yokesill/rollouts/order_progress.py
@@ -40,12 +40,12 @@
 
 
 class OrderProgress:
-    """One order from when this node learnt of it; ``state`` is the furthest state known to be recorded.
+    """One order from when this node first knew it; ``state`` is the furthest state known to be recorded.
 
     Parameters
     ----------
     order
-        The order as first learnt of.
+        The order as first known.
     terms
         What the contract allows.
     now
--- a/src/yokesill/rollouts/orders.py
+++ b/src/yokesill/rollouts/orders.py
@@ -8,7 +8,7 @@
     """How far a roll-out has come; the registry's record decides.
 
     ``ORDERED``: nobody has taken it up, the new version gets nothing. ``CANARY``: the new version gets the
-    share that the deciders' words give. ``SWITCHING``: all new work goes to the new version, the old
+    share that the deciders announce. ``SWITCHING``: all new work goes to the new version, the old
     servers still run. The last two are final.
     """
 
--- a/src/yokesill/rollouts/versions.py
+++ b/src/yokesill/rollouts/versions.py
@@ -1,4 +1,8 @@
-"""Which versions of a service a node may reach; the table of the design note stands here and nowhere else."""
+"""Which versions of a service a node may use, by the effective state of the service's order.
+
+Inputs: the listed servers' versions, the order's effective state, and what was established before. The only
+place of the table in ``docs/design/rollouts.md``.
+"""
 
 from collections.abc import Collection, Iterable, Mapping
 
@@ -11,8 +15,8 @@
 class ServiceVersions:
     """What may be reached of every service; times in seconds of the node's clock.
 
-    ``gated`` are the services of which not every known server may be reached: whoever lists servers asks
-    about these alone, so that nothing is paid for a service that nobody rolls out.
+    ``gated`` are the services of which not every known server may be reached: only for
+    these the versions are checked, which costs nothing for a service that nobody rolls out.
 
     Parameters
     ----------
@@ -44,7 +48,7 @@
             self._gate(service, kept)
 
     def set_state(self, order: OrderId, state: RolloutState) -> None:
-        """Take what this node obeys of a service's order; it replaces any other order of the service."""
+        """Set the effective state of a service's order; it replaces any other order of the service."""
         if self._active:
             kept = self._service(order.service)
             kept.set_state(order, state)
@@ -66,7 +70,7 @@
                 self._gate(service, kept)
 
     def established(self) -> dict[str, tuple[str, ...]]:
-        """Return what this node knows to be established, for a node that starts; guesses are not told."""
+        """Return what this node knows to be established, for a node that starts, without guesses."""
         kept = self._services.items()
         return {name: tuple(sorted(each.established)) for name, each in kept if each.sure}
 
@@ -156,9 +160,9 @@
         self._gone(self.established, now, 0.0)
 
     def _see_first(self) -> None:
-        """Take what serves: without an order nobody but the servers themselves tells it.
+        """Establish what serves: without an order only the servers themselves show it.
 
-        A node that starts in mid-roll-out takes every version but the target; with nobody to tell it, the
+        A node that starts in mid-roll-out takes every version but the target; without an order, the
         version that most servers have, then the lower one, by length first: 9 is lower than 10.
         """
         others = frozenset(self.counts) - self._target
@@ -213,7 +217,7 @@
         return not versions or now - self.gone_since_s >= grace_s
 
     def _replace_gone(self, now: float, grace_s: float) -> None:
-        """Let what is listed serve once nothing established is left; that is a guess until it is told."""
+        """Let listed versions serve, as a guess, once no server of an established one is left."""
         others = frozenset(self.counts) - self.barred
         if self._gone(self.established - self.barred, now, grace_s) and others:
             self.before, self.established = self.before | self.established, others
--- a/src/yokesill/watchers/digests.py
+++ b/src/yokesill/watchers/digests.py
@@ -1,6 +1,6 @@
 """Whether two nodes that know a feed up to the same position know the same of it.
 
-Changes lead on from what a node has: what it lacks stays missing, and whoever asks it for the whole
+Changes lead on from what a node has: what it lacks stays missing, and a node that fetches the whole from it
 lacks it too. So reports carry a digest of the whole beside its position, in eight bytes.
 """
 
@@ -9,8 +9,9 @@
 
 # Stands for a feed that isn't compared.
 NOT_COMPARED = 0
-# A node that was set right may hear of its old view once more; a registry that answers with holes is
-# not asked in a loop. Doubled each time that nothing came of it.
+# Between two repairs of a feed, doubled each time that nothing came of it: a repaired node may receive a
+# report on its old view once more, and a registry that answers with holes must not be called in a loop.
+# Chosen, not measured.
 FIRST_PAUSE_S, LONGEST_PAUSE_S = 2.0, 60.0
 
 
@@ -24,7 +25,7 @@
 
 
 class Repairs:
-    """How often one feed may be taken anew for the sake of a difference; times in seconds."""
+    """How often one feed may be fetched anew because of a difference; times in seconds."""
 
     def __init__(self, first_pause_s: float = FIRST_PAUSE_S) -> None:
         self._next_at_s = float("-inf")
