--- a/src/yokesill/registry/api_client.py
+++ b/src/yokesill/registry/api_client.py
@@ -1,4 +1,8 @@
-"""JSON calls to one HTTP/1.1 API: bounded in time, with a failure and its verdict instead of exceptions."""
+"""Calls to one HTTP/1.1 API, of the registry or of another node: bounded in time, with failures as values.
+
+The one client of a serving node for calls that are few, long polls among them; servers are called through
+``upstreams``. Owns the idle connections to its address.
+"""
 
 import json
 import socket
@@ -8,13 +12,16 @@
 import anyio.abc
 
 from yokesill.comm.http_reply import ReplyError
-from yokesill.registry.awaited_connection import AwaitedConnection, connect_tcp
+from yokesill.registry.stream_connection import StreamConnection, connect_tcp
 from yokesill.serving.settings import Address
 from yokesill.upstreams.wires import StreamConnector
 from yokesill.verdict import Failure, Reason, Verdict
 
-CONNECT_TIMEOUT = 1.0
-IDLE_SECONDS = 10.0
+# Bounds what an unreachable address costs a call. Chosen, not measured.
+CONNECT_TIMEOUT_S = 1.0
+# How long an idle connection is used again. Chosen, not measured.
+IDLE_LIMIT_S = 10.0
+# First probe after a second of silence, then one a second, three without an answer end the connection.
 KEEPALIVE_OPTIONS = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 3))
 BROKEN = (ReplyError, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
@@ -54,17 +61,17 @@
         self.calls = 0
         self._address = address
         self._connect = connect
-        self._idle: list[AwaitedConnection] = []
+        self._idle: list[StreamConnection] = []
 
-    def move(self, address: Address) -> None:
+    def set_address(self, address: Address) -> None:
         """Call another address from now on."""
         if address != self._address:
             self._address = address
             self._idle.clear()
 
-    async def call(self, method: str, path: str, timeout: float, body: Any = None) -> ApiReply | Failure:
+    async def call(self, method: str, path: str, timeout_s: float, body: Any = None) -> ApiReply | Failure:
         """Send one call with a JSON body and read its JSON reply; see ``fetch``."""
-        reply = await self.fetch(method, path, timeout, body)
+        reply = await self.fetch(method, path, timeout_s, body)
         if isinstance(reply, Failure):
             return reply
         try:
@@ -72,8 +79,8 @@
         except ValueError as error:
             return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, repr(error))
 
-    async def fetch(self, method: str, path: str, timeout: float, body: Any = None) -> RawReply | Failure:
-        """Send one call and read its reply within ``timeout`` seconds.
+    async def fetch(self, method: str, path: str, timeout_s: float, body: Any = None) -> RawReply | Failure:
+        """Send one call and read its reply within ``timeout_s`` seconds.
 
         A failure to connect is ``NOT_RUN``; any later one is ``MAY_HAVE_RUN``.
         """
@@ -83,12 +90,12 @@
         except (TimeoutError, *BROKEN) as error:
             return Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, f"{self._address}: {error!r}")
         try:
-            with anyio.fail_after(timeout):
+            with anyio.fail_after(timeout_s):
                 reader = await connection.exchange(self._encode(method, path, body), bodiless=False)
         except TimeoutError:
             await self._drop(connection)
             await self._drop_idle()
-            return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, f"no answer in {timeout:.1f} s")
+            return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, f"no answer in {timeout_s:.1f} s")
         except BROKEN as error:
             await self._drop(connection)
             return Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, repr(error))
@@ -96,28 +103,28 @@
             await self._drop(connection)
             raise
         if reader.keep_alive and not reader.surplus:
-            connection.reusable_until = anyio.current_time() + IDLE_SECONDS
+            connection.reusable_until = anyio.current_time() + IDLE_LIMIT_S
             self._idle.append(connection)
         else:
             await self._drop(connection)
         return RawReply(reader.status, reader.body)
 
-    async def _take(self) -> AwaitedConnection:
+    async def _take(self) -> StreamConnection:
         while self._idle:
             connection = self._idle.pop()
             if connection.usable(anyio.current_time()):
                 return connection
             await connection.aclose()
-        with anyio.fail_after(CONNECT_TIMEOUT):
-            return AwaitedConnection(await self._connect(self._address.host, self._address.port))
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
+            return StreamConnection(await self._connect(self._address.host, self._address.port))
 
     async def _drop_idle(self) -> None:
-        """Let go of the idle connections: they may have gone silent like the one just used."""
+        """Close the idle connections: they may have gone silent like the one just used."""
         idle, self._idle = self._idle, []
         for connection in idle:
             await self._drop(connection)
 
-    async def _drop(self, connection: AwaitedConnection) -> None:
+    async def _drop(self, connection: StreamConnection) -> None:
         with anyio.CancelScope(shield=True):
             await connection.aclose()
 
--- a/src/yokesill/registry/awaited_connection.py
+++ b/src/yokesill/registry/stream_connection.py
@@ -1,6 +1,7 @@
-"""A connection that is awaited: for calls that are few, such as long polls of the registry.
+"""One HTTP/1.1 connection over an anyio stream: for calls that are few, such as long polls of the registry.
 
-Over anyio streams, so that the same code runs in virtual time.
+Awaited, unlike ``upstreams.connections``, which calls back for the sake of its cost; tests run the same code
+in virtual time. Owns one stream; ``api_client`` keeps idle connections.
 """
 
 import contextlib
@@ -12,6 +13,8 @@
 from yokesill.comm.http_reply import HttpReplyReader, ReplyError
 from yokesill.upstreams.wires import POLLED_EVENTS, READ_BYTES
 
+# A larger request is sent beside reading: the server may answer before it has read it.
+# Chosen, not measured.
 SENT_AT_ONCE_BYTES = 16 * 1024
 
 
@@ -20,7 +23,7 @@
     return await anyio.connect_tcp(host, port)
 
 
-class AwaitedConnection:
+class StreamConnection:
     """One open connection; ``reusable_until`` (s) is when the server may close it for idleness."""
 
     def __init__(self, stream: anyio.abc.ByteStream) -> None:
@@ -33,7 +36,7 @@
             self._poll.register(raw, POLLED_EVENTS)
 
     def usable(self, now: float) -> bool:
-        """Whether it is still open and quiet: nothing came in while nobody asked."""
+        """Whether it is still open, with nothing to read between calls."""
         if now >= self.reusable_until:
             return False
         return self._poll is None or not self._poll.poll(0)
@@ -41,7 +44,7 @@
     async def exchange(self, request: bytes, bodiless: bool) -> HttpReplyReader:
         """Send a request and read its whole reply.
 
-        A server may answer a long request before it has read it: such a connection is not kept, since
+        A server may answer a long request before it has read it: such a connection is not reused, since
         the rest of the request would be taken for the next one. Raises ``ReplyError``, ``OSError`` or
         an anyio resource error.
         """
@@ -54,6 +57,7 @@
 
         async def send() -> None:
             nonlocal sent_whole
+            # Not an error by itself: what reading finds, a reply or the end, is the outcome.
             with contextlib.suppress(anyio.BrokenResourceError):
                 await self._stream.send(request)
                 sent_whole = True
--- a/src/yokesill/registry/watch_link.py
+++ b/src/yokesill/registry/watch_link.py
@@ -4,7 +4,7 @@
 
 from yokesill.logs import get_logger
 from yokesill.registry.api_client import ApiClient
-from yokesill.registry.awaited_connection import connect_tcp
+from yokesill.registry.stream_connection import connect_tcp
 from yokesill.registry.zone_watch import ZoneWatch
 from yokesill.serving.datagrams import DatagramSocket
 from yokesill.serving.settings import Address
--- a/src/yokesill/registry/zone_watch.py
+++ b/src/yokesill/registry/zone_watch.py
@@ -256,7 +256,7 @@
         if follower is None:
             raise ValueError(f"a feed {report.feed!r}")
         changes = changes_from_wire(report.changes or ())
-        return follower.take_changes(report.before, Batch(report.position, changes))
+        return follower.apply_changes(report.before, Batch(report.position, changes))
 
     async def _fetch_whole(self, name: str, member: NodeContact, repair: bool) -> None:
         """Ask a reporter for a whole feed; the next report tells whether that was enough."""
@@ -267,7 +267,7 @@
                 self._log.info("feed_not_told", feed=name, node=member.node, reason=data.reason)
                 return
             batch = decode_state(data)
-            self._followers[name].take_whole(batch, repair)
+            self._followers[name].apply_whole(batch, repair)
             self._log.info("feed_told", feed=name, node=member.node, position=batch.position)
         except ValueError as error:
             self._log.warning("feed_rejected", feed=name, node=member.node, problem=str(error))
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -24,11 +24,11 @@
 from yokesill.gateway.router import GatewayRouter
 from yokesill.logs import LogOutput, get_logger
 from yokesill.quarantine.detector import QuarantineStatus
-from yokesill.registry.awaited_connection import connect_tcp
 from yokesill.registry.feed_states import CONFIGURATION, EVACUATIONS, QUARANTINE, ROLLOUTS, SERVERS
 from yokesill.registry.following import FollowedFeed, RegistryFollowing
-from yokesill.registry.node_count import NodeCounter
-from yokesill.registry.peers import PeerLearner
+from yokesill.registry.node_presence import NodePresence
+from yokesill.registry.peer_bootstrap import PeerBootstrap
+from yokesill.registry.stream_connection import connect_tcp
 from yokesill.serving.dependencies import Dependencies
 from yokesill.serving.driver import GatewayDriver
 from yokesill.serving.feed_updates import FeedUpdates
@@ -57,11 +57,11 @@
     driver: GatewayDriver
     updates: FeedUpdates
     following: RegistryFollowing
-    counter: NodeCounter
+    presence: NodePresence
     findings: Findings
     rollouts: RolloutLink | None
     reachability: Reachability
-    learner: PeerLearner
+    bootstrap: PeerBootstrap
     application: GatewayApplication
     listener: Listener
     coordinator: CoordinatorApplication
@@ -105,8 +105,8 @@
     findings: Findings
     rollouts: RolloutLink | None
     reachability: Reachability
-    learner: PeerLearner
-    counter: NodeCounter
+    bootstrap: PeerBootstrap
+    presence: NodePresence
 
 
 class _SideServices(NamedTuple):
@@ -233,18 +233,18 @@
         registry.updates.subscribe(rollouts.take)
     registry.updates.subscribe(partial(_apply_connection_limits, callers.listener, core.router))
     reachability = _create_reachability(core, callers.application, life_cycle)
-    learner = _create_peer_learner(core, registry)
+    bootstrap = _create_peer_bootstrap(core, registry)
     peer_changes = PeerChanges(
         driver, registry.following, registry.remote_coordinators, findings, rollouts, reachability
     )
-    counter = NodeCounter(
+    presence = NodePresence(
         core.dependencies.nodes,
         contact,
         lambda count: driver.feed(NodesCounted(count)),
         source,
         peer_changes.peers_changed,
     )
-    return _Exchanges(findings, rollouts, reachability, learner, counter)
+    return _Exchanges(findings, rollouts, reachability, bootstrap, presence)
 
 
 def _create_rollout_link(core: _Core, following: RegistryFollowing) -> RolloutLink | None:
@@ -279,14 +279,14 @@
     )
 
 
-def _create_peer_learner(core: _Core, registry: _Registry) -> PeerLearner:
+def _create_peer_bootstrap(core: _Core, registry: _Registry) -> PeerBootstrap:
     updates, following = registry.updates, registry.following
 
     def apply_from_peer(event: Event) -> None:
         if following.lacks(event):
             updates.apply(event)
 
-    return PeerLearner(core.settings.seeds, connect_tcp, updates.synchronised, apply_from_peer, core.source)
+    return PeerBootstrap(core.settings.seeds, connect_tcp, updates.synchronised, apply_from_peer, core.source)
 
 
 def _create_side_services(
--- a/src/yokesill/serving/peer_changes.py
+++ b/src/yokesill/serving/peer_changes.py
@@ -1,7 +1,7 @@
 """Tells a node's components which nodes can be reached, after each reading of the directory of nodes.
 
-Owns nothing; ``registry.node_count`` calls it. The order matters: the router learns which nodes gather wide
-requests only after ``RemoteCoordinators`` knows the nodes.
+Owns nothing; ``registry.node_presence`` calls it. The order matters: ``RemoteCoordinators`` must know the
+nodes before it says which of them gather wide requests.
 """
 
 from collections.abc import Iterable
--- a/src/yokesill/serving/probes.py
+++ b/src/yokesill/serving/probes.py
@@ -5,7 +5,7 @@
 
 from yokesill.callers.application import Receive, Scope, Send
 from yokesill.comm.http_status import NOT_FOUND, OK, UNAVAILABLE
-from yokesill.registry.peers import SNAPSHOT_PATH
+from yokesill.registry.peer_bootstrap import SNAPSHOT_PATH
 from yokesill.registry.watch_link import STATE_PATH
 
 METRICS_PATH, ROLLOUTS_PATH = "/metrics", "/rollouts"
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -52,7 +52,13 @@
         )
         async with anyio.create_task_group() as task_group:
             await task_group.start(node.driver.run)
-            for component in (node.following, node.counter, node.findings, node.learner, node.reachability):
+            for component in (
+                node.following,
+                node.presence,
+                node.findings,
+                node.bootstrap,
+                node.reachability,
+            ):
                 task_group.start_soon(component.run)
             task_group.start_soon(self._flush_logs)
             if node.rollouts is not None:
@@ -73,7 +79,7 @@
         """Apply what a running node can change of its settings."""
         self.settings = settings
         self._dependencies.move_registry(settings.registry)
-        self.node.learner.set_seeds(settings.seeds)
+        self.node.bootstrap.set_seeds(settings.seeds)
         self.node.router.set_budget(settings.budget)
 
     @property
--- a/tests/platform/test_following_the_store.py
+++ b/tests/platform/test_following_the_store.py
@@ -16,7 +16,7 @@
 from yokesill.registry.api_client import ApiClient
 from yokesill.registry.feeds import NodeContact
 from yokesill.registry.follower import FeedFollower
-from yokesill.registry.node_count import NodeCounter
+from yokesill.registry.node_presence import NodePresence
 from yokesill.serving.settings import Address
 
 CONFIG: dict[str, Any] = {
@@ -244,7 +244,7 @@
                 def counted(count: int, name: str = name) -> None:
                     counts[name] = count
 
-                counter = NodeCounter(StoredNodes(store), NodeContact(name), counted, random.Random(number))
+                counter = NodePresence(StoredNodes(store), NodeContact(name), counted, random.Random(number))
                 tasks.start_soon(counter.run)
             await anyio.sleep(30.0)
             assert counts == {f"n{number}": 4 for number in range(4)}
@@ -262,7 +262,7 @@
             server = MemoryServer(standin.script, tasks)
             store = MetadataStore(ApiClient(Address("10.0.0.1", 80), server.connect))
             tasks.start_soon(
-                NodeCounter(StoredNodes(store), NodeContact("n1"), counts.append, random.Random(1)).run
+                NodePresence(StoredNodes(store), NodeContact("n1"), counts.append, random.Random(1)).run
             )
             await anyio.sleep(600.0)
             assert counts[-1] == 1
@@ -282,7 +282,7 @@
             server = MemoryServer(standin.script, tasks)
             store = MetadataStore(ApiClient(Address("10.0.0.1", 80), server.connect))
             tasks.start_soon(
-                NodeCounter(StoredNodes(store), NodeContact("n1"), counts.append, random.Random(1)).run
+                NodePresence(StoredNodes(store), NodeContact("n1"), counts.append, random.Random(1)).run
             )
             await anyio.sleep(0.1)
             assert counts == [8]
--- a/tests/serving/test_snapshots.py
+++ b/tests/serving/test_snapshots.py
@@ -12,7 +12,7 @@
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Configuration, ServiceLimits
-from yokesill.registry.peers import PeerLearner
+from yokesill.registry.peer_bootstrap import PeerBootstrap
 from yokesill.registry.snapshots import decode_snapshot, encode_snapshot
 from yokesill.rollouts.orders import RolloutOrder, RolloutState
 from yokesill.serving.settings import Address
@@ -62,7 +62,7 @@
         async with anyio.create_task_group() as tasks:
             peer = MemoryServer(script, tasks)
             seeds = (Address("10.0.0.1", 1), Address("10.0.0.2", 1))
-            learner = PeerLearner(
+            learner = PeerBootstrap(
                 seeds, peer.connect, lambda: known[0] or bool(fed), fed.append, random.Random(1)
             )
             tasks.start_soon(learner.run)
--- a/tests/serving/test_zone_watch.py
+++ b/tests/serving/test_zone_watch.py
@@ -279,9 +279,9 @@
         await anyio.sleep(1.5)
         now = servers.position
         known = dict(node.servers)
-        assert servers.take_changes(old - 1, Batch(old, (ServerRemoved("i-0"),)))
-        assert servers.take_changes(old, Batch(now or 0, (ServerRemoved("i-0"),)))
-        servers.take_whole(Batch(old, (ServersReplaced(()),)))
+        assert servers.apply_changes(old - 1, Batch(old, (ServerRemoved("i-0"),)))
+        assert servers.apply_changes(old, Batch(now or 0, (ServerRemoved("i-0"),)))
+        servers.apply_whole(Batch(old, (ServersReplaced(()),)))
         assert (servers.position, node.servers) == (now, known)
 
     in_a_zone(main)
