--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -52,13 +52,8 @@
         )
         async with anyio.create_task_group() as task_group:
             await task_group.start(node.driver.run)
-            for component in (
-                node.following,
-                node.presence,
-                node.findings,
-                node.bootstrap,
-                node.reachability,
-            ):
+            background = (node.following, node.presence, node.findings, node.bootstrap, node.reachability)
+            for component in background:
                 task_group.start_soon(component.run)
             task_group.start_soon(self._flush_logs)
             if node.rollouts is not None:
