--- a/src/yokesill/platform/main.py
+++ b/src/yokesill/platform/main.py
@@ -64,6 +64,6 @@
         nodes=feeds.StoredNodes(store),
         names=HEADER_NAMES,
         ready_path=READY_PATH,
-        move_registry=client.set_address,
+        set_registry_address=client.set_address,
         callers_socket=listening,
     )
--- a/src/yokesill/serving/dependencies.py
+++ b/src/yokesill/serving/dependencies.py
@@ -1,4 +1,8 @@
-"""What a gateway node is connected to."""
+"""What a gateway node is connected to: the port through which an adapter supplies registry and names.
+
+``platform.main`` and ``cli.gateway`` fill it in; ``builder`` reads it. Only ``set_registry_address`` is
+called later.
+"""
 
 import socket
 from collections.abc import Callable
@@ -11,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Dependencies:
-    """What a node is connected to: the registry's feeds and the words spoken with callers.
+    """The registry's feeds and records, the names of headers, and what the adapter opened already.
 
     Without ``evacuations`` zones are never evacuated, without ``rollouts`` nothing is rolled out;
-    ``rollout_records`` is where the state of roll-outs is kept. ``callers_socket`` listens for callers
-    already; without it the node opens one itself. ``quarantine`` tells which requests are kept from servers,
-    ``quarantine_records`` keeps that for good; without them nodes tell only one another.
+    ``rollout_records`` keeps the state of roll-outs. ``quarantine`` has the requests that no server gets,
+    ``quarantine_records`` records them; without them nodes tell only one another. ``callers_socket`` listens
+    for callers already; without it the node opens one itself.
     """
 
     configuration: Feed
@@ -24,7 +28,7 @@
     nodes: NodeDirectory
     names: HeaderNames
     ready_path: str
-    move_registry: Callable[[Address], None] = lambda _address: None
+    set_registry_address: Callable[[Address], None] = lambda _address: None
     callers_socket: socket.socket | None = None
     evacuations: Feed | None = None
     rollouts: Feed | None = None
--- a/src/yokesill/serving/header_names.py
+++ b/src/yokesill/serving/header_names.py
@@ -1,4 +1,7 @@
-"""The names of the headers by which callers, nodes and servers understand one another."""
+"""The names of the headers between callers, nodes and servers.
+
+The defaults are the product's own; the platform's adapter has others (``platform.names``).
+"""
 
 from typing import NamedTuple
 
--- a/src/yokesill/serving/object_fields.py
+++ b/src/yokesill/serving/object_fields.py
@@ -1,4 +1,7 @@
-"""Takes typed fields out of objects that were read; raises ``ObjectError`` naming the place."""
+"""Reads typed fields out of the registry's objects; raises ``ObjectError`` naming the place.
+
+Used by the platform's adapter for what operators and servers write; nothing is owned here.
+"""
 
 import sys
 from collections.abc import Callable
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -73,7 +73,7 @@
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply what a running node can change of its settings."""
         self.settings = settings
-        self._dependencies.move_registry(settings.registry)
+        self._dependencies.set_registry_address(settings.registry)
         self.node.bootstrap.set_seeds(settings.seeds)
         self.node.router.set_budget(settings.budget)
 
--- a/src/yokesill/serving/reachability.py
+++ b/src/yokesill/serving/reachability.py
@@ -1,4 +1,8 @@
-"""Looks whether a node without near servers still reaches anything, and tells when that changes."""
+"""Checks whether a node that depends on other zones still reaches any of their nodes or servers.
+
+Opens connections and closes them at once, few and only without answers of servers elsewhere; the decision is
+``gateway.partition``'s. Owns the list of nodes of other zones.
+"""
 
 import contextlib
 import random
@@ -13,31 +17,33 @@
 from yokesill.serving.settings import Address
 from yokesill.upstreams.wires import StreamConnector
 
-# Ten times the longest way between regions; who takes longer can't serve anybody in time.
+# Ten times the longest way between regions: a place that needs longer can't serve a request in time.
 CONNECT_TIMEOUT_S = 0.25
-# Places of each kind that a look tries while the last one reached nobody.
-NODES_TRIED, SERVERS_TRIED = 2, 1
+# Places of each kind that one check tries after a check that reached none. Chosen, not measured: two nodes,
+# since one may be dead.
+NODES_TRIED = 2
+SERVERS_TRIED = 1
 
 Place = TypeVar("Place")
 
 
 class Reachability:
-    """Watches one node's ways to servers and to nodes of other zones.
+    """Checks one node's ways to servers and nodes of other zones.
 
     Parameters
     ----------
     zone
         This node's.
     router
-        Knows the services and servers.
+        Has the services and servers.
     answered_at_s
         Return when a server of another zone last answered this node, in seconds of its clock.
     connect
         Open a connection.
     changed
-        Is told when the node is cut off (``True``) and when it isn't any more.
+        Called with whether the node is partitioned, when that changes.
     source
-        Chooses whom to try.
+        Chooses the places to try.
     """
 
     def __init__(
@@ -59,16 +65,16 @@
         self._nodes: tuple[Address, ...] = ()
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Take which nodes there are."""
+        """Replace the nodes that can be tried."""
         others = (each.peers for each in contacts if each.zone != self._zone and each.peers)
         self._nodes = tuple(_address(each) for each in others)
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Check until cancelled."""
         while True:
             await anyio.sleep(self.judgement.interval_s * (0.9 + 0.2 * self._random.random()))
             before = self.judgement.cut
-            reached = await self._reaches_somebody()
+            reached = await self._reaches_anything()
             now = anyio.current_time()
             if reached:
                 self.judgement.reached(now)
@@ -77,10 +83,10 @@
             if self.judgement.cut != before:
                 self._changed(self.judgement.cut)
 
-    async def _reaches_somebody(self) -> bool:
-        """Whether a server answered since the last look, or somebody lets this node connect.
+    async def _reaches_anything(self) -> bool:
+        """Whether a server elsewhere answered since the last check, or a place accepts a connection.
 
-        Without nodes elsewhere nothing tells a cut from servers that are dark for everybody.
+        Without nodes elsewhere a partition can't be told from servers that are dark for all nodes.
         """
         since_s = anyio.current_time() - self.judgement.interval_s
         if self._answered_at_s() >= since_s or not self._nodes:
@@ -101,6 +107,7 @@
         reached: list[Address] = []
 
         async def try_one(place: Address) -> None:
+            # Not logged: one place that refuses says nothing; the life cycle logs when the decision changes.
             with contextlib.suppress(OSError, anyio.BrokenResourceError):
                 stream = await self._connect(place.host, place.port)
                 await anyio.aclose_forcefully(stream)
--- a/src/yokesill/serving/reload.py
+++ b/src/yokesill/serving/reload.py
@@ -1,4 +1,8 @@
-"""Takes changed settings over while a node runs: on a signal, or when the file changed without one."""
+"""Reads the settings file again while a node runs: on a signal, or when the file changed without one.
+
+A file with mistakes changes nothing. What a running node can't change (addresses, the zone) is logged and
+takes effect at the next start.
+"""
 
 from collections.abc import Callable
 from pathlib import Path
@@ -8,16 +12,14 @@
 from yokesill.logs import get_logger
 from yokesill.serving.settings import GatewaySettings, SettingsProblem
 
-CHECK_INTERVAL = 2.0
+# How late a changed file is noticed without a signal; a check is one system call. Chosen, not measured.
+CHECK_INTERVAL_S = 2.0
+# Settings whose changes take effect in a running node; ``GatewayProcess.apply_settings`` applies them.
 APPLIED = frozenset({"registry", "seeds", "stop_grace", "budget"})
 
 
 class SettingsFollower:
-    """Reads the settings again by ``load``; a file with mistakes changes nothing.
-
-    ``apply`` takes settings whose changes can take hold in a running node. What can't (addresses,
-    the zone) is told in the log and takes hold at the next start.
-    """
+    """Reads the settings by ``load`` and passes those without mistakes to ``apply``."""
 
     def __init__(
         self,
@@ -34,14 +36,14 @@
         self._log = get_logger("settings")
 
     async def run(self) -> None:
-        """Look for a changed file until cancelled."""
+        """Check for a changed file until cancelled."""
         while True:
-            await anyio.sleep(CHECK_INTERVAL)
+            await anyio.sleep(CHECK_INTERVAL_S)
             if self._stamp() != self._seen:
                 self.reload("file")
 
     def reload(self, why: str) -> None:
-        """Read the file and take over what changed."""
+        """Read the file and apply what changed."""
         self._seen = self._stamp()
         newer = self._load(self._path)
         if isinstance(newer, list):
@@ -57,5 +59,7 @@
         try:
             status = self._path.stat()
         except OSError:
+            # Differs from any stamp, and so makes ``run`` read the file: ``settings_rejected`` says why it
+            # can't be.
             return None
         return (status.st_mtime_ns, status.st_size)
--- a/src/yokesill/serving/settings.py
+++ b/src/yokesill/serving/settings.py
@@ -1,4 +1,9 @@
-"""Settings of a gateway node, in the product's own terms; whoever reads a file fills them in."""
+"""Settings of one gateway node, and the time limits derived from its bounds.
+
+Filled in by ``platform.settings`` or ``cli.gateway_file``; the names of the fields appear in the log line
+``settings_reloaded``. Each derived limit is a share of a bound that operators set, since bounds differ
+between deployments.
+"""
 
 from dataclasses import dataclass, field, fields
 from typing import NamedTuple
@@ -8,13 +13,25 @@
 from yokesill.gateway.servers.cold_starts import ColdStartLimits
 from yokesill.rollouts.orders import RolloutLimits
 
-STOP_MARGIN = 0.4
+# Time kept at the end of a stop for closing and the last log lines. Chosen, not measured.
+STOP_MARGIN_S = 0.4
+# Share of the stop's grace, and the most of it, for which a stopping node still accepts callers: readiness
+# probes notice meanwhile; the rest is for requests in flight. Chosen, not measured.
 WITHDRAW_SHARE = 0.5
-WITHDRAW_CEILING = 3.2
-GATHERING_SHARE, LONGEST_GATHERING_S = 0.3, 1.5
+WITHDRAW_LIMIT_S = 3.2
+# Share of the bound on leaving servers, and the most of it, for which changes gather into one call. Chosen,
+# not measured.
+GATHERING_SHARE = 0.3
+GATHERING_LIMIT_S = 1.5
+# Share of the bound on recovery after which a swallowed wait is noticed; a check costs a tenth of a call.
+# Derived from the bound: the check, the grace of 0.5 s and a new call fit into it
+# (``docs/design/platform.md``).
 CHECK_SHARE = 0.55
-# Servers that live have their entries back so long after the registry's return.
+# Live servers have their entries back within this time after the registry's return: the platform's own
+# figure.
 ENTRIES_BACK_S = 2.0
+# The most of the bound on leaving servers for which a removed one stays a last resort; the rest is for
+# learning of the change and the request's way. Chosen, not measured.
 REMOVED_SHARE = 0.6
 
 
@@ -44,17 +61,19 @@
 class GatewaySettings:
     """Who and where a node is, and the bounds that it keeps; times in seconds.
 
-    ``peers`` answers other nodes (TCP); on ``datagrams`` (UDP) nodes tell one another of servers, on
-    ``reports`` (UDP) watchers tell their zone of the registry, on ``rollout_datagrams`` (UDP) they decide
-    together on roll-outs.
-    ``configuration_bound_s`` is how long after the registry took a configuration it must be in force.
-    ``leaving_bound_s`` is how long after the registry took that a server leaves it may still get work.
-    ``evacuation_bound_s`` is the same for a zone that is evacuated; ``None`` where that never happens.
-    ``cold_starts`` says how far all nodes together may go with a cold server, ``cores`` how much of a
-    processor this node has. ``rollouts`` are the figures of roll-outs; ``None`` where there are none.
-    ``recovery_bound_s`` is how long after a trouble of the registry a node may be behind.
-    ``stop_grace_s`` is the time from the request to stop until the process is killed.
-    ``switched_off`` names mechanisms that an experiment does without, see ``GatewayOptions``.
+    Addresses: ``callers`` and ``probes`` (HTTP), ``peers`` for other nodes (HTTP), ``datagrams`` for findings
+    on servers and requests (UDP), ``reports`` for the registry's watchers (UDP), ``rollout_datagrams`` for
+    decisions on roll-outs (UDP). ``seeds`` have a first state for a node that starts without the registry,
+    ``regions`` says in which region each zone is.
+
+    Bounds that operators set: a configuration is in force ``configuration_bound_s`` after the registry
+    accepted it; a leaving server gets no work after ``leaving_bound_s``, an evacuated zone after
+    ``evacuation_bound_s`` (``None`` where zones are never evacuated); a node is current ``recovery_bound_s``
+    after the registry's return; the process is killed ``stop_grace_s`` after the request to stop.
+
+    ``cold_starts`` limits the work of all nodes at a cold server, ``cores`` is this node's share of
+    processors, ``rollouts`` has the limits of roll-outs (``None`` without them), ``switched_off`` names
+    mechanisms that an experiment does without, see ``GatewayOptions``.
     """
 
     node: str
@@ -87,12 +106,12 @@
 
     @property
     def gathering_time_s(self) -> float:
-        """How long changes of servers may gather before the next is asked for.
+        """How long changes of servers gather before the next call.
 
         Each answer of the registry is paid for, and servers' entries change all the time; what is
         left of the bound is for the answer's way and a slow registry.
         """
-        return min(LONGEST_GATHERING_S, GATHERING_SHARE * self.leaving_bound_s)
+        return min(GATHERING_LIMIT_S, GATHERING_SHARE * self.leaving_bound_s)
 
     @property
     def removed_grace_s(self) -> float:
@@ -106,24 +125,24 @@
 
     @property
     def change_bound_s(self) -> float:
-        """Within what time any change of the registry must be heeded."""
+        """Within what time any change in the registry must take effect."""
         bound_s = min(self.configuration_bound_s, self.leaving_bound_s)
         return bound_s if self.evacuation_bound_s is None else min(bound_s, self.evacuation_bound_s)
 
     @property
     def check_interval_s(self) -> float:
-        """How often to look whether a wait for changes was swallowed; see ``FeedFollower``."""
+        """How often to check whether a wait for changes was swallowed; see ``FeedFollower``."""
         return CHECK_SHARE * self.recovery_bound_s
 
     @property
     def withdraw_time_s(self) -> float:
-        """How long a stopping node still takes callers, so that whoever sends them learns of it."""
-        return min(WITHDRAW_CEILING, self.stop_grace_s * WITHDRAW_SHARE)
+        """How long a stopping node still accepts callers while readiness probes notice."""
+        return min(WITHDRAW_LIMIT_S, self.stop_grace_s * WITHDRAW_SHARE)
 
     @property
     def drain_time_s(self) -> float:
-        """How long after withdrawing what is in flight may still take."""
-        return max(0.0, self.stop_grace_s - STOP_MARGIN - self.withdraw_time_s)
+        """How long requests in flight may still take after the listener closed."""
+        return max(0.0, self.stop_grace_s - STOP_MARGIN_S - self.withdraw_time_s)
 
     def options(self) -> GatewayOptions:
         """Return the options of this node's router.
--- a/src/yokesill/serving/settings_reader.py
+++ b/src/yokesill/serving/settings_reader.py
@@ -1,4 +1,9 @@
-"""Takes fields out of a settings file's tables and collects every mistake with its place."""
+"""Reads typed fields out of a settings file's tables and collects every mistake with its place.
+
+For files with settings of a node; objects of the registry are read by ``object_fields``, which stops at the
+first mistake. A field with a mistake gets a default, and ``problems`` is then not empty: callers discard the
+settings.
+"""
 
 from typing import Any
 
@@ -6,7 +11,7 @@
 
 
 class SettingsReader:
-    """Takes fields out of the file's tables and collects what is wrong with them."""
+    """Reads fields named by their path, as in ``bounds.graceS``; mistakes go into ``problems``."""
 
     def __init__(self, values: dict[str, Any]) -> None:
         self.problems: list[SettingsProblem] = []
--- a/src/yokesill/serving/state_snapshot.py
+++ b/src/yokesill/serving/state_snapshot.py
@@ -1,4 +1,8 @@
-"""What a node knows, in the forms in which it tells other nodes."""
+"""What a node knows, in the forms in which it tells other nodes.
+
+Read from the router at the moment of the call; nothing is owned or kept here. ``registry.snapshots`` and
+``registry.feed_states`` have the wire forms.
+"""
 
 from yokesill.gateway.events import (
     ConfigurationLearnt,
@@ -13,7 +17,7 @@
 
 
 def snapshot_of(router: GatewayRouter) -> bytes | None:
-    """Return all that a router knows, for a node that starts.
+    """Return all that a router knows, for a starting node.
 
     ``None`` while it has no configuration, or does not know the orders of roll-outs where there are any.
     """
