--- a/src/yokesill/registry/feed_catch_up.py
+++ b/src/yokesill/registry/feed_catch_up.py
@@ -69,7 +69,7 @@
         if follower is None:
             raise ValueError(f"a feed {report.feed!r}")
         changes = changes_from_wire(report.changes or ())
-        return follower.take_changes(report.before, Batch(report.position, changes))
+        return follower.apply_changes(report.before, Batch(report.position, changes))
 
     def fetch_soon(
         self, feed: str, member: NodeContact, tasks: anyio.abc.TaskGroup, repair: bool = False
@@ -105,7 +105,7 @@
                 self._log.info("feed_not_told", feed=name, node=member.node, reason=data.reason)
                 return
             batch = decode_state(data)
-            self._followers[name].take_whole(batch, repair)
+            self._followers[name].apply_whole(batch, repair)
             self._log.info("feed_told", feed=name, node=member.node, position=batch.position)
         except ValueError as error:
             self._log.warning("feed_rejected", feed=name, node=member.node, problem=str(error))
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -52,7 +52,8 @@
         )
         async with anyio.create_task_group() as task_group:
             await task_group.start(node.driver.run)
-            for component in (node.following, node.counter, node.findings, node.learner, node.reachability):
+            background = (node.following, node.presence, node.findings, node.bootstrap, node.reachability)
+            for component in background:
                 task_group.start_soon(component.run)
             task_group.start_soon(self._flush_logs)
             if node.rollouts is not None:
@@ -72,8 +73,8 @@
     def apply_settings(self, settings: GatewaySettings) -> None:
         """Apply what a running node can change of its settings."""
         self.settings = settings
-        self._dependencies.move_registry(settings.registry)
-        self.node.learner.set_seeds(settings.seeds)
+        self._dependencies.set_registry_address(settings.registry)
+        self.node.bootstrap.set_seeds(settings.seeds)
         self.node.router.set_budget(settings.budget)
 
     @property
