--- a/src/yokesill/gateway/attempt_outcomes.py
+++ b/src/yokesill/gateway/attempt_outcomes.py
@@ -37,7 +37,9 @@
             self._context.servers.connected(attempt.server, event.connected_in_s)
         reply, late_s = event.reply, self._context.lateness_s
         state = self._count_reply(attempt, route, reply, step.now)
-        self._count_for_rollouts(attempt, route, reply.succeeded, late_s, step.now)
+        rollouts = self._context.rollouts
+        if rollouts.effective:
+            rollouts.ended(attempt.server, route, reply.succeeded, attempt.sent_at_s, late_s, step.now)
         self._log_state(attempt, state, reply.status, step)
         self._evidence.report(attempt, step.now, step.actions)
 
@@ -52,7 +54,8 @@
             server.connections.refused(now)
         elif self._evidence.counts(attempt, route, failure, now):
             state = server.failed(attempt.sent_at_s, now)
-            self._count_for_rollouts(attempt, route, False, 0.0, now)
+            if self._context.rollouts.effective:
+                self._context.rollouts.ended(server, route, False, attempt.sent_at_s, 0.0, now)
             self._log_state(attempt, state, failure.reason.value, step)
             self._evidence.report(attempt, now, step.actions)
 
@@ -65,13 +68,6 @@
         typical.record(now - attempt.sent_at_s)
         return state
 
-    def _count_for_rollouts(
-        self, attempt: LiveAttempt, route: Route, succeeded: bool, late_s: float, now: float
-    ) -> None:
-        rollouts = self._context.rollouts
-        if rollouts.effective:
-            rollouts.ended(attempt.server, route, succeeded, attempt.sent_at_s, late_s, now)
-
     def _log_state(self, attempt: LiveAttempt, state: str | None, why: object, step: Step) -> None:
         if state is not None and state != ACTIVE:
             step.actions.append(log_events.server_state(attempt, state, why, step.now))
--- a/src/yokesill/gateway/requests/conclusion.py
+++ b/src/yokesill/gateway/requests/conclusion.py
@@ -23,9 +23,13 @@
 def final_answer(fan_out: FanOut, now: float) -> FinalAnswer | None:
     """Return the final answer if the request gets it now; ``None`` while it goes on."""
     destination = fan_out.route.destination
-    if isinstance(destination, Gather):
-        return _gathered_answer(fan_out, destination, now)
-    return _single_answer(fan_out, now)
+    if not isinstance(destination, Gather):
+        return _single_answer(fan_out, now)
+    if not fan_out.coverage_met:
+        return _refusal(fan_out, now) if fan_out.coverage_unreachable else None
+    if fan_out.pending and now < fan_out.objective_at_s:
+        return None
+    return _gathered_answer(fan_out, destination, now)
 
 
 def expire_open_calls(fan_out: FanOut) -> None:
@@ -70,11 +74,7 @@
     return PassOn(fan_out.request.key, reply, summarize(fan_out, now))
 
 
-def _gathered_answer(fan_out: FanOut, gather: Gather, now: float) -> FinalAnswer | None:
-    if not fan_out.coverage_met:
-        return _refusal(fan_out, now) if fan_out.coverage_unreachable else None
-    if fan_out.pending and now < fan_out.objective_at_s:
-        return None
+def _gathered_answer(fan_out: FanOut, gather: Gather, now: float) -> Gathered:
     replies = [call.reply for call in fan_out.calls if call.reply is not None]
     records = greatest_records((reply.body for reply in replies), gather.greatest)
     signatures = tuple(reply.signature for reply in replies if reply.signature is not None)
--- a/src/yokesill/gateway/requests/first_attempts.py
+++ b/src/yokesill/gateway/requests/first_attempts.py
@@ -53,7 +53,7 @@
     """Whether a first attempt can be sent, now or once ``choice`` has a free pacing slot."""
     if choice is None or not call.has_attempts_left:
         return False
-    return not call.next_is_extra or fan_out.context.extra_attempts_left(call.service, now) >= 1.0
+    return not fan_out.request.asked_before or fan_out.context.extra_attempts_left(call.service, now) >= 1.0
 
 
 def _send_or_defer(
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -102,11 +102,6 @@
         """Whether another attempt is safe: the route is idempotent, or nothing can have run yet."""
         return self._route.repeatable or self._verdict is Verdict.NOT_RUN
 
-    @property
-    def next_is_extra(self) -> bool:
-        """Whether the next attempt is paid for by the budget: an earlier one may have reached a server."""
-        return self._may_have_arrived or bool(self._live)
-
     def available_at_s(self, now: float) -> float:
         """Return when a server of the service takes attempts, tried ones too; infinite if unknown."""
         candidates = self._context.candidates(self.service, self._route, now)
@@ -119,12 +114,13 @@
     ) -> LiveAttempt | None:
         """Send an attempt; ``None`` if the deadline is too near, or the budget has no extra attempt left.
 
-        A hedge is due ``hedge_delay_s`` later, at a slow server when its answer is expected.
+        It is an extra one if an earlier attempt may have reached a server. A hedge is due ``hedge_delay_s``
+        later, at a slow server when its answer is expected.
         """
         context, server, now = self._context, choice.server, step.now
         if deadline_at_s - now < LEAST_TIME_TO_SEND_S:
             return None
-        extra = self.next_is_extra
+        extra = self._may_have_arrived or bool(self._live)
         if extra and not context.take_extra_attempt(self.service, now):
             step.actions.append(self._log_event("budget_spent", cause, server, now))
             return None
