--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -1,39 +1,32 @@
 """What the requests of one node share: servers, attempts under way, budgets, what was learnt of routes.
 
 Owns the node's state behind the router; the rules of ``requests`` and ``servers`` read and change it. Which
-servers a request may go to at all (``candidates``), and how many of them and how many connections this node
-uses (``subset``, ``connection_limit``), is decided here, too. Relies on ``servers`` and ``limits``.
+servers a request may go to is decided in ``servers.eligibility``, what an extra attempt costs in ``limits``.
 """
 
 import itertools
 import random
-from collections.abc import Collection, Iterable, Iterator
+from collections.abc import Iterator
 from dataclasses import dataclass, field
 from typing import Any
 
 from yokesill.gateway.crash_tracker import CrashTracker
-from yokesill.gateway.documents import Configuration, Route, ServiceLimits
+from yokesill.gateway.documents import Configuration, Route
 from yokesill.gateway.limits.budget import BudgetLimits, ExtraAttemptBudget
 from yokesill.gateway.limits.node_shares import NodeShares
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.requests.pacing_queue import PacingQueue
 from yokesill.gateway.rollouts import Rollouts
-from yokesill.gateway.servers.cold_starts import ColdStarts
+from yokesill.gateway.servers.eligibility import Eligibility
 from yokesill.gateway.servers.learned_latencies import TypicalLatency
 from yokesill.gateway.servers.server_state import ServerState
 from yokesill.gateway.servers.server_table import ServerTable
-from yokesill.rendezvous import name_hash, weight
 
 # The weight of the newest timer in the node's lateness: it follows a node that turns busy within some five
 # timers. Chosen, not measured.
 LATENESS_WEIGHT = 0.2
 # More than this is a pause rather than a busy node, and counts as this much. Chosen, not measured.
 LATENESS_CEILING_S = 0.05
-# A hedge needs a second server.
-LEAST_SUBSET = 2
-# Servers whose round trips differ by less are equally near, and are spread over the nodes by hash. Chosen,
-# not measured.
-SAME_DISTANCE_S = 0.001
 
 
 @dataclass(slots=True)
@@ -71,21 +64,19 @@
     numbers: Iterator[int] = field(default_factory=lambda: itertools.count(1))
     pacing_queue: PacingQueue[Any] = field(default_factory=PacingQueue)
     crashes: CrashTracker = field(default_factory=CrashTracker)
-    cold_starts: ColdStarts = field(init=False)
+    eligibility: Eligibility = field(init=False)
     node_shares: NodeShares = field(init=False)
     rollouts: Rollouts = field(init=False)
-    _node_hash: int = field(init=False, default=0)
     _terms: BudgetLimits | None = None
     _budgets: dict[str, ExtraAttemptBudget] = field(default_factory=dict)
     _typical: dict[str, TypicalLatency] = field(default_factory=dict)
     _longest_timeout_s: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Hash this node's name once, and share nothing yet with unknown nodes."""
-        self._node_hash = name_hash(self.options.node)
+        """Start without configuration, servers and other nodes."""
         self.node_shares = NodeShares(self.options.node, self.options.assumed_nodes)
         self.rollouts = Rollouts(self.servers.versions)
-        self.cold_starts = ColdStarts(self.options.node, self.options.cold_starts)
+        self.eligibility = Eligibility(self.options, self.servers, self.node_shares)
 
     def budget(self, service: str) -> ExtraAttemptBudget:
         """Return the service's budget of extra attempts."""
@@ -157,68 +148,11 @@
         """Count how late one timer came, in seconds."""
         self.lateness_s += LATENESS_WEIGHT * (min(late_s, LATENESS_CEILING_S) - self.lateness_s)
 
-    def limits(self, service: str) -> ServiceLimits | None:
-        """Return what the service's servers bear; ``None`` if the configuration doesn't say."""
-        return self.configuration.services.get(service) if self.configuration else None
-
-    def candidates(self, service: str, route: Route, now: float, new: bool = False) -> Iterable[ServerState]:
-        """Return the servers that a route's request may go to at all.
-
-        Not those of evacuated zones, of versions that may not be reached or of regions that the route
-        doesn't allow, and not cold ones beyond this node's part of what they bear. With ``new`` only those
-        of the version that a roll-out moves to.
-        """
-        servers = self.servers.reachable(service, now, new)
-        if route.regions:
-            regions = self.options.regions
-            servers = [each for each in servers if regions.get(each.record.zone) in route.regions]
-        bears, cold_starts = self._cold_bound(service), self.cold_starts
-        if bears is None:
-            return servers
-        return [each for each in servers if not each.cold(now) or cold_starts.allows(each.record, bears, now)]
-
     def sent(self, server: ServerState, now: float) -> None:
         """Count a request that is sent to a server, which may be cold or of a new version."""
         if self.rollouts.effective:
             self.rollouts.sent(server)
-        if self._cold_bound(server.record.service) is not None and server.cold(now):
-            self.cold_starts.sent(server.record, now)
-
-    def _cold_bound(self, service: str) -> float | None:
-        """Return how many requests a second a cold server of the service bears; ``None`` if unbounded."""
-        limits = self.limits(service)
-        return limits.cold_requests_per_s if limits is not None and limits.cold_requests_per_s > 0.0 else None
-
-    def connection_limit(self, service: str) -> int:
-        """Return how many connections this node may hold to each of the service's servers."""
-        limits = self.limits(service)
-        if limits is None:
-            return 1
-        return max(
-            1,
-            int(self.options.connection_share * limits.connections / self.node_shares.active_nodes(service)),
-        )
-
-    def subset(self, service: str, now: float, new: bool = False) -> Collection[str]:
-        """Return the servers of a service that this node connects to as long as they are sound.
-
-        Where the nodes together could open more connections than a server bears, each node keeps to
-        some of the servers: as many as their connections allow, the nearest first, then by
-        rendezvous hash, so that every server gets its share of the nodes.
-        """
-        servers = self.servers.present(service, now, new)
-        limits = self.limits(service)
-        if limits is None or not servers:
-            return [each.record.instance for each in servers]
-        bearable = self.options.connection_share * limits.connections * len(servers)
-        size = max(LEAST_SUBSET, int(bearable / self.node_shares.active_nodes(service)))
-        if size < len(servers):
-            servers = sorted(servers, key=self._preference)[:size]
-        return [each.record.instance for each in servers]
-
-    def _preference(self, server: ServerState) -> tuple[float, int]:
-        distance = round(server.round_trip / SAME_DISTANCE_S)
-        return distance, weight(self._node_hash, server.name_hash)
+        self.eligibility.count_sent(server, now)
 
     def release(self, number: int) -> LiveAttempt | None:
         """Take an attempt off its server; ``None`` when it has ended before."""
--- a/src/yokesill/gateway/requests/deferral.py
+++ b/src/yokesill/gateway/requests/deferral.py
@@ -61,7 +61,7 @@
     call = fan_out.by_service[service]
     choice = call.select(step.now)
     if choice is not None and not has_free_slot(choice, fan_out.context, step.now):
-        return choice.room_at_s
+        return choice.slot_at_s
     _send_deferred(fan_out, call, choice, step)
     return None
 
@@ -75,8 +75,8 @@
     """
     free = has_free_slot(choice, fan_out.context, now)
     if calls_needed(fan_out) > 0:
-        return free or choice.too_late(fan_out.deadline_at_s, now)
-    return free and choice.idle(now)
+        return free or choice.misses(fan_out.deadline_at_s, now)
+    return free and choice.slot_unused(now)
 
 
 def _send_deferred(fan_out: FanOut, call: ServiceCall, choice: Choice | None, step: Step) -> None:
@@ -93,5 +93,5 @@
     request = fan_out.waiting_request()
     if request is not None:
         queue.enter(call.service, request, choice.expected_s)
-    if queue.plan_wake_up(call.service, choice.room_at_s):
-        step.actions.append(SetTimer(call.service, TimerKind.PACING, choice.room_at_s))
+    if queue.plan_wake_up(call.service, choice.slot_at_s):
+        step.actions.append(SetTimer(call.service, TimerKind.PACING, choice.slot_at_s))
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -12,7 +12,8 @@
 from yokesill.gateway.events import LogEvent, SendAttempt
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
 from yokesill.gateway.requests import refusal
-from yokesill.gateway.servers.selection import Choice, Wanted, choose_server
+from yokesill.gateway.servers.eligibility import present
+from yokesill.gateway.servers.selection import Choice, SelectionCriteria, choose_server
 from yokesill.gateway.servers.server_state import ServerState
 from yokesill.gateway.step import Step
 from yokesill.rollouts.orders import RolloutState
@@ -110,7 +111,7 @@
 
     def available_at_s(self, now: float) -> float:
         """Return when a server of the service may be asked, whichever were tried; infinite if unknown."""
-        candidates = self._context.candidates(self.service, self._route, now)
+        candidates = self._context.eligibility.candidates(self.service, self._route, now)
         return min((each.available_at_s(now) for each in candidates), default=NEVER)
 
     # --- which server ---
@@ -144,17 +145,17 @@
 
     def _choose(self, tried: Collection[str], now: float, new: bool = False) -> Choice | None:
         context = self._context
-        wanted = Wanted(
+        criteria = SelectionCriteria(
             tried=tried,
-            subset=context.subset(self.service, now, new),
+            subset=context.eligibility.subset(self.service, now, new),
             typical_s=context.typical(self._route).median,
             removed_grace_s=context.options.removed_grace_s,
-            connection_limit=context.connection_limit(self.service),
+            connection_limit=context.eligibility.connection_limit(self.service),
             last_resort=len(self._route.services) == 1,
-            nodes=context.node_shares.active_nodes(self.service) if context.options.paces else 0,
+            active_nodes=context.node_shares.active_nodes(self.service) if context.options.paces else 0,
         )
-        candidates = context.candidates(self.service, self._route, now, new)
-        return choose_server(candidates, wanted, now, context.random_source)
+        candidates = context.eligibility.candidates(self.service, self._route, now, new)
+        return choose_server(candidates, criteria, now, context.random_source)
 
     def select_repeat(self, now: float) -> Choice | None:
         """Return the server of another attempt, if there may be one at all."""
@@ -182,7 +183,7 @@
         self.hedge_at_s = now + (hedge_delay_s if choice.sound else max(hedge_delay_s, choice.expected_s))
         if cause != "first":
             step.actions.append(self._log_event("attempt_added", cause, server, now))
-        limit = server.connections.limit(context.connection_limit(self.service))
+        limit = server.connections.limit(context.eligibility.connection_limit(self.service))
         repeatable = self._route.repeatable
         sent = Attempt(attempt.number, self._request, server.record, limit, deadline_at_s, repeatable)
         step.actions.append(SendAttempt(sent))
@@ -246,7 +247,7 @@
         if self.failure is not None:
             self.close(self.failure)
             return
-        listed = any(not each.leaving for each in self._context.servers.reachable(self.service, now))
+        listed = bool(present(self._context.servers, self.service, now))
         self.close(refusal.no_server(self.service, listed))
 
     def close_unless_replied(self) -> None:
--- a/src/yokesill/gateway/rollouts.py
+++ b/src/yokesill/gateway/rollouts.py
@@ -1,4 +1,8 @@
-"""A node's part in roll-outs: which calls are canaries, what was sent, and what came of it."""
+"""A node's part in roll-outs: which calls are canaries, and the evidence that it reports to the deciders.
+
+Relies on ``rollouts/``: `NodeOrders` holds the orders and their effective states, `Canary` draws the share.
+Owns what this node sent and saw under each open order. Times in seconds of the node's clock.
+"""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 
@@ -14,7 +18,7 @@
 
 
 class Rollouts:
-    """All roll-outs as one node sees them; times in seconds of its clock."""
+    """All roll-outs as one node sees them."""
 
     def __init__(self, versions: ServiceVersions) -> None:
         self.orders = NodeOrders(versions, Canary())
@@ -23,11 +27,11 @@
 
     @property
     def effective(self) -> Mapping[str, RolloutState]:
-        """What is obeyed of the order of each service that has one."""
+        """The effective state of each service that has an order."""
         return self.orders.effective
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Take which services are reached by requests that may be repeated."""
+        """Find out which services are reached by requests that may be repeated."""
         routes = (each for each in configuration.routes if each.repeatable)
         self._repeatable = frozenset(name for each in routes for name in each.services)
 
@@ -38,23 +42,23 @@
     ) -> list[str]:
         """Return the services, at most ``most``, whose new version a request is sent to.
 
-        A request that may not be repeated is a canary only where no other could be: its failure is its
-        caller's. So is none that another node may have sent already. Of the many parts of a wide request
-        those come first that would at the least share.
+        No request that another node may have sent before is a canary. One that may not be repeated is
+        only where no other request could be, since its failure can't be hidden from its caller. Of the calls
+        of a wide request those come first that the least share would choose.
         """
         if request.asked_before:
             return []
-        canary, asked = self.orders.canary, request.request_id
-        chosen = []
+        canary, request_id = self.orders.canary, request.request_id
+        ranked = []
         for service in services:
             order = self.orders.open.get(service)
             if order is None or self.effective[service] is not RolloutState.CANARY:
                 continue
             if (route.repeatable or service not in self._repeatable) and canary.includes(
-                asked, order.id, now
+                request_id, order.id, now
             ):
-                chosen.append((canary.rank(asked, order.id), service))
-        return [service for _, service in sorted(chosen)[:most]]
+                ranked.append((canary.rank(request_id, order.id), service))
+        return [service for _, service in sorted(ranked)[:most]]
 
     def is_new(self, server: ServerState) -> bool:
         """Whether a server is of the version that an open order moves to."""
@@ -78,7 +82,7 @@
         node_late_s: float,
         now: float,
     ) -> None:
-        """Keep how an attempt ended that says something of its server.
+        """Count how an attempt ended that says something of its server.
 
         ``sent_at`` is when it was sent and ``node_late_s`` how late this node itself is, in seconds.
         """
@@ -93,7 +97,7 @@
         self._of(order.id).add(sample)
 
     def report(self, servers_of: Callable[[str], Iterable[ServerState]]) -> tuple[OrderReport, ...]:
-        """Return what was sent and seen under each open order; its samples are told once."""
+        """Return what was sent and seen under each open order; each sample is reported once."""
         orders = list(self.orders.open.values())
         kept = {each.id for each in orders}
         self._samples = {order: each for order, each in self._samples.items() if order in kept}
--- /dev/null
+++ b/src/yokesill/gateway/servers/eligibility.py
@@ -0,0 +1,175 @@
+"""Which servers may be sent an attempt at all.
+
+Everything that sends to a server, or counts the servers that could be sent to, asks here. An eligible
+server is
+
+1. of a version that a roll-out lets this request reach (``rollouts/versions``): nothing gets around it, 2.
+in no evacuated zone: nor around this, the operators' request holds also if no other server is left, 3. in a
+region that the route allows: bodies of requests must not leave them, 4. not cold, or within this node's
+share of what a cold server can do (`ColdStarts`), 5. not tried by this request before, 6. not leaving, and
+listed. A server whose entry vanished a moment ago is eligible if no listed one is: entries
+   also vanish when the registry was away (``GatewayOptions.removed_grace_s``).
+
+Ejection, refused connections and peers' suspicions do not exclude a server: they make it a worse choice
+(`selection`). A suspicion is applied only while a server that nobody suspects is left.
+
+How many connections and which subset of servers a node uses is decided here, too: both follow from what a
+server can hold for all nodes together. Times in seconds of the node's clock.
+"""
+
+from collections.abc import Collection, Iterable, Mapping
+
+from yokesill.gateway.documents import Configuration, Route, ServiceLimits
+from yokesill.gateway.limits.node_shares import NodeShares
+from yokesill.gateway.options import GatewayOptions
+from yokesill.gateway.servers.cold_starts import ColdStarts
+from yokesill.gateway.servers.server_state import LEAVING, ServerState
+from yokesill.gateway.servers.server_table import ServerTable
+from yokesill.rendezvous import name_hash, weight
+
+# A node's subset has so many servers at least: a hedge needs a second one.
+LEAST_SUBSET = 2
+# Servers whose round trips differ by less are equally near, and the nodes' hashes spread over them. Chosen,
+# not measured: twice the tolerance in `selection`, since a subset should stay the same while distances are
+# learned.
+SUBSET_DISTANCE_STEP_S = 0.001
+
+
+def reachable(servers: ServerTable, service: str, now: float, new: bool = False) -> Iterable[ServerState]:
+    """Return a service's servers outside evacuated zones and of a version that may be reached.
+
+    With ``new`` of the version that a roll-out moves to.
+    """
+    found = servers.of_service(service)
+    if service in servers.versions.gated:
+        allowed = servers.versions.allowed(service, new, now)
+        found = [each for each in found if each.record.version in allowed]
+    if not servers.evacuated:
+        return found
+    return [each for each in found if each.record.zone not in servers.evacuated]
+
+
+def present(servers: ServerTable, service: str, now: float, new: bool = False) -> list[ServerState]:
+    """Return those of the reachable servers that are listed and don't leave."""
+    return [each for each in reachable(servers, service, now, new) if not each.leaving]
+
+
+def eligible(
+    candidates: Iterable[ServerState], tried: Collection[str], removed_grace_s: float, now: float
+) -> list[ServerState]:
+    """Return the candidates that a request may be sent to next."""
+    untried = [each for each in candidates if each.record.instance not in tried]
+    listed = [each for each in untried if not each.leaving]
+    return listed or [each for each in untried if _just_removed(each, removed_grace_s, now)]
+
+
+def _just_removed(server: ServerState, removed_grace_s: float, now: float) -> bool:
+    if server.state == LEAVING or server.removed_at_s is None:
+        return False
+    return now - server.removed_at_s < removed_grace_s
+
+
+def suspect(servers: ServerTable, instance: str, for_s: float, now: float) -> bool:
+    """Apply peers' suspicion of a server, unless it is the last one that nobody suspects.
+
+    Returns
+    -------
+    bool
+        Whether it is suspected now and was not before.
+    """
+    server = servers.get(instance)
+    if server is None or server.leaving:
+        return False
+    others = (each for each in _alternatives(servers, server, now) if each is not server)
+    if not any(not each.leaving and not each.probation.suspected(now) for each in others):
+        return False
+    known = server.probation.suspected(now)
+    server.probation.begin(for_s, now)
+    return not known
+
+
+def _alternatives(servers: ServerTable, server: ServerState, now: float) -> Iterable[ServerState]:
+    """Return the servers that requests to ``server`` may go to: those of its service and version."""
+    service = server.record.service
+    found = reachable(servers, service, now)
+    return found if server in found else reachable(servers, service, now, new=True)
+
+
+class Eligibility:
+    """One node's rules, with what they depend on: the configuration, the nodes that share, cold servers.
+
+    Parameters
+    ----------
+    options
+        The node's options.
+    servers
+        All servers that it knows.
+    node_shares
+        By how many nodes a service's capacity is divided.
+    """
+
+    def __init__(self, options: GatewayOptions, servers: ServerTable, node_shares: NodeShares) -> None:
+        self.cold_starts = ColdStarts(options.node, options.cold_starts)
+        self._options = options
+        self._servers = servers
+        self._node_shares = node_shares
+        self._node_hash = name_hash(options.node)
+        self._limits: Mapping[str, ServiceLimits] = {}
+
+    def set_configuration(self, configuration: Configuration) -> None:
+        """Apply the services' limits of a configuration."""
+        self._limits = configuration.services
+
+    def candidates(self, service: str, route: Route, now: float, new: bool = False) -> Iterable[ServerState]:
+        """Return the servers that a route's requests may go to: rules 1 to 4.
+
+        With ``new`` only those of the version that a roll-out moves to.
+        """
+        servers = reachable(self._servers, service, now, new)
+        if route.regions:
+            regions = self._options.regions
+            servers = [each for each in servers if regions.get(each.record.zone) in route.regions]
+        rate = self._cold_requests_per_s(service)
+        if rate is None:
+            return servers
+        allows = self.cold_starts.allows
+        return [each for each in servers if not each.cold(now) or allows(each.record, rate, now)]
+
+    def count_sent(self, server: ServerState, now: float) -> None:
+        """Count an attempt, which uses up the share of a cold server."""
+        if self._cold_requests_per_s(server.record.service) is not None and server.cold(now):
+            self.cold_starts.sent(server.record, now)
+
+    def _cold_requests_per_s(self, service: str) -> float | None:
+        """Return the rate for one cold server of the service; ``None`` if it isn't limited."""
+        limits = self._limits.get(service)
+        return limits.cold_requests_per_s if limits is not None and limits.cold_requests_per_s > 0.0 else None
+
+    def connection_limit(self, service: str) -> int:
+        """Return how many connections this node may hold to each of the service's servers."""
+        limits = self._limits.get(service)
+        if limits is None:
+            return 1
+        usable = self._options.connection_share * limits.connections
+        return max(1, int(usable / self._node_shares.active_nodes(service)))
+
+    def subset(self, service: str, now: float, new: bool = False) -> Collection[str]:
+        """Return the instances that this node connects to as long as they are sound.
+
+        Where the nodes together could open more connections than the servers hold, each keeps to as many
+        servers as its share of the connections allows: the nearest first, then by rendezvous hash, which
+        gives every server its share of the nodes.
+        """
+        servers = present(self._servers, service, now, new)
+        limits = self._limits.get(service)
+        if limits is None or not servers:
+            return [each.record.instance for each in servers]
+        usable = self._options.connection_share * limits.connections * len(servers)
+        size = max(LEAST_SUBSET, int(usable / self._node_shares.active_nodes(service)))
+        if size < len(servers):
+            servers = sorted(servers, key=self._subset_rank)[:size]
+        return [each.record.instance for each in servers]
+
+    def _subset_rank(self, server: ServerState) -> tuple[float, int]:
+        steps = round(server.round_trip / SUBSET_DISTANCE_STEP_S)
+        return steps, weight(self._node_hash, server.name_hash)
--- a/src/yokesill/gateway/servers/selection.py
+++ b/src/yokesill/gateway/servers/selection.py
@@ -1,25 +1,60 @@
-"""Chooses the server of an attempt."""
+"""Which of the eligible servers an attempt goes to.
+
+Inputs: the eligible servers (`eligibility`), what the attempt needs (`SelectionCriteria`), the node's clock
+in seconds, a source of random numbers for ties. In this order, the first group that isn't empty:
+
+1. sound servers with a free connection in this node's subset, 2. other sound ones with a free connection,
+3. other sound ones that rejected nothing just now, 4. other sound ones: by expected latency. 5. servers
+that are slow, stalled, refuse connections or are suspected: by expected latency, with the wait for a
+   pacing slot.
+6. failing servers, if the request has no other service to get an answer from.
+
+Of a group the least expected latency wins; among near equals the nearest, and among equally near ones
+chance. Measured with ``bench/overload.py``, five seeds, where pacing and subsets of shards came together:
+with all servers of two shards slow or dark, searches never answered 0.214 -> 0.063
+(``docs/design/overload.md``).
+"""
 
 import random
 from collections.abc import Collection, Iterable
 from typing import NamedTuple
 
+from yokesill.gateway.servers.eligibility import eligible
 from yokesill.gateway.servers.server_state import ServerState
 
-NEAR_ENOUGH = 1.15
-SAME_DISTANCE_S = 0.0006
-# With a share p of its latency between requests, a server's latency settles at 1 / p of its work: its
-# queue then holds nearly one request a slot, which keeps all slots busy and makes nobody wait long.
+# Servers whose expected latency is at most this multiple of the least are near equals: the nearest of them
+# saves bytes between zones. With 1.6 there were fewer of these and more new connections, no difference in
+# latency.
+NEAR_EQUAL_FACTOR = 1.15
+# Near equals whose round trips differ by less are equally near, and chance spreads attempts over them.
+# Chosen, not measured: above the jitter of connecting within a zone.
+ROUND_TRIP_TOLERANCE_S = 0.0006
+# The share of a slow server's latency between two attempts, for each of its slots. With a share p a
+# server's latency settles at 1 / p of its work: at 0.55 nearly one request a slot is queued there, which
+# keeps all slots busy and makes nobody wait long. 0.85 let more searches go unanswered (0.136 -> 0.063,
+# ``bench/overload.py``).
 PACE_SHARE = 0.55
 
 
-class Wanted(NamedTuple):
-    """What an attempt asks of its server.
-
-    ``tried`` are instances that were asked before, ``subset`` those that this node connects to first.
-    ``typical_s`` is what the route's attempts usually take; a server whose entry vanished is a last
-    resort for ``removed_grace_s``. With ``last_resort`` a failing server is better than none.
-    ``nodes`` share the pace of slow servers; 0 when those are not paced.
+class SelectionCriteria(NamedTuple):
+    """What an attempt needs of its server.
+
+    Parameters
+    ----------
+    tried
+        The instances that the request was sent to before.
+    subset
+        The instances that this node connects to as long as they are sound.
+    typical_s
+        What the route's attempts usually take, in seconds.
+    removed_grace_s
+        How long a server is a last resort after its entry vanished, in seconds.
+    connection_limit
+        How many connections this node may hold to each server.
+    last_resort
+        Whether a failing server is better than none.
+    active_nodes
+        How many nodes share the pace of slow servers; 0 when these are not paced.
     """
 
     tried: Collection[str]
@@ -28,87 +63,84 @@
     removed_grace_s: float
     connection_limit: int
     last_resort: bool
-    nodes: float
+    active_nodes: float
 
 
 class Choice(NamedTuple):
-    """The server to ask; ``sound`` unless all of its service are slow, stalled or failing.
-
-    ``expected_s`` is its expected latency, with the wait until ``room_at_s`` if that is still to come.
-    ``pace_s`` is the time between two requests of this node to a slow server.
+    """The server that an attempt would go to; times in seconds.
+
+    Parameters
+    ----------
+    server
+        The server.
+    expected_s
+        Its expected latency, with the wait until ``slot_at_s`` if that is still to come.
+    sound
+        ``False`` if all eligible servers are slow, stalled or failing.
+    slot_at_s
+        When a slow server's next pacing slot is free, by the node's clock.
+    pace_s
+        The time between two of this node's slots at a slow server.
     """
 
     server: ServerState
     expected_s: float
     sound: bool
-    room_at_s: float = 0.0
+    slot_at_s: float = 0.0
     pace_s: float = 0.0
 
-    def too_late(self, hard: float, now: float) -> bool:
-        """Whether whoever waits for room has no answer by ``hard`` (seconds of the node's clock)."""
-        return now + self.expected_s > hard
+    def misses(self, deadline_at_s: float, now: float) -> bool:
+        """Return whether its answer is expected after the deadline."""
+        return now + self.expected_s > deadline_at_s
 
-    def idle(self, now: float) -> bool:
-        """Whether a slow server's room has gone unused for as long as one request takes of it."""
-        return self.room_at_s + self.pace_s <= now
+    def slot_unused(self, now: float) -> bool:
+        """Return whether a slow server's slot has been free for a whole turn."""
+        return self.slot_at_s + self.pace_s <= now
 
 
 def choose_server(
-    servers: Iterable[ServerState], wanted: Wanted, now: float, source: random.Random
+    candidates: Iterable[ServerState], criteria: SelectionCriteria, now: float, source: random.Random
 ) -> Choice | None:
-    """Return the server with the least expected latency, the nearest among near equals.
-
-    Sound servers with a free connection come first, and those of this node's subset before others;
-    then other sound ones, then those that rejected work just now, then those that are slow, stalled
-    or paused, each by how slow it is. Failing ones are left alone until their ejection is over.
-    Servers whose entry vanished a moment ago serve when there is nobody else.
-    """
-    candidates = [each for each in servers if each.record.instance not in wanted.tried]
-    present = [each for each in candidates if not each.leaving]
-    ranked = present or [each for each in candidates if _just_removed(each, wanted, now)]
-    sound = _sound(ranked, wanted, now)
+    """Return the server that an attempt goes to; ``None`` if no candidate is eligible."""
+    servers = eligible(candidates, criteria.tried, criteria.removed_grace_s, now)
+    sound = _best_sound(servers, criteria, now)
     if sound:
-        return _best([Choice(each, each.expected(wanted.typical_s, now), True) for each in sound], source)
-    slow = [each for each in ranked if not each.failing] or (ranked if wanted.last_resort else [])
-    return _best([_slow_choice(each, wanted, now) for each in slow], source) if slow else None
+        typical_s = criteria.typical_s
+        return _best([Choice(each, each.expected(typical_s, now), True) for each in sound], source)
+    slow = [each for each in servers if not each.failing] or (servers if criteria.last_resort else [])
+    return _best([_slow_choice(each, criteria, now) for each in slow], source) if slow else None
 
 
-def _slow_choice(server: ServerState, wanted: Wanted, now: float) -> Choice:
-    """Return what asking a slow server would mean.
+def _best_sound(servers: list[ServerState], criteria: SelectionCriteria, now: float) -> list[ServerState]:
+    """Return the first group of sound servers that isn't empty."""
+    sound = [each for each in servers if each.usable(now)]
+    ready = [each for each in sound if not each.pausing(now)]
+    limit = criteria.connection_limit
+    free = [each for each in ready if each.in_flight < each.connections.limit(limit)]
+    own = [each for each in free if each.record.instance in criteria.subset]
+    return own or free or ready or sound
 
-    All nodes see the same slow server and none sees its queue. Each takes its share of the pace that
-    the server's own latency shows (slots / latency / nodes), so that together they keep it busy
-    without a queue that makes everybody late.
+
+def _slow_choice(server: ServerState, criteria: SelectionCriteria, now: float) -> Choice:
+    """Return the choice of a slow server.
+
+    All nodes know the same slow server and none knows its queue. Each takes its share of the pace that the
+    server's own latency shows (slots / latency / nodes), so together they keep it busy without a long queue.
     """
     slowness = max(1.0, server.slowness(now))
     pace_s = 0.0
     if not server.failing:
-        pace_s = PACE_SHARE * slowness * server.last_typical_s * wanted.nodes / max(1, server.record.slots)
-    room_at_s = max(server.last_sent_at_s + pace_s, server.connections.refused_until_s)
-    expected_s = server.expected(slowness * wanted.typical_s, now) + max(0.0, room_at_s - now)
-    return Choice(server, expected_s, False, room_at_s, pace_s)
-
-
-def _sound(servers: list[ServerState], wanted: Wanted, now: float) -> list[ServerState]:
-    """Return the best servers that are not known to be slow or failing."""
-    sound = [each for each in servers if each.usable(now)]
-    ready = [each for each in sound if not each.pausing(now)]
-    share = wanted.connection_limit
-    free = [each for each in ready if each.in_flight < each.connections.limit(share)]
-    own = [each for each in free if each.record.instance in wanted.subset]
-    return own or free or ready or sound
+        latency_s = slowness * server.last_typical_s
+        pace_s = PACE_SHARE * latency_s * criteria.active_nodes / max(1, server.record.slots)
+    slot_at_s = max(server.last_sent_at_s + pace_s, server.connections.refused_until_s)
+    expected_s = server.expected(slowness * criteria.typical_s, now) + max(0.0, slot_at_s - now)
+    return Choice(server, expected_s, False, slot_at_s, pace_s)
 
 
 def _best(choices: list[Choice], source: random.Random) -> Choice:
     """Return the one with the least expected latency, the nearest among near equals."""
-    least = min(each.expected_s for each in choices)
-    best = [each for each in choices if each.expected_s <= least * NEAR_ENOUGH]
-    nearest = min(each.server.round_trip for each in best)
-    near = [each for each in best if each.server.round_trip <= nearest + SAME_DISTANCE_S]
+    least_s = min(each.expected_s for each in choices)
+    best = [each for each in choices if each.expected_s <= least_s * NEAR_EQUAL_FACTOR]
+    nearest_s = min(each.server.round_trip for each in best)
+    near = [each for each in best if each.server.round_trip <= nearest_s + ROUND_TRIP_TOLERANCE_S]
     return near[0] if len(near) == 1 else source.choice(near)
-
-
-def _just_removed(server: ServerState, wanted: Wanted, now: float) -> bool:
-    if server.state == "leaving" or server.removed_at_s is None:
-        return False
-    return now - server.removed_at_s < wanted.removed_grace_s
--- a/src/yokesill/gateway/servers/server_zones.py
+++ b/src/yokesill/gateway/servers/server_zones.py
@@ -11,6 +11,7 @@
 
 from yokesill.gateway.documents import Route
 from yokesill.gateway.options import GatewayOptions
+from yokesill.gateway.servers.eligibility import present
 from yokesill.gateway.servers.server_table import ServerTable
 
 # A node whose zone has servers of more than this share of the services gathers for itself. Chosen, not
@@ -59,7 +60,7 @@
         services, own = route.services, self._options.zone
         held: Counter[str] = Counter()
         for service in services:
-            held.update({each.record.zone for each in self._servers.present(service, now)})
+            held.update({each.record.zone for each in present(self._servers, service, now)})
         if held[own] > MOST_AT_HOME_SHARE * len(services):
             return frozenset()
         holders = [
