--- a/src/yokesill/gateway/requests/server_choice.py
+++ b/src/yokesill/gateway/requests/server_choice.py
@@ -1,7 +1,7 @@
 """Which server a call's next attempt would go to.
 
-``servers.selection`` ranks the servers that a service has now; the ``context`` says which of them this node
-may use at all. Here each attempt gets the version of the servers' software that a roll-out gives it:
+``servers.eligibility`` says which servers may get the request at all, ``servers.selection`` ranks them.
+Here each attempt gets the version of the servers' software that a roll-out gives it:
 
 - a canary's first attempt goes to the new version if that has a sound server, and everything else to the old
   one;
@@ -13,7 +13,7 @@
 
 from yokesill.gateway.requests.fan_out import FanOut
 from yokesill.gateway.requests.service_call import ServiceCall
-from yokesill.gateway.servers.selection import Choice, Wanted, choose_server
+from yokesill.gateway.servers.selection import Choice, SelectionCriteria, choose_server
 from yokesill.rollouts.orders import RolloutState
 
 
@@ -50,13 +50,14 @@
     fan_out: FanOut, call: ServiceCall, tried: Collection[str], now: float, new: bool = False
 ) -> Choice | None:
     context, route, service = fan_out.context, fan_out.route, call.service
-    wanted = Wanted(
+    criteria = SelectionCriteria(
         tried=tried,
-        subset=context.subset(service, now, new),
+        subset=context.eligibility.subset(service, now, new),
         typical_s=context.typical(route).median,
         removed_grace_s=context.options.removed_grace_s,
-        connection_limit=context.connection_limit(service),
+        connection_limit=context.eligibility.connection_limit(service),
         last_resort=len(route.services) == 1,
-        nodes=context.node_shares.active_nodes(service) if context.options.paces else 0,
+        active_nodes=context.node_shares.active_nodes(service) if context.options.paces else 0,
     )
-    return choose_server(context.candidates(service, route, now, new), wanted, now, context.random_source)
+    candidates = context.eligibility.candidates(service, route, now, new)
+    return choose_server(candidates, criteria, now, context.random_source)
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -10,6 +10,7 @@
 from yokesill.gateway.events import LogEvent, SendAttempt
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
 from yokesill.gateway.requests import refusal
+from yokesill.gateway.servers.eligibility import present
 from yokesill.gateway.servers.selection import Choice
 from yokesill.gateway.servers.server_state import ServerState
 from yokesill.gateway.step import Step
@@ -104,7 +105,7 @@
 
     def available_at_s(self, now: float) -> float:
         """Return when a server of the service takes attempts, tried ones too; infinite if unknown."""
-        candidates = self._context.candidates(self.service, self._route, now)
+        candidates = self._context.eligibility.candidates(self.service, self._route, now)
         return min((each.available_at_s(now) for each in candidates), default=NEVER)
 
     # --- sending ---
@@ -130,7 +131,7 @@
         self.hedge_at_s = now + (hedge_delay_s if choice.sound else max(hedge_delay_s, choice.expected_s))
         if cause != "first":
             step.actions.append(self._log_event("attempt_added", cause, server, now))
-        limit = server.connections.limit(context.connection_limit(self.service))
+        limit = server.connections.limit(context.eligibility.connection_limit(self.service))
         repeatable = self._route.repeatable
         sent = Attempt(attempt.number, self._request, server.record, limit, deadline_at_s, repeatable)
         step.actions.append(SendAttempt(sent))
@@ -194,7 +195,7 @@
         if self.failure is not None:
             self.close(self.failure)
             return
-        listed = any(not each.leaving for each in self._context.servers.reachable(self.service, now))
+        listed = bool(present(self._context.servers, self.service, now))
         self.close(refusal.no_server(self.service, listed))
 
     def close_unless_replied(self) -> None:
