--- a/src/yokesill/gateway/requests/isolation.py
+++ b/src/yokesill/gateway/requests/isolation.py
@@ -11,7 +11,7 @@
 A suspected request is sent to one server at a time, as a probe. An answer that clears it releases all that is
 held; a server that ends under a probe is evidence for its quarantine (``quarantine.detector``).
 
-Units: none. The state belongs to one request; ``CrashTracker`` holds what the node knows of all of them.
+The state belongs to one request; ``CrashTracker`` holds what the node knows of all of them.
 """
 
 from collections.abc import Collection
--- a/src/yokesill/gateway/requests/refusal.py
+++ b/src/yokesill/gateway/requests/refusal.py
@@ -21,17 +21,17 @@
 
 from yokesill.verdict import Failure, Reason, Verdict
 
-# Until a node that has just started has read a configuration. Chosen, not measured: a start takes less.
+# Until a node that has just started has read a configuration. Chosen, not measured.
 NOT_READY_RETRY_AFTER_MS = 300
-# Where nothing is known of when servers are back. Chosen, not measured: short against callers' timeouts.
+# Where it is unknown when servers are back. Chosen, not measured.
 SHED_RETRY_AFTER_MS = 100
 # After a failure servers may have worked for nothing, so longer than after a refusal that cost none of them
 # anything. Chosen, not measured.
 FAILED_RETRY_AFTER_MS = 250
 # Nothing is gained by coming back before somebody has looked at the request or at the servers' software.
 QUARANTINED_RETRY_AFTER_MS = 60_000
-# Callers that were refused in the same moment come back over a quarter of the time named: enough for servers
-# that were silent to answer some of them before the next, and less than a caller waits longer than that.
+# Callers that were refused in the same moment are spread over a quarter of the time named, for servers that
+# were silent to answer some of them before the next. Chosen, not measured.
 SPREAD_SHARE = 0.25
 
 
