--- a/src/yokesill/platform/documents.py
+++ b/src/yokesill/platform/documents.py
@@ -1,4 +1,7 @@
-"""Reads the platform's objects into the gateway's documents; raises ``ObjectError`` naming the place."""
+"""Reads the platform's objects into the gateway's documents; raises ``ObjectError`` naming the place.
+
+Here the platform's names end: a comment says what a field holds where its name misleads.
+"""
 
 from typing import Any
 
@@ -25,6 +28,7 @@
     whole,
 )
 
+# What the platform's rules say of routes without these fields.
 DEFAULT_ATTEMPTS = 1
 LOWEST_PRIORITY = 9
 
@@ -38,7 +42,9 @@
         routes=tuple(_read_route(item) for item in take(spec, "routes", items, "config")),
         services={
             take(item, "name", name, "services"): ServiceLimits(
+                # Of all nodes together, to each server of the service.
                 take(item, "maxConnections", whole, f"services.{item['name']}"),
+                # Requests a second to a cold server, of all nodes together; 0 is no limit.
                 number(item.get("warmupPerS", 0.0)),
             )
             for item in services
@@ -60,6 +66,7 @@
         name=route,
         host=name(take(item, "host", text, place).lower()),
         prefix=take(item, "pathPrefix", text, place),
+        # Not the kind of destination: whether a request may run more than once.
         repeatable=take(item, "routeType", text, place) == "idempotent",
         timeout_s=timeout,
         objective_s=seconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
@@ -98,8 +105,10 @@
         host=host,
         port=int(port),
         zone=name(spec.get("zone", "")),
+        # How many requests it runs at a time.
         slots=whole(spec.get("capacity", 1)),
         leaving=spec.get("state") == "draining",
         warmup_left_s=seconds(spec.get("warmupLeftMs", 0)),
+        # Of the server's software; the gateway's configuration has a field of the same name.
         version=version(spec.get("configVersion", "")),
     )
--- a/src/yokesill/platform/feeds.py
+++ b/src/yokesill/platform/feeds.py
@@ -1,4 +1,7 @@
-"""The store's kinds as feeds of the gateway's events."""
+"""The metadata store's kinds as feeds of the gateway's events, and what nodes themselves keep there.
+
+Objects that can't be read become a batch's ``problems`` and are logged; the state before them stays.
+"""
 
 from collections.abc import Callable
 
@@ -61,57 +64,45 @@
         return self._read_changes(view) if isinstance(view, StoreView) else view
 
 
-class ConfigurationFeed(StoreFeed):
-    """The operator's configuration."""
+def configuration_feed(store: MetadataStore) -> Feed:
+    """Return the operator's configuration as a feed."""
+    return StoreFeed("configuration", CONFIGURATION_KIND, store, _configuration_batch, _configuration_batch)
 
-    def __init__(self, store: MetadataStore) -> None:
-        super().__init__(
-            "configuration", CONFIGURATION_KIND, store, _configuration_batch, _configuration_batch
-        )
 
+def server_feed(store: MetadataStore) -> Feed:
+    """Return the servers' entries as a feed."""
+    return StoreFeed("servers", SERVERS_KIND, store, _server_batch, _all_servers_batch)
 
-class ServerFeed(StoreFeed):
-    """The servers' entries."""
 
-    def __init__(self, store: MetadataStore) -> None:
-        super().__init__("servers", SERVERS_KIND, store, _server_batch, _all_servers_batch)
+def evacuation_feed(store: MetadataStore) -> Feed:
+    """Return the zones that operators evacuate as a feed: each has an object of its name."""
+    events = (ev.ZoneEvacuated, ev.ZoneReopened, ev.EvacuationsReplaced)
+    return _names_feed("evacuations", EVACUATIONS_KIND, store, *events)
 
 
-class NamesFeed(StoreFeed):
-    """A kind of which the objects' names say everything; the events take a name, or all names."""
+def quarantine_feed(store: MetadataStore) -> Feed:
+    """Return the quarantined requests as a feed: each has an object of its fingerprint."""
+    events = (ev.RequestQuarantined, ev.QuarantineLifted, ev.QuarantineReplaced)
+    return _names_feed("quarantine", QUARANTINE_KIND, store, *events)
 
-    def __init__(
-        self,
-        name: str,
-        kind: str,
-        store: MetadataStore,
-        added: Callable[[str], ev.Event],
-        removed: Callable[[str], ev.Event],
-        replaced: Callable[[frozenset[str]], ev.Event],
-    ) -> None:
-        def changes(view: StoreView) -> Batch:
-            return Batch(view.at, tuple((removed if item.gone else added)(item.name) for item in view.items))
-
-        def whole(view: StoreView) -> Batch:
-            return Batch(view.at, (replaced(frozenset(item.name for item in view.items if not item.gone)),))
 
-        super().__init__(name, kind, store, changes, whole)
+def _names_feed(
+    name: str,
+    kind: str,
+    store: MetadataStore,
+    added: Callable[[str], ev.Event],
+    removed: Callable[[str], ev.Event],
+    replaced: Callable[[frozenset[str]], ev.Event],
+) -> Feed:
+    """Return a feed of a kind whose objects' names say everything; ``replaced`` gets all names."""
 
+    def changes(view: StoreView) -> Batch:
+        return Batch(view.at, tuple((removed if item.gone else added)(item.name) for item in view.items))
 
-class EvacuationFeed(NamesFeed):
-    """The zones that operators evacuate, each under an object of its name."""
-
-    def __init__(self, store: MetadataStore) -> None:
-        events = (ev.ZoneEvacuated, ev.ZoneReopened, ev.EvacuationsReplaced)
-        super().__init__("evacuations", EVACUATIONS_KIND, store, *events)
+    def whole(view: StoreView) -> Batch:
+        return Batch(view.at, (replaced(frozenset(item.name for item in view.items if not item.gone)),))
 
-
-class QuarantineFeed(NamesFeed):
-    """The requests that are kept from servers, each under an object of its fingerprint."""
-
-    def __init__(self, store: MetadataStore) -> None:
-        events = (ev.RequestQuarantined, ev.QuarantineLifted, ev.QuarantineReplaced)
-        super().__init__("quarantine", QUARANTINE_KIND, store, *events)
+    return StoreFeed(name, kind, store, changes, whole)
 
 
 class StoredQuarantine(QuarantineRecords):
@@ -172,7 +163,7 @@
 def _server_events(view: StoreView) -> tuple[tuple[ev.Event, ...], tuple[Problem, ...]]:
     events: list[ev.Event] = []
     problems: list[Problem] = []
-    # The last word on each server: what was overtaken within the batch must not come back to life.
+    # Only the last change of each server: one that was overtaken within the batch must not be applied.
     for item in {item.name: item for item in view.items}.values():
         try:
             events.append(_server_event(item))
--- a/src/yokesill/platform/main.py
+++ b/src/yokesill/platform/main.py
@@ -1,4 +1,4 @@
-"""Starts a gateway node on the platform."""
+"""Starts a gateway node on the platform: settings, the store's feeds, and the process until it stops."""
 
 import os
 import random
@@ -12,7 +12,7 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.platform import feeds
 from yokesill.platform.names import HEADER_NAMES, READY_PATH, SETTINGS_VARIABLE, SWITCHED_OFF_VARIABLE
-from yokesill.platform.rollouts import RolloutFeed, StoredRollouts
+from yokesill.platform.rollouts import StoredRollouts, rollout_feed
 from yokesill.platform.settings import load_settings
 from yokesill.platform.store import MetadataStore
 from yokesill.registry.api_client import ApiClient
@@ -54,12 +54,12 @@
     client = ApiClient(settings.registry)
     store = MetadataStore(client)
     return Dependencies(
-        configuration=feeds.ConfigurationFeed(store),
-        servers=feeds.ServerFeed(store),
-        quarantine=feeds.QuarantineFeed(store),
+        configuration=feeds.configuration_feed(store),
+        servers=feeds.server_feed(store),
+        quarantine=feeds.quarantine_feed(store),
         quarantine_records=feeds.StoredQuarantine(store),
-        evacuations=feeds.EvacuationFeed(store) if settings.evacuation_bound_s is not None else None,
-        rollouts=RolloutFeed(store) if settings.rollouts is not None else None,
+        evacuations=feeds.evacuation_feed(store) if settings.evacuation_bound_s is not None else None,
+        rollouts=rollout_feed(store) if settings.rollouts is not None else None,
         rollout_records=StoredRollouts(store) if settings.rollouts is not None else None,
         nodes=feeds.StoredNodes(store),
         names=HEADER_NAMES,
--- a/src/yokesill/platform/names.py
+++ b/src/yokesill/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names of headers, kinds and paths."""
+"""The platform's names of headers, kinds, paths and environment variables."""
 
 from yokesill.serving.header_names import HeaderNames
 
--- a/src/yokesill/platform/rollouts.py
+++ b/src/yokesill/platform/rollouts.py
@@ -8,24 +8,22 @@
 from yokesill.platform.feeds import StoreFeed
 from yokesill.platform.names import ROLLOUTS_KIND
 from yokesill.platform.store import MetadataStore, StoredItem, StoreView, item_of
-from yokesill.registry.feeds import Batch, RolloutRecords
+from yokesill.registry.feeds import Batch, Feed, RolloutRecords
 from yokesill.rollouts.orders import Overtaken, RolloutOrder, RolloutState
 from yokesill.serving.object_fields import ObjectError, number, take, text, version
 from yokesill.verdict import Failure, Reason, Verdict
 
 IN_PROGRESS = "in_progress"
-# Thirty years; what is longer was meant otherwise.
-LONGEST_S = 1e9
-# Our own field beside the platform's state, which is the same for both.
+# Thirty years: a longer duration is a mistake in the order.
+DURATION_LIMIT_S = 1e9
+# ``stage`` is the product's own field beside the platform's ``state``, which is the same for both stages.
 _STAGES = {each.value: each for each in (RolloutState.CANARY, RolloutState.SWITCHING)}
 _FINAL = {each.value: each for each in RolloutState if each.final}
 
 
-class RolloutFeed(StoreFeed):
-    """The orders, each under an object of its service's name."""
-
-    def __init__(self, store: MetadataStore) -> None:
-        super().__init__("rollouts", ROLLOUTS_KIND, store, _order_batch, _all_orders_batch)
+def rollout_feed(store: MetadataStore) -> Feed:
+    """Return the orders as a feed: each has an object of its service's name."""
+    return StoreFeed("rollouts", ROLLOUTS_KIND, store, _order_batch, _all_orders_batch)
 
 
 class StoredRollouts(RolloutRecords):
@@ -44,8 +42,8 @@
         except (AttributeError, KeyError, TypeError) as error:
             detail = f"the record of {order.service}: {error!r}"
             return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, detail)
-        stands = None if item is None or item.gone else read_order(item)
-        return Overtaken(stands) if stands is None or reply.status == CONFLICT else stands
+        current = None if item is None or item.gone else read_order(item)
+        return Overtaken(current) if current is None or reply.status == CONFLICT else current
 
 
 def read_order(item: StoredItem) -> RolloutOrder:
@@ -55,14 +53,16 @@
     try:
         target = take(item.spec, "targetVersion", version, place)
         numbered = type(item.spec["targetVersion"]) is int
-        duration_s = take(item.spec, "durationS", _duration, place)
+        duration_s = take(item.spec, "durationS", _duration_s, place)
         if take(item.spec, "service", text, place) != item.name:
             raise ObjectError(f"{place}.service: is {item.spec['service']!r}, the object's name is another")
     except ObjectError as error:
         problem = str(error)
     status = item.status if isinstance(item.status, dict) else {}
     state, elapsed_ms = _state(status, target), status.get("elapsedMs")
-    elapsed_s = elapsed_ms / 1000 if isinstance(elapsed_ms, int) and 0 <= elapsed_ms < LONGEST_S else 0.0
+    elapsed_s = 0.0  # also of an unreadable time, as in a new order
+    if isinstance(elapsed_ms, int) and 0 <= elapsed_ms < DURATION_LIMIT_S:
+        elapsed_s = elapsed_ms / 1000
     ordered = (item.name, target, duration_s, item.made, item.revision)
     order = RolloutOrder(*ordered, problem=problem, numbered=numbered)
     if state is RolloutState.ORDERED:
@@ -70,12 +70,12 @@
     return order._replace(state=state, elapsed_s=elapsed_s, reason=str(status.get("reason", "")))
 
 
-def _duration(value: Any) -> float:
+def _duration_s(value: Any) -> float:
     duration_s = number(value)
     if not duration_s > 0.0:
         raise ObjectError("a time above 0 is needed")
-    if duration_s > LONGEST_S:
-        raise ObjectError(f"a time up to {LONGEST_S:g} s is needed")
+    if duration_s > DURATION_LIMIT_S:
+        raise ObjectError(f"a time up to {DURATION_LIMIT_S:g} s is needed")
     return duration_s
 
 
@@ -83,10 +83,10 @@
     """Return the state recorded of an order; the status may still be that of an order before it."""
     if str(status.get("targetVersion", "")) != target:
         return RolloutState.ORDERED
-    told = status.get("state")
-    if told == IN_PROGRESS:
+    recorded = status.get("state")
+    if recorded == IN_PROGRESS:
         return _STAGES.get(str(status.get("stage")), RolloutState.CANARY)
-    return _FINAL.get(str(told), RolloutState.ORDERED)
+    return _FINAL.get(str(recorded), RolloutState.ORDERED)
 
 
 def _status_of(order: RolloutOrder) -> dict[str, Any]:
@@ -101,7 +101,7 @@
 
 
 def _order_batch(view: StoreView) -> Batch:
-    # The last word on each order: one that was overtaken within the batch must not be told.
+    # Only the last change of each order: one that was overtaken within the batch must not be applied.
     last = {item.name: item for item in view.items}
     return Batch(view.at, tuple(_event(item) for item in last.values()))
 
--- a/src/yokesill/platform/settings.py
+++ b/src/yokesill/platform/settings.py
@@ -16,7 +16,7 @@
 
 
 def parse_settings(text: str) -> GatewaySettings | list[SettingsProblem]:
-    """Read settings; unknown fields are passed over, as the platform asks."""
+    """Read settings; unknown fields are ignored, as the platform demands."""
     try:
         reader = SettingsReader(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
@@ -37,18 +37,20 @@
         regions=reader.texts("zones"),
         budget=BudgetLimits(
             ratio=reader.number("bounds.retryBudgetRatio", 0.1),
-            allowance=reader.number("bounds.retrySlack", 10.0),
+            allowance=reader.number("bounds.retrySlack", 10.0),  # attempts beside the share
             window_s=max(1.0, reader.number("bounds.retryWindowS", 10.0)),
         ),
         configuration_bound_s=max(1.0, reader.number("bounds.configApplyMs", 3000) / 1000),
+        # How long a server that leaves may still get work, not how long this node drains.
         leaving_bound_s=reader.number("bounds.drainMs", 2000) / 1000,
+        # How long after the registry's return a node may still be behind.
         recovery_bound_s=max(1.0, reader.number("bounds.contactMs", 4000) / 1000),
         evacuation_bound_s=_evacuation_bound_s(reader),
         cold_starts=ColdStartLimits(
             overshoot=reader.number("bounds.warmupOvershoot", 1.0),
             slack=reader.number("bounds.warmupSlack", 0.0),
         ),
-        rollouts=_rollout_terms(reader),
+        rollouts=_rollout_limits(reader),
         cores=reader.number("limits.cpuShare", 1.0) * reader.number("limits.cpuCores", 1.0),
         stop_grace_s=reader.number("bounds.graceS", 6.0),
     )
@@ -56,14 +58,14 @@
 
 
 def _evacuation_bound_s(reader: SettingsReader) -> float | None:
-    """Return within what time evacuations must be heeded; ``None`` where there are none."""
+    """Return within what time evacuations must take effect; ``None`` where there are none."""
     bound_ms = reader.number("bounds.evacuateMs", 0.0)
     if bound_ms:
         return bound_ms / 1000
     return EVACUATION_BOUND_S if EVACUATING_CONTRACT in reader.words("contracts") else None
 
 
-def _rollout_terms(reader: SettingsReader) -> RolloutLimits | None:
+def _rollout_limits(reader: SettingsReader) -> RolloutLimits | None:
     """Return the figures of roll-outs; ``None`` where the contracts have none."""
     if ROLLOUT_CONTRACT not in reader.words("contracts"):
         return None
@@ -76,7 +78,7 @@
 
 
 def _own_addresses(reader: SettingsReader) -> tuple[Address | None, ...]:
-    """Return the first three addresses that nodes may use among themselves, as far as there are any."""
+    """Return the first three addresses for use among nodes; ``None`` for each that is missing."""
     ports = reader.ports("portRange")
     host = reader.text("ip") if ports else ""
     known = tuple(Address(host, port) for port in ports[:3])
--- a/src/yokesill/platform/store.py
+++ b/src/yokesill/platform/store.py
@@ -1,29 +1,26 @@
-"""Speaks to the platform's metadata store: lists, watches and single objects."""
+"""Calls the platform's metadata store: lists, watches and single objects.
+
+Only ``stale`` calls are cheap; all others are paid at full price, failed ones too.
+"""
 
 from typing import Any, NamedTuple
 from urllib.parse import quote
 
-from yokesill.comm.http_status import (
-    CONFLICT,
-    CREATED,
-    GONE,
-    NOT_FOUND,
-    OK,
-    TOO_MANY_REQUESTS,
-    UNAVAILABLE,
-)
+from yokesill.comm import http_status as http
 from yokesill.registry.api_client import ApiClient, ApiReply
 from yokesill.registry.feeds import HistoryLost
 from yokesill.verdict import Failure, Reason, Verdict
 
-CALL_TIMEOUT = 2.0
-WATCH_MARGIN, STALE_TIMEOUT = 2.0, 1.0
+# Bound what a silent store costs a call; a watch may take its wait and the margin. Chosen, not measured.
+CALL_TIMEOUT_S = 2.0
+WATCH_MARGIN_S = 2.0
+STALE_TIMEOUT_S = 1.0
 
 
 class StoredItem(NamedTuple):
-    """One object: its name, its last revision and what it says; ``gone`` when it was removed.
+    """One object: its name, its last revision and its content; ``gone`` when it was removed.
 
-    ``made`` tells it from others of its name, and ``status`` is what the system wrote of it.
+    ``made`` tells it from objects of the same name before it; ``status`` is written by nodes, not operators.
     """
 
     name: str
@@ -55,8 +52,8 @@
         while True:
             query = "&".join(part for part in ("stale=1" if stale else "", after) if part)
             path = f"/objects/{kind}" + (f"?{query}" if query else "")
-            reply = await self._client.call("GET", path, CALL_TIMEOUT)
-            if isinstance(reply, Failure) or reply.status != OK:
+            reply = await self._client.call("GET", path, CALL_TIMEOUT_S)
+            if isinstance(reply, Failure) or reply.status != http.OK:
                 return _failure(reply)
             try:
                 page = [item_of(each, gone=False) for each in reply.body["items"]]
@@ -74,10 +71,10 @@
     ) -> StoreView | HistoryLost | Failure:
         """Return the changes of a kind after ``revision``; waits up to ``wait`` seconds for one."""
         path = f"/objects/{kind}?watch={revision}&waitMs={int(wait * 1000)}" + ("&stale=1" if stale else "")
-        reply = await self._client.call("GET", path, STALE_TIMEOUT if stale else wait + WATCH_MARGIN)
-        if isinstance(reply, ApiReply) and reply.status == GONE:
+        reply = await self._client.call("GET", path, STALE_TIMEOUT_S if stale else wait + WATCH_MARGIN_S)
+        if isinstance(reply, ApiReply) and reply.status == http.GONE:
             return HistoryLost()
-        if isinstance(reply, Failure) or reply.status != OK:
+        if isinstance(reply, Failure) or reply.status != http.OK:
             return _failure(reply)
         try:
             items = tuple(item_of(each["object"], bool(each["gone"])) for each in reply.body["events"])
@@ -88,20 +85,20 @@
     async def put(self, kind: str, name: str, spec: dict[str, Any], replace: bool = True) -> Failure | None:
         """Create an object; ``replace`` what it says if there is one, or leave that as it is."""
         body = {"meta": {"name": name}, "spec": spec}
-        reply = await self._client.call("POST", f"/objects/{kind}", CALL_TIMEOUT, body)
-        if isinstance(reply, ApiReply) and reply.status == CONFLICT:
+        reply = await self._client.call("POST", f"/objects/{kind}", CALL_TIMEOUT_S, body)
+        if isinstance(reply, ApiReply) and reply.status == http.CONFLICT:
             if not replace:
                 return None
-            reply = await self._client.call("PUT", f"/objects/{kind}/{quote(name)}", CALL_TIMEOUT, body)
-        if isinstance(reply, ApiReply) and reply.status in (OK, CREATED):
+            reply = await self._client.call("PUT", f"/objects/{kind}/{quote(name)}", CALL_TIMEOUT_S, body)
+        if isinstance(reply, ApiReply) and reply.status in (http.OK, http.CREATED):
             return None
         return _failure(reply)
 
     async def delete(self, kind: str, name: str) -> Failure | None:
         """Remove an object; one that isn't there is no failure."""
         path = f"/objects/{kind}/{quote(name, safe='')}"
-        reply = await self._client.call("DELETE", path, CALL_TIMEOUT)
-        gone = isinstance(reply, ApiReply) and reply.status in (OK, NOT_FOUND)
+        reply = await self._client.call("DELETE", path, CALL_TIMEOUT_S)
+        gone = isinstance(reply, ApiReply) and reply.status in (http.OK, http.NOT_FOUND)
         return None if gone else _failure(reply)
 
     async def put_status(
@@ -110,8 +107,8 @@
         """Replace an object's status if it is still at ``revision``; an answer is 200, 404 or 409."""
         body = {"meta": {"name": name, "revision": revision}, "status": status}
         path = f"/objects/{kind}/{quote(name, safe='')}/status"
-        reply = await self._client.call("PUT", path, CALL_TIMEOUT, body)
-        if isinstance(reply, ApiReply) and reply.status in (OK, NOT_FOUND, CONFLICT):
+        reply = await self._client.call("PUT", path, CALL_TIMEOUT_S, body)
+        if isinstance(reply, ApiReply) and reply.status in (http.OK, http.NOT_FOUND, http.CONFLICT):
             return reply
         return _failure(reply)
 
@@ -127,6 +124,6 @@
 def _failure(reply: ApiReply | Failure) -> Failure:
     if isinstance(reply, Failure):
         return reply
-    refused = reply.status in (TOO_MANY_REQUESTS, UNAVAILABLE)
+    refused = reply.status in (http.TOO_MANY_REQUESTS, http.UNAVAILABLE)
     verdict = Verdict.NOT_RUN if refused else Verdict.MAY_HAVE_RUN
     return Failure(Reason.BACKEND_ERROR, verdict, f"the store answered {reply.status}")
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -262,11 +262,11 @@
 
 
 FEEDS: dict[str, Callable[[MetadataStore], registry.Feed]] = {
-    "configuration": feeds.ConfigurationFeed,
-    "servers": feeds.ServerFeed,
-    "evacuations": feeds.EvacuationFeed,
-    "quarantine": feeds.QuarantineFeed,
-    "rollouts": platform_rollouts.RolloutFeed,
+    "configuration": feeds.configuration_feed,
+    "servers": feeds.server_feed,
+    "evacuations": feeds.evacuation_feed,
+    "quarantine": feeds.quarantine_feed,
+    "rollouts": platform_rollouts.rollout_feed,
 }
 
 
--- a/tests/platform/test_following_the_store.py
+++ b/tests/platform/test_following_the_store.py
@@ -11,7 +11,7 @@
 from store_standin import StoreStandin
 
 from yokesill.gateway import events as ev
-from yokesill.platform.feeds import ConfigurationFeed, ServerFeed, StoredNodes
+from yokesill.platform.feeds import StoredNodes, configuration_feed, server_feed
 from yokesill.platform.store import MetadataStore
 from yokesill.registry.api_client import ApiClient
 from yokesill.registry.feeds import NodeContact
@@ -53,7 +53,7 @@
         self.server = MemoryServer(standin.script, tasks)
         self.store = MetadataStore(ApiClient(Address("10.0.0.1", 80), self.server.connect))
         source = random.Random(3)
-        feeds = (ConfigurationFeed(self.store), ServerFeed(self.store))
+        feeds = (configuration_feed(self.store), server_feed(self.store))
         self.followers = [FeedFollower(feed, self.events.append, 0.3, source) for feed in feeds]
         for follower in self.followers:
             tasks.start_soon(follower.run)
--- a/tests/platform/test_quarantine_records.py
+++ b/tests/platform/test_quarantine_records.py
@@ -8,7 +8,7 @@
 from store_standin import StoreStandin
 
 from yokesill.gateway import events as ev
-from yokesill.platform.feeds import QuarantineFeed, StoredQuarantine
+from yokesill.platform.feeds import StoredQuarantine, quarantine_feed
 from yokesill.platform.store import MetadataStore
 from yokesill.registry.api_client import ApiClient
 from yokesill.registry.feed_states import changes_from_wire, changes_to_wire, decode_state, encode_state
@@ -26,7 +26,7 @@
             standin = StoreStandin()
             server = MemoryServer(standin.script, tasks)
             store = MetadataStore(ApiClient(Address("10.0.0.1", 80), server.connect))
-            follower = FeedFollower(QuarantineFeed(store), events.append, 0.3, random.Random(3))
+            follower = FeedFollower(quarantine_feed(store), events.append, 0.3, random.Random(3))
             tasks.start_soon(follower.run)
             await anyio.sleep(1.0)
             records = StoredQuarantine(store)
--- a/tests/platform/test_rollout_records.py
+++ b/tests/platform/test_rollout_records.py
@@ -12,7 +12,7 @@
 
 from yokesill.gateway.events import Event, RolloutOrdered, RolloutsReplaced, RolloutWithdrawn
 from yokesill.platform.documents import read_server
-from yokesill.platform.rollouts import RolloutFeed, StoredRollouts, read_order
+from yokesill.platform.rollouts import StoredRollouts, read_order, rollout_feed
 from yokesill.platform.settings import parse_settings
 from yokesill.platform.store import MetadataStore, StoredItem
 from yokesill.registry.api_client import ApiClient
@@ -102,7 +102,7 @@
 def test_a_version_is_recorded_as_it_was_written(written: Any, read: str) -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         standin.put(KIND, "s1", {**SPEC, "targetVersion": written})
-        batch = await RolloutFeed(store).list()
+        batch = await rollout_feed(store).list()
         assert isinstance(batch, Batch)
         (event,) = batch.events
         assert isinstance(event, RolloutsReplaced)
@@ -127,7 +127,7 @@
 
 def test_orders_their_records_and_their_end_are_told() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
-        feed = RolloutFeed(store)
+        feed = rollout_feed(store)
         first = await feed.list()
         assert first == Batch(5, (RolloutsReplaced((RolloutOrder("s1", "v2", 12.0, 5, 5),)),))
         standin.put_status(KIND, "s1", {"state": "completed", "targetVersion": "v2"})
--- a/tests/serving/zone.py
+++ b/tests/serving/zone.py
@@ -11,8 +11,8 @@
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Configuration, ServerRecord
-from yokesill.platform.feeds import ConfigurationFeed, EvacuationFeed, ServerFeed
-from yokesill.platform.rollouts import RolloutFeed, read_order
+from yokesill.platform.feeds import configuration_feed, evacuation_feed, server_feed
+from yokesill.platform.rollouts import read_order, rollout_feed
 from yokesill.platform.store import MetadataStore, item_of
 from yokesill.registry.api_client import ApiClient
 from yokesill.registry.availability import RegistryAvailability
@@ -69,12 +69,12 @@
         terms = WatchTiming.within(BOUND_S)
         check_s = terms.check_interval_s
         feeds: dict[str, Feed] = {
-            CONFIGURATION: ConfigurationFeed(store),
-            SERVERS: ServerFeed(store),
-            EVACUATIONS: EvacuationFeed(store),
+            CONFIGURATION: configuration_feed(store),
+            SERVERS: server_feed(store),
+            EVACUATIONS: evacuation_feed(store),
         }
         if zone.rolls_out:
-            feeds[ROLLOUTS] = RolloutFeed(store)
+            feeds[ROLLOUTS] = rollout_feed(store)
         gathering_s = {SERVERS: GATHERING_S}
         reach = RegistryAvailability()
         self.followers = {
