--- a/src/yokesill/callers/application.py
+++ b/src/yokesill/callers/application.py
@@ -1,7 +1,8 @@
-"""The callers' side: an ASGI application that reads a request whole, runs it and answers it.
+"""The ASGI application for callers: reads a request whole, runs it here or at a coordinator, answers it.
 
-Plain ASGI under uvicorn: the paths are operators' own, so there is nothing for a web framework to
-route, and serving nodes need not load one.
+Plain ASGI under uvicorn: paths are operators' own, so a web framework would have nothing to route. Owns the
+count of requests in flight; relies on ``serving.driver`` for running them, ``answers`` for statuses and
+headers.
 """
 
 import itertools
@@ -89,6 +90,7 @@
         try:
             read = await self._read(scope, receive, arrived_at)
         except CallerGoneError:
+            # Not logged: without its whole request there is nothing to run, and nothing to name in a line.
             return
         if isinstance(read, BadRequest):
             self._observer.rejected(read.status, read.detail, scope["path"])
@@ -132,18 +134,18 @@
     # --- running ---
 
     def next_key(self) -> str:
-        """Return a name for one more request."""
+        """Return a new request's key, unique among nodes and starts."""
         return f"{self._prefix}-{next(self._numbers)}"
 
     async def run(
         self, request: GatewayRequest, receive: Receive, forward: RunElsewhere | None = None
     ) -> HttpAnswer | None:
-        """Run a request, elsewhere if that is better.
+        """Run a request, at another node if ``forward`` says so.
 
         Returns
         -------
         HttpAnswer or None
-            ``None`` when the caller left, which breaks its attempts off.
+            ``None`` if the caller left; its attempts are cancelled.
         """
         answer: HttpAnswer | None = None
 
--- a/src/yokesill/comm/network.py
+++ b/src/yokesill/comm/network.py
@@ -45,6 +45,7 @@
         try:
             await self._socket.sendto(datagram, host, port)
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
+            # Not logged: datagrams may be lost anyway; membership notices a peer that stays silent.
             return
 
     async def request(self, address: str, kind: str, body: bytes, timeout: float) -> bytes | Failure:
--- a/src/yokesill/coordinators/forwarding.py
+++ b/src/yokesill/coordinators/forwarding.py
@@ -176,7 +176,7 @@
             "verdict": failure.verdict.label,
             "detail": failure.detail,
         }
-        self._observer.note(LogEvent("coordinator_missed", details))
+        self._observer.log_event(LogEvent("coordinator_missed", details))
         return request if failure.verdict is Verdict.NOT_RUN else replace(request, asked_before=True)
 
 
--- a/src/yokesill/logs.py
+++ b/src/yokesill/logs.py
@@ -15,6 +15,7 @@
 import structlog
 
 Logger = structlog.typing.FilteringBoundLogger
+# Lines that wait for a slow reader: a share of the node's memory. Chosen, not measured.
 BUFFER_BYTES = 1_048_576
 
 
@@ -24,20 +25,20 @@
     ``dropped`` counts the lines that did not fit into the buffer.
     """
 
-    def __init__(self, descriptor: int, limit: int = BUFFER_BYTES) -> None:
+    def __init__(self, descriptor: int, limit_bytes: int = BUFFER_BYTES) -> None:
         self.dropped = 0
         self._descriptor = descriptor
-        self._limit = limit
+        self._limit_bytes = limit_bytes
         self._lines: deque[bytes] = deque()
         self._size = 0
-        self._untold = 0
+        self._unreported = 0
 
     def write(self, line: str) -> None:
         """Add a line and write what can be written now."""
         data = line.encode() + b"\n"
-        if self._size + len(data) > self._limit:
+        if self._size + len(data) > self._limit_bytes:
             self.dropped += 1
-            self._untold += 1
+            self._unreported += 1
         else:
             self._append(data)
         self.flush()
@@ -51,6 +52,7 @@
             except BlockingIOError:
                 return
             except OSError:
+                # The reader is gone for good, and there is no other place to say so.
                 self._lines.clear()
                 self._size = 0
                 return
@@ -59,12 +61,12 @@
                 self._lines[0] = data[written:]
                 return
             self._lines.popleft()
-            self._tell_dropped()
+            self._report_dropped()
 
-    def _tell_dropped(self) -> None:
-        if self._untold and not self._lines:
-            told, self._untold = self._untold, 0
-            self._append(json.dumps({"event": "log_lines_dropped", "count": told}).encode() + b"\n")
+    def _report_dropped(self) -> None:
+        if self._unreported and not self._lines:
+            count, self._unreported = self._unreported, 0
+            self._append(json.dumps({"event": "log_lines_dropped", "count": count}).encode() + b"\n")
 
     def _append(self, data: bytes) -> None:
         self._lines.append(data)
--- a/src/yokesill/registry/feed_states.py
+++ b/src/yokesill/registry/feed_states.py
@@ -1,4 +1,8 @@
-"""What nodes tell one another of the registry's feeds: changes in datagrams, whole feeds in CBOR replies."""
+"""The forms in which nodes exchange the registry's feeds: changes in datagrams, whole feeds in CBOR replies.
+
+Nodes of different releases exchange them during a rolling restart: the forms are pinned by ``tests/forms``.
+Single entries have the forms of ``snapshots``.
+"""
 
 from collections.abc import Iterable
 from functools import singledispatch
--- a/src/yokesill/registry/feeds.py
+++ b/src/yokesill/registry/feeds.py
@@ -1,7 +1,8 @@
-"""Where a node learns its configuration and servers: the registry behind an abstract interface.
+"""The registry behind an abstract interface: feeds to follow, a directory of nodes, records to write.
 
-The registry keeps every change under a rising position. A feed is followed by listing it once and
-then asking for changes after the last position seen.
+The registry keeps every change under a rising position. A feed is followed by listing it once and then
+calling for changes after the last known position. ``platform.feeds`` and ``cli.gateway`` implement the
+interface.
 """
 
 import abc
@@ -74,15 +75,15 @@
     rollouts: str = ""
 
 
-def contact_of(name: str, told: Any) -> NodeContact:
-    """Read what a node announced of itself under its name; what it doesn't say stays at its default."""
-    told = told if isinstance(told, dict) else {}
+def contact_of(name: str, announced: Any) -> NodeContact:
+    """Read a node's announcement; fields that are missing, as of an older release, keep their defaults."""
+    announced = announced if isinstance(announced, dict) else {}
     zone, datagrams, reports, peers, rollouts = (
-        str(told.get(field, "")) for field in ("zone", "datagrams", "reports", "peers", "rollouts")
+        str(announced.get(field, "")) for field in ("zone", "datagrams", "reports", "peers", "rollouts")
     )
-    cores = told.get("cores")
-    told_cores = float(cores) if isinstance(cores, int | float) else 1.0
-    return NodeContact(name, zone, datagrams, reports, peers, told_cores, rollouts)
+    cores = announced.get("cores")
+    announced_cores = float(cores) if isinstance(cores, int | float) else 1.0
+    return NodeContact(name, zone, datagrams, reports, peers, announced_cores, rollouts)
 
 
 class NodeEntry(NamedTuple):
--- a/src/yokesill/registry/following.py
+++ b/src/yokesill/registry/following.py
@@ -1,4 +1,8 @@
-"""How a node keeps up with the registry: through its zone's watchers, or by itself."""
+"""Keeps a node up to date with all feeds of the registry, through its zone's watchers or by itself.
+
+Owns one ``FeedFollower`` a feed and, where nodes can reach one another, the ``ZoneWatch`` that decides which
+nodes call the registry. Relies on ``watchers`` for timing within the settings' bounds.
+"""
 
 import random
 from collections.abc import Callable, Iterable
@@ -23,9 +27,10 @@
 from yokesill.serving.settings import GatewaySettings
 from yokesill.watchers.timing import WatchTiming
 
-# Changes that operators make are few, and their bound counts from the registry's answer.
+# Pause after a batch of operators' changes: they are few, and their bound counts from the registry's answer.
+# Chosen, not measured.
 OPERATORS_GATHERING_S = 0.3
-# A newer configuration is taken from whomever it comes; lists are replaced whole.
+# Events that replace a whole list, by feed. A configuration isn't one: the router applies the newer version.
 FEEDS_OF_LISTS: dict[type, str] = {
     ServersReplaced: SERVERS,
     EvacuationsReplaced: EVACUATIONS,
@@ -35,10 +40,10 @@
 
 
 class FollowedFeed(NamedTuple):
-    """A feed, and who takes its events."""
+    """A feed, and what applies its events."""
 
     feed: Feed
-    learn: Callable[[Event], None]
+    apply_event: Callable[[Event], None]
 
 
 class RegistryFollowing:
@@ -72,10 +77,10 @@
         self.contact = _contact(settings)
         self._followers: dict[str, FeedFollower] = {}
         reach = RegistryAvailability()
-        for name, (feed, learn) in feeds.items():
+        for name, (feed, apply_event) in feeds.items():
             gathering_s = settings.gathering_time_s if name == SERVERS else OPERATORS_GATHERING_S
             self._followers[name] = FeedFollower(
-                feed, learn, gathering_s, source, check_s, watching=not shared, reach=reach
+                feed, apply_event, gathering_s, source, check_s, watching=not shared, reach=reach
             )
         self._watch: ZoneWatch | None = None
         if shared and settings.reports is not None:
@@ -95,7 +100,7 @@
 
     @property
     def reaches_registry(self) -> bool:
-        """Whether the registry answers this node, or it need not ask."""
+        """Whether the registry answers this node, or this node doesn't call it."""
         return not any(each.lost for each in self._followers.values())
 
     def positions(self) -> dict[str, int]:
@@ -111,15 +116,15 @@
                 task_group.start_soon(self._link.run, self._watch, self._watch_alone)
 
     def lacks(self, event: Event) -> bool:
-        """Whether a peer's event tells what the registry has not told yet.
+        """Whether the registry has not answered yet what a peer's event says.
 
-        A peer's list may be older than what is known here, and changes lead on from the registry's.
+        A peer's list may be older than the one known here, and changes continue the registry's list.
         """
         follower = self._followers.get(FEEDS_OF_LISTS.get(type(event), ""))
         return follower is None or follower.position is None
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Take which nodes there are."""
+        """Replace the nodes that are known."""
         if self._watch is not None:
             self._watch.set_members(contacts)
 
@@ -132,7 +137,7 @@
         return {} if self._watch is None else self._watch.coordinators()
 
     def state(self, feed: str) -> bytes | None:
-        """Return a whole feed for another node; ``None`` if this one has none to tell."""
+        """Return a whole feed for another node; ``None`` if it is not known here."""
         return None if self._watch is None else self._watch.state(feed)
 
     def _watch_alone(self) -> None:
--- a/src/yokesill/registry/snapshots.py
+++ b/src/yokesill/registry/snapshots.py
@@ -1,7 +1,8 @@
-"""What a node tells a starting one while the registry is out of reach: its configuration and servers.
+"""The state snapshot that a node sends to a starting one while the registry can't be reached, in CBOR.
 
-A whole state in one message, in CBOR. Whoever takes it keeps only what is newer than what it knows,
-so an old snapshot does no harm, and the registry's own list replaces it once it can be read.
+The whole state in one message; also the forms of single entries, which ``feed_states`` uses. An old snapshot
+does no harm: the receiver applies only what the registry has not answered yet, and the registry's lists
+replace it.
 """
 
 from collections.abc import Iterable, Mapping
@@ -30,6 +31,7 @@
 )
 from yokesill.rollouts.orders import RolloutOrder, RolloutState
 
+# A node ignores snapshots of any other format.
 FORMAT = 4
 
 
@@ -69,7 +71,7 @@
         established = {str(name): tuple(map(str, each)) for name, each in item["established"].items()}
     except (KeyError, TypeError, AttributeError, cbor2.CBORDecodeError) as error:
         raise ValueError(f"a malformed snapshot: {error!r}") from error
-    # What may be reached comes before whom there is to reach.
+    # Limits on what may be sent come before the servers to send to.
     rollouts = (VersionsEstablished(established), RolloutsReplaced(orders), QuarantineReplaced(quarantined))
     whole = (ServersReplaced(records), EvacuationsReplaced(evacuated))
     return (ConfigurationLearnt(configuration), *rollouts, *whole)
--- a/src/yokesill/registry/view_check.py
+++ b/src/yokesill/registry/view_check.py
@@ -1,8 +1,10 @@
-"""What a node knows of its feeds, compared with what others report and with what it must know.
+"""Compares a node's view of its feeds with those of the zone's watchers, and with what the configuration
+names.
 
-A view that differs from a current watcher's at the same position has a hole, or the watcher's has. A
-node that asks the registry lists it anew, any other takes the watcher's. Watchers that share a hole are
-found by what the configuration names and nobody lists.
+Two views that differ at the same position: one of them has a hole. A node that calls the registry lists the
+feed again, any other fetches the watcher's. A hole that all watchers share is found by services that the
+configuration names and that have no servers. Reasons: ``docs/design/placement.md``. Times in seconds of the
+node's clock.
 """
 
 from collections.abc import Callable
@@ -19,14 +21,17 @@
 from yokesill.registry.follower import FeedFollower
 from yokesill.watchers.digests import NOT_COMPARED, Repairs, digest_of
 
-# A digest of 700 entries takes 0.3 ms of half a core: once a second is no cost, each report would be.
+# How long a digest is used: one of 700 entries takes 0.3 ms of half a core, too much for each report.
 DIGEST_AGE_S = 1.0
-# A service whose servers all crashed stays without entries: four lists a watcher in its first minute.
-HOLE_AGE_S, HOLE_PAUSE_S = 2.0, 8.0
+# How long a service must be without servers before the feed is listed again.
+HOLE_AGE_S = 2.0
+# First pause between such lists: a service whose servers all crashed costs four lists a watcher in its first
+# minute.
+HOLE_PAUSE_S = 8.0
 
 
 class ViewCheck:
-    """One node's digests, and when a feed is taken anew; times in seconds of the node's clock.
+    """One node's digests, and when a feed may be listed or fetched again.
 
     Parameters
     ----------
@@ -58,21 +63,21 @@
         return known[2]
 
     def differs(self, name: str, position: int, digest: int, now: float) -> bool:
-        """Whether a reporter that knows a feed up to ``position`` knows something else than this node."""
+        """Whether a reporter's feed at ``position`` differs from the one known here."""
         if digest == NOT_COMPARED or self._followers[name].position != position:
             return False
         own = self.digest(name, now)
         return own not in (NOT_COMPARED, digest)
 
     def may_repair(self, name: str, now: float) -> bool:
-        """Whether a feed may be taken anew now for the sake of a difference."""
+        """Whether a feed may be repaired now because of a difference; each repair delays the next."""
         return self._repairs[name].due(now)
 
     def suspected_hole(self, now: float) -> list[str]:
-        """Return services without a server, if the registry should be listed for their sake now.
+        """Return services without a server, if the registry should be listed again because of them.
 
-        Looked at once a second. Servers start before a configuration names them, so that a service
-        without any for a moment is one that lost them all, or that this zone's watchers don't know.
+        Checked once a second. Servers start before a configuration names them: a service without any has
+        lost them all, or this zone's watchers don't know them.
         """
         if now - self._looked_at_s < DIGEST_AGE_S:
             return []
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -158,7 +158,7 @@
     observer = Observer(get_logger("requests"), figures)
     router = GatewayRouter(options, source, now)
     client = ServerClient(dependencies.names)
-    driver = GatewayDriver(router, client, observer.note)
+    driver = GatewayDriver(router, client, observer.log_event)
     key_prefix = f"{settings.node}-{source.getrandbits(32):08x}"
     return _Core(
         settings, dependencies, options, source, figures, observer, router, client, driver, key_prefix
--- a/src/yokesill/serving/driver.py
+++ b/src/yokesill/serving/driver.py
@@ -1,4 +1,8 @@
-"""Feeds the gateway's router and carries its actions out."""
+"""Feeds events to the gateway's router and carries out the actions that it returns.
+
+The only I/O around the router: callers' requests, attempts at servers, timers. Owns the requests without a
+final answer. Components that need some of the actions set a callback, see ``GatewayDriver``.
+"""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -16,7 +20,7 @@
 
 
 class Client(Protocol):
-    """The way to servers; ``connections_changed`` is told how many are open to which instance."""
+    """Sends attempts; ``connections_changed`` is called with an instance and how many are open to it."""
 
     connections_changed: Callable[[str, int], None]
 
@@ -24,28 +28,31 @@
         """Serve until cancelled; started once attempts may be sent."""
 
     def send(self, attempt: Attempt, done: Callable[[ev.AttemptAnswered | ev.AttemptFailed], None]) -> None:
-        """Send an attempt; ``done`` is told later how it ended."""
+        """Send an attempt; ``done`` is called when it ends, never within this call."""
 
     def cancel(self, number: int) -> None:
-        """Break an attempt off; nothing more is told of it."""
+        """Cancel an attempt; ``done`` is not called."""
 
     def forget(self, instance: str) -> None:
-        """Drop what is kept for a server that is gone."""
+        """Close the idle connections to a server that is gone."""
 
 
 class GatewayDriver:
     """Runs requests to their final answer; the only caller of ``GatewayRouter.on_event``.
 
-    ``note`` takes each decision that is worth a line in the log; ``observed`` each server that other
-    nodes should hear of; ``forgotten`` each server that is long gone. ``answered_at_s`` is when a server
-    of another zone last answered, in seconds of the node's clock.
+    ``log_event`` is called with each decision that is worth a log line. ``Findings`` sets the callbacks:
+    ``observed`` for servers that other nodes should know of, ``crashed`` for losses and answers under
+    suspected requests, ``forgotten`` for servers that are long gone. ``answered_at_s`` is when a server of
+    another zone last answered, in seconds of the node's clock.
     """
 
-    def __init__(self, router: GatewayRouter, client: Client, note: Callable[[ev.LogEvent], None]) -> None:
+    def __init__(
+        self, router: GatewayRouter, client: Client, log_event: Callable[[ev.LogEvent], None]
+    ) -> None:
         self.router = router
         self._client = client
         client.connections_changed = lambda instance, count: self.feed(ev.ConnectionsChanged(instance, count))
-        self._note = note
+        self._log_event = log_event
         self._timers: Timers[ev.TimerFired] = Timers(self.feed)
         self._waiting: dict[str, anyio.Event] = {}
         self._finals: dict[str, ev.FinalAnswer] = {}
@@ -64,7 +71,7 @@
             task_status.started()
 
     async def execute(self, request: GatewayRequest) -> ev.FinalAnswer:
-        """Run a request to its final answer; cancelling the call says that the caller left."""
+        """Run a request to its final answer; cancelling the call means that the caller left."""
         done = anyio.Event()
         self._waiting[request.key] = done
         try:
@@ -79,7 +86,7 @@
             self._finals.pop(request.key, None)
 
     def feed(self, event: ev.Event) -> None:
-        """Give the router one event and carry out what it says."""
+        """Feed one event to the router and carry out its actions."""
         for action in self.router.on_event(event, self._clock()):
             self._act(action)
 
@@ -98,7 +105,7 @@
             case ev.CancelAttempt(number):
                 self._client.cancel(number)
             case ev.LogEvent():
-                self._note(action)
+                self._log_event(action)
             case ev.ForgetServer(instance):
                 self._client.forget(instance)
                 self.forgotten(instance)
--- a/src/yokesill/serving/peer_application.py
+++ b/src/yokesill/serving/peer_application.py
@@ -1,4 +1,7 @@
-"""What other nodes call on a node's ``peers`` address: the coordinator, and the probes' paths beside it."""
+"""What a node serves on its ``peers`` address: forwarded requests, and the probes' paths beside them.
+
+Only joins the two by path; who may forward is checked by the coordinator.
+"""
 
 from collections.abc import Awaitable, Callable
 
--- a/src/yokesill/serving/probes.py
+++ b/src/yokesill/serving/probes.py
@@ -1,4 +1,9 @@
-"""The side of operators' machines: readiness and figures."""
+"""What a node answers besides callers' requests: readiness, metrics, roll-outs, and its state for other
+nodes.
+
+Owns nothing: each answer is read at the moment of the call. Paths and contents are relied on by operators and
+by nodes of other releases.
+"""
 
 import json
 from collections.abc import Callable, Mapping
@@ -13,11 +18,11 @@
 
 
 class ProbeApplication:
-    """Answers ``ready_path`` with 200 or 503 and ``/metrics`` with the figures as text.
+    """Answers ``ready_path`` with 200 or 503 and ``METRICS_PATH`` with the figures as text.
 
-    ``ROLLOUTS_PATH`` tells of roll-outs as JSON, where there are any. Starting nodes get this node's state
-    from ``SNAPSHOT_PATH``, nodes that missed something one feed from below ``STATE_PATH``; there is none
-    while it knows nothing.
+    ``ROLLOUTS_PATH`` has the roll-outs as JSON, 404 where nothing is rolled out. Starting nodes fetch this
+    node's state from ``SNAPSHOT_PATH``, nodes that missed something a feed from below ``STATE_PATH``; both
+    are 503 while nothing is known.
     """
 
     __slots__ = ("_ready", "_ready_path", "_render_figures", "_rollouts", "_snapshot", "_state")
--- a/src/yokesill/serving/running.py
+++ b/src/yokesill/serving/running.py
@@ -1,4 +1,7 @@
-"""Runs a node until it is asked to stop."""
+"""Runs a node's process and its settings' follower, and turns signals into their calls.
+
+SIGTERM and SIGINT begin the planned stop, SIGHUP reads the settings again. ``platform.main`` starts it.
+"""
 
 import signal
 
--- a/src/yokesill/telemetry/__init__.py
+++ b/src/yokesill/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""What a node tells of its decisions: log lines and figures."""
+"""Log lines and metrics of a node's decisions: counted as they happen, rendered when they are asked for."""
--- a/src/yokesill/telemetry/exposition.py
+++ b/src/yokesill/telemetry/exposition.py
@@ -1,4 +1,7 @@
-"""Renders a node's figures in the text format, by prometheus-client."""
+"""Renders a node's figures in Prometheus' text format, by prometheus-client.
+
+Imported at the first call of ``/metrics`` only. The names of metrics and labels are relied on by operators.
+"""
 
 from collections.abc import Iterable, Iterator
 
@@ -15,7 +18,7 @@
 
 
 class FiguresCollector(Collector):
-    """Hands a node's plain figures to the library."""
+    """Converts a node's plain figures to the library's families."""
 
     def __init__(self, figures: GatewayFigures) -> None:
         self._figures = figures
--- a/src/yokesill/telemetry/figures.py
+++ b/src/yokesill/telemetry/figures.py
@@ -1,4 +1,8 @@
-"""A serving node's counters and histograms, kept plain; ``exposition`` renders them."""
+"""A serving node's counters and histograms as plain numbers, filled by ``observer`` as things happen.
+
+``exposition`` renders them when ``/metrics`` is called: without a scraper a node doesn't load
+prometheus-client. Names of metrics are in ``exposition`` and ``serving.gauges``.
+"""
 
 import bisect
 from collections import Counter
@@ -6,7 +10,8 @@
 from yokesill.gateway.events import LogEvent
 from yokesill.gateway.messages import RequestSummary
 
-LATENCY_BOUNDS = (0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0)
+# Upper bounds of buckets; relied on by dashboards.
+LATENCY_BOUNDS_S = (0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0)
 COVERAGE_BOUNDS = (0.5, 0.75, 0.9, 0.95, 0.999, 1.0)
 
 
@@ -41,9 +46,9 @@
         self.coverage: dict[str, Distribution] = {}
         self.gauges: dict[str, tuple[str, float]] = {}
 
-    def count_note(self, note: LogEvent) -> None:
+    def count_event(self, event: LogEvent) -> None:
         """Count a decision."""
-        self.decisions[note.name] += 1
+        self.decisions[event.name] += 1
 
     def count_request(self, route: str, outcome: str, summary: RequestSummary | None) -> None:
         """Count a request's end."""
@@ -51,7 +56,7 @@
         if summary is None:
             return
         if route not in self.latency:
-            self.latency[route] = Distribution(LATENCY_BOUNDS)
+            self.latency[route] = Distribution(LATENCY_BOUNDS_S)
             self.coverage[route] = Distribution(COVERAGE_BOUNDS)
         self.latency[route].observe(summary.elapsed_s)
         self.coverage[route].observe(summary.covered / max(1, summary.asked))
--- a/src/yokesill/timers.py
+++ b/src/yokesill/timers.py
@@ -1,4 +1,8 @@
-"""One task for all timers of a node."""
+"""One task for all timers of a node: a heap of due times, and one wait for the earliest.
+
+Timers aren't cancelled; who sets one checks at its firing whether it still matters. Times in seconds of the
+node's clock (``clock``).
+"""
 
 import heapq
 import itertools
@@ -19,11 +23,11 @@
         self._sequence = itertools.count()
         self._earlier = anyio.Event()
 
-    def set(self, at: float, event: TimerEvent) -> None:
-        """Fire ``event`` at ``at``, in seconds of the node's clock."""
+    def set(self, at_s: float, event: TimerEvent) -> None:
+        """Fire ``event`` at ``at_s``, in seconds of the node's clock."""
         first = self._heap[0][0] if self._heap else float("inf")
-        heapq.heappush(self._heap, (at, next(self._sequence), event))
-        if at < first:
+        heapq.heappush(self._heap, (at_s, next(self._sequence), event))
+        if at_s < first:
             self._earlier.set()
 
     async def run(self) -> None:
@@ -31,8 +35,8 @@
         while True:
             self._fire_due(anyio.current_time())
             self._earlier = anyio.Event()
-            pause = self._heap[0][0] - anyio.current_time() if self._heap else float("inf")
-            with anyio.move_on_after(max(0.0, pause)):
+            pause_s = self._heap[0][0] - anyio.current_time() if self._heap else float("inf")
+            with anyio.move_on_after(max(0.0, pause_s)):
                 await self._earlier.wait()
 
     def _fire_due(self, now: float) -> None:
--- a/src/yokesill/upstreams/attempt_bytes.py
+++ b/src/yokesill/upstreams/attempt_bytes.py
@@ -1,4 +1,8 @@
-"""What is sent to a server for an attempt, and what its reply means."""
+"""The bytes sent to a server for an attempt, and what its reply means.
+
+Decides which replies count as this attempt's answer, and which promise that nothing ran. The names of headers
+come from ``serving.header_names``; nothing is owned here.
+"""
 
 import math
 from typing import Any
@@ -9,7 +13,9 @@
 from yokesill.serving.header_names import HeaderNames
 from yokesill.verdict import Failure, Reason, Verdict
 
-LOAD_FIELDS, LOAD_FIELDS_WITH_PACE = 3, 4
+# A load report has three numbers, or four with the time of work.
+LOAD_FIELDS = 3
+LOAD_FIELDS_WITH_PACE = 4
 
 
 def encode_attempt(attempt: Attempt, names: HeaderNames, left_s: float) -> bytes:
@@ -22,7 +28,7 @@
     names
         The headers spoken with servers.
     left_s
-        What is left of the caller's time, in seconds; the server hears whole milliseconds.
+        What is left of the caller's time, in seconds; sent in whole milliseconds.
     """
     request = attempt.request
     left_ms = max(1, math.floor(left_s * 1000))
@@ -71,7 +77,10 @@
 
 
 def _read_load(value: bytes | None) -> Load | None:
-    """Read ``RUNNING,WAITING,SLOTS`` or that with the work time in percent; anything else is no report."""
+    """Read ``RUNNING,WAITING,SLOTS`` or that with the work time in percent; ``None`` if it is neither.
+
+    Not logged: servers need not report, and one that reports nonsense would log with each reply.
+    """
     if value is None:
         return None
     fields: list[Any] = value.split(b",")
--- a/src/yokesill/upstreams/wires.py
+++ b/src/yokesill/upstreams/wires.py
@@ -20,13 +20,13 @@
 
 
 class WireUser(Protocol):
-    """Whoever uses a connection."""
+    """The user of a connection."""
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes as they came."""
+        """Called with bytes as they arrive."""
 
     def wire_closed(self, error: Exception | None) -> None:
-        """Take the end of the connection: ``None`` when the other side closed it orderly."""
+        """Called at the end of the connection; ``None`` if the other side closed it normally."""
 
 
 class Wire(Protocol):
@@ -39,10 +39,10 @@
         """Return how many bytes are still kept."""
 
     def quiet(self) -> bool:
-        """Whether neither bytes nor an end have come that were not told of yet."""
+        """Whether neither bytes nor an end have arrived that were not passed on yet."""
 
     def close(self) -> None:
-        """Close at once; its user hears nothing more."""
+        """Close at once, without a further callback."""
 
 
 Dial = Callable[[str, int, WireUser], Awaitable[Wire]]
@@ -157,6 +157,7 @@
             try:
                 await self._stream.send(data)
             except (anyio.BrokenResourceError, OSError):
+                # Reported by ``_receive``, which ends with the connection and says why.
                 return
             self._unsent -= len(data)
 
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -439,7 +439,7 @@
 
 def _gateway_figures(text: str) -> Any:
     async def render(node: Any) -> str:
-        node.figures.count_note(ev.LogEvent("hedged", {}))
+        node.figures.count_event(ev.LogEvent("hedged", {}))
         node.figures.count_request("wide", "answered", _SUMMARY)
         status, _headers, body = await _asked(node.probes, "GET", METRICS_PATH, [], b"")
         assert status == 200
--- a/tests/serving/test_application.py
+++ b/tests/serving/test_application.py
@@ -71,7 +71,7 @@
         router = GatewayRouter(GatewayOptions(zone="z1"), random.Random(1), anyio.current_time())
         observer = Observer(logs.get_logger("test"), GatewayFigures())
         client = ServerClient(HeaderNames(), dial_streams(backend.connect, backend.tasks))
-        self.driver = GatewayDriver(router, client, observer.note)
+        self.driver = GatewayDriver(router, client, observer.log_event)
         self.application = GatewayApplication(self.driver, HeaderNames(), observer, "n1")
         if known is not None:
             self.learn(known)
--- a/tests/serving/test_coordinator.py
+++ b/tests/serving/test_coordinator.py
@@ -237,8 +237,8 @@
         self.notes: list[LogEvent] = []
         self.coordinated_by: list[str] = []
 
-    def note(self, note: LogEvent) -> None:
-        self.notes.append(note)
+    def log_event(self, event: LogEvent) -> None:
+        self.notes.append(event)
 
     def coordinated(self, _request: GatewayRequest, ending: CoordinatedEnding) -> None:
         self.coordinated_by.append(ending.coordinator)
--- a/tests/serving/test_figures.py
+++ b/tests/serving/test_figures.py
@@ -11,7 +11,7 @@
     figures = GatewayFigures()
     figures.count_request("wide", "partial", RequestSummary("wide", 3, Verdict.RAN, 0.09, 18, 20, 23, 3))
     figures.count_request("none", "rejected", None)
-    figures.count_note(LogEvent("attempt_added", {}))
+    figures.count_event(LogEvent("attempt_added", {}))
     figures.gauge("yokesill_nodes", "Nodes", 8)
     text = render(figures).decode()
     for line in (
--- a/tests/serving/test_logs.py
+++ b/tests/serving/test_logs.py
@@ -23,7 +23,7 @@
     reading, writing = os.pipe()
     os.set_blocking(reading, False)
     os.set_blocking(writing, False)
-    output = logs.LogOutput(writing, limit=100_000)
+    output = logs.LogOutput(writing, limit_bytes=100_000)
     for number in range(20_000):
         output.write(json.dumps({"event": "flood", "number": number}))
     assert output.dropped > 0
