--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -262,11 +262,11 @@
 
 
 FEEDS: dict[str, Callable[[MetadataStore], registry.Feed]] = {
-    "configuration": feeds.ConfigurationFeed,
-    "servers": feeds.ServerFeed,
-    "evacuations": feeds.EvacuationFeed,
-    "quarantine": feeds.QuarantineFeed,
-    "rollouts": platform_rollouts.RolloutFeed,
+    "configuration": feeds.configuration_feed,
+    "servers": feeds.server_feed,
+    "evacuations": feeds.evacuation_feed,
+    "quarantine": feeds.quarantine_feed,
+    "rollouts": platform_rollouts.rollout_feed,
 }
 
 
@@ -439,7 +439,7 @@
 
 def _gateway_figures(text: str) -> Any:
     async def render(node: Any) -> str:
-        node.figures.count_note(ev.LogEvent("hedged", {}))
+        node.figures.count_event(ev.LogEvent("hedged", {}))
         node.figures.count_request("wide", "answered", _SUMMARY)
         status, _headers, body = await _asked(node.probes, "GET", METRICS_PATH, [], b"")
         assert status == 200
