--- a/src/yokesill/backends/health.py
+++ b/src/yokesill/backends/health.py
@@ -36,9 +36,9 @@
         """Return the servers to ask: never heard of ones are asked ten times as often."""
         due = []
         for server in self._router.servers.all():
-            known = server.holdings and server.heard_at > float("-inf")
+            known = server.holdings and server.heard_at_s > float("-inf")
             interval = self._interval if known else self._interval / 10
-            last = max(server.heard_at, self._asked_at.get(server.address, float("-inf")))
+            last = max(server.heard_at_s, self._asked_at.get(server.address, float("-inf")))
             if now - last >= interval:
                 due.append(server.address)
         return due
--- a/src/yokesill/query/service.py
+++ b/src/yokesill/query/service.py
@@ -96,7 +96,7 @@
             request_class=call.request_class,
             payload=call.payload,
             size=call.size,
-            deadline=anyio.current_time() + call.deadline_ms / 1000,
+            deadline_at_s=anyio.current_time() + call.deadline_ms / 1000,
             repeatable=call.repeatable,
             key_hash=None if call.key is None else hash_key(call.key),
             minimum_coverage=call.minimum_coverage,
--- a/src/yokesill/routing/admission.py
+++ b/src/yokesill/routing/admission.py
@@ -1,7 +1,9 @@
-"""Admission: refuse at once what could only be answered too late.
+"""Whether a query is admitted or refused on arrival, because it would wait too long.
 
-A refusal here has run nowhere and says when to come back: by then the queue that stands now has
-been served.
+Inputs: the query's deadline and priority, the expected wait of its slowest shard, the 0.9 quantile of its
+class's latency (seconds) and the longest of its queues. A refusal is ``NOT_RUN``; its Retry-After is the
+expected wait, after which the present queue has been served. Shares and bounds are ``RoutingOptions``;
+what admission buys at 1.5 times the capacity: docs/design/limits.md.
 """
 
 from yokesill.routing.messages import QueryRequest
@@ -9,7 +11,9 @@
 from yokesill.routing.waiting import ShardKey, WaitingQueue
 from yokesill.verdict import Failure, Reason, Verdict
 
+# The range of priorities in a policy is 0 to 9 (``resources.documents``).
 HIGHEST_PRIORITY = 9
+# Below this a caller is back before a slot is free. Chosen, not measured.
 MINIMUM_RETRY_AFTER_MS = 50
 
 
@@ -30,11 +34,11 @@
 ) -> Failure | None:
     """Return why the query is refused, or ``None`` to admit it.
 
-    A queue may take only a share of the time that is left: what has waited for long is likely to
-    be given up later, when work for it was already done. The lower the priority, the smaller the
-    share and the shorter the queue, so that what matters least is refused first.
+    Waiting may use only a share of the remaining time: a query that waited long is likely to be given up
+    later, after servers worked for it. The lower the priority, the smaller the share and the shorter the
+    queue, so the least urgent queries are refused first.
     """
-    if query.deadline <= now:
+    if query.deadline_at_s <= now:
         return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "the deadline had passed on arrival")
     rank = (priority + 1) / (HIGHEST_PRIORITY + 1)
     too_long = longest_queue >= options.waiting_bound * rank
--- a/src/yokesill/routing/budget.py
+++ b/src/yokesill/routing/budget.py
@@ -1,4 +1,8 @@
-"""One budget a service for attempts beyond the first, so that trouble is never amplified."""
+"""The budget of extra attempts (hedges and retries), one for each service.
+
+First attempts earn a share of an extra attempt each, up to a burst, so extra attempts stay a bounded share of
+the load also when servers fail. Retries that put no load on any server are free (``query``).
+"""
 
 
 class AttemptBudget:
--- a/src/yokesill/routing/fanout.py
+++ b/src/yokesill/routing/fanout.py
@@ -1,4 +1,8 @@
-"""The shards of one query under one pinned snapshot: attempts, waiters, and what they add up to."""
+"""The shards of one query under one pinned snapshot: attempts, waiters, coverage and verdict.
+
+Here stands which server an attempt of a shard goes to, and when it waits or is given up (``dispatch``). A
+re-plan starts another fan-out.
+"""
 
 import itertools
 from collections.abc import Iterable
@@ -17,13 +21,13 @@
 
 
 class FanoutOwner(Protocol):
-    """What a fan-out must know of the query that it belongs to; ``deadline`` in seconds."""
+    """What a fan-out must know of the query that it belongs to; ``deadline_at_s`` in seconds."""
 
     query: QueryRequest
     service: ServiceState
     priority: int
     prefer_near: bool
-    deadline: float
+    deadline_at_s: float
 
 
 class Fanout:
@@ -85,7 +89,7 @@
         return self._exhausted > 0
 
     def merge(self, progress: ShardProgress, partial: Partial) -> None:
-        """Take a part without defect; its shard is done."""
+        """Keep a shard reply without defect; its shard is done."""
         progress.partial = partial
         self._open -= 1
 
@@ -109,7 +113,7 @@
         return join(each.verdict_now() for each in self.shards())
 
     def entries(self) -> list[object]:
-        """Return the merged entries of the parts, in the order of their ranges."""
+        """Return the merged entries of the shard replies, in the order of their ranges."""
         parts = [each.partial for each in self.shards() if each.partial is not None]
         return [entry for part in parts for entry in part.entries]
 
@@ -119,7 +123,7 @@
         return next(iter(reasons)) if len(reasons) == 1 else Reason.COVERAGE_TOO_LOW
 
     def defect(self, partial: Partial) -> Reason | None:
-        """Return why a part must not be merged, or ``None`` when it is what was asked for."""
+        """Return why a shard reply must not be merged, or ``None`` if it answers its attempt."""
         if partial.truncated:
             return Reason.MALFORMED_REPLY
         progress = self.shard_of(partial.attempt_id)
@@ -142,13 +146,13 @@
             self.give_up(progress, Reason.NO_REPLICA)
 
     def hedge(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
-        """Ask another server besides the one that is slow."""
+        """Send one more attempt, to another server than the late one."""
         server = self._choose(progress, progress.tried, now)
         if server is not None:
             self._send(progress, server, now, actions)
 
     def ask_doubtful(self, progress: ShardProgress, now: float, actions: list[Action]) -> bool:
-        """Ask a server that is not known to hold the snapshot; it declines, or tells otherwise.
+        """Send to a server that is not known to hold the snapshot: it declines, or holds it after all.
 
         Returns whether there was one that was not tried yet.
         """
@@ -156,7 +160,7 @@
         ready = [each for each in untried if each.may_take(now)]
         if not ready:
             return False
-        self._send(progress, min(ready, key=lambda each: each.heard_at), now, actions)
+        self._send(progress, min(ready, key=lambda each: each.heard_at_s), now, actions)
         return True
 
     def can_hedge(self, progress: ShardProgress, now: float) -> bool:
@@ -177,12 +181,12 @@
         return any(each.usable and each.holdings for each in progress.servers)
 
     def end_attempt(self, attempt_id: str) -> tuple[ShardProgress, LiveAttempt]:
-        """Forget an attempt; its server's slot is given back by the router."""
+        """Forget an attempt; the router frees its server's slot."""
         progress = self._shard_of_attempt.pop(attempt_id)
         return progress, progress.live.pop(attempt_id)
 
     def cancel_live(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
-        """Cancel a shard's live attempts and give their slots back."""
+        """Cancel a shard's live attempts and free their slots."""
         for attempt in list(progress.live.values()):
             self.end_attempt(attempt.attempt_id)
             attempt.server.outrun(now - attempt.sent_at_s)
@@ -235,17 +239,17 @@
             snapshot=self.snapshot,
             request_class=query.request_class,
             payload=query.payload,
-            deadline_at_s=self._owner.deadline,
+            deadline_at_s=self._owner.deadline_at_s,
             repeatable=query.repeatable,
         )
 
     def _may_wait(self, now: float) -> bool:
-        return self._context.options.limits and now < self._owner.deadline
+        return self._context.options.limits and now < self._owner.deadline_at_s
 
     def _wait(self, progress: ShardProgress, now: float) -> None:
         owner = self._owner
         progress.waiter = self._context.waiting.enter(
-            self._key(progress), self._query.query_id, owner.priority, owner.deadline, now
+            self._key(progress), self._query.query_id, owner.priority, owner.deadline_at_s, now
         )
 
     def _key(self, progress: ShardProgress) -> ShardKey:
--- a/src/yokesill/routing/hedging.py
+++ b/src/yokesill/routing/hedging.py
@@ -1,4 +1,11 @@
-"""When a query asks a second server of a shard while the first has not answered."""
+"""When a hedge is sent: a second attempt at a shard whose first one is late.
+
+An attempt is late after a quantile of its class's recent latency, and after ``minimum_delay_ms`` at least;
+the policy names both. A hedge is sent if the query is repeatable, the policy and the node allow hedges, the
+shard has exactly one live attempt, an untried server can take one more, and the service's budget has one
+left. At the 0.95 quantile hedges used the whole extra load of 5% without a failure, at 0.97 they use 3% with
+the same p99 (docs/design/limits.md).
+"""
 
 from typing import Any
 
@@ -9,11 +16,12 @@
 from yokesill.routing.messages import QueryRequest
 from yokesill.routing.service import ServiceState
 
-TIMER_SLACK = 1e-6
+# A timer that fires this much early counts as due: sums of floats differ in the last digits.
+TIMER_SLACK_S = 1e-6
 
 
 class Hedging:
-    """One query's hedges, as its policy allows them; ``deadline`` in seconds of the node's clock."""
+    """One query's hedges, as its policy allows them; ``deadline_at_s`` in seconds of the node's clock."""
 
     def __init__(
         self,
@@ -21,36 +29,36 @@
         query: QueryRequest,
         service: ServiceState,
         context: RoutingContext[Any],
-        deadline: float,
+        deadline_at_s: float,
     ) -> None:
         self._policy = policy
         self._query = query
         self._service = service
         self._context = context
-        self._deadline = deadline
+        self._deadline_at_s = deadline_at_s
 
     def arm(self, now: float, actions: list[Action]) -> None:
         """Set the timer for attempts that are sent now."""
         delay = self._delay(now)
-        if delay is not None and now + delay < self._deadline:
+        if delay is not None and now + delay < self._deadline_at_s:
             actions.append(SetTimer(self._query.query_id, TimerKind.HEDGE, now + delay))
 
     def due(self, fanout: Fanout, now: float, actions: list[Action]) -> None:
-        """Hedge what is due; a shard that was sent later has its own turn."""
+        """Hedge late attempts, and set the timer for those that are not late yet."""
         delay = self._delay(now)
         if delay is None:
             return
-        next_due = self._deadline
+        next_due = self._deadline_at_s
         for progress in fanout.shards():
             if not progress.open or len(progress.live) != 1:
                 continue
             (attempt,) = progress.live.values()
             due = attempt.sent_at_s + delay
-            if due > now + TIMER_SLACK:
+            if due > now + TIMER_SLACK_S:
                 next_due = min(next_due, due)
             elif fanout.can_hedge(progress, now) and self._service.budget.take():
                 fanout.hedge(progress, now, actions)
-        if next_due < self._deadline:
+        if next_due < self._deadline_at_s:
             actions.append(SetTimer(self._query.query_id, TimerKind.HEDGE, next_due))
 
     def _delay(self, now: float) -> float | None:
--- a/src/yokesill/routing/latency.py
+++ b/src/yokesill/routing/latency.py
@@ -1,17 +1,26 @@
-"""Recent latency of sub-requests, as quantiles over two rotating histograms."""
+"""Recent latency of sub-requests of one request class, as quantiles over two rotating histograms.
+
+Hedging and admission read it. Samples are kept for one to two windows.
+"""
 
 from hdrh.histogram import HdrHistogram
 
+# The histogram's range: 1 us to ten times the longest deadline allowed by default (60 s).
 LOWEST_MICROSECONDS = 1
 HIGHEST_MICROSECONDS = 600_000_000
+# Errors of 1% in a hedge's delay don't matter; a third digit would cost ten times the memory.
 SIGNIFICANT_DIGITS = 2
-WINDOW = 10.0
-REFRESH = 0.25
+# Long enough for the quantiles of a class with a few queries a second. Chosen, not measured.
+WINDOW_S = 10.0
+# A quantile is computed at most this often: adding two histograms is dear next to a query. Chosen, not
+# measured.
+REFRESH_S = 0.25
+# With fewer samples nothing is known of a 0.95 quantile: one in twenty lies above it.
 MINIMUM_SAMPLES = 20
 
 
 class LatencyWindow:
-    """Latencies of the last one to two windows; quantiles are cached for ``REFRESH`` seconds."""
+    """Latencies of the last one to two windows; quantiles are cached for ``REFRESH_S``."""
 
     def __init__(self) -> None:
         self._current = _histogram()
@@ -21,7 +30,7 @@
 
     def record(self, latency: float, now: float) -> None:
         """Count one latency, in seconds."""
-        if now - self._rotated_at > WINDOW:
+        if now - self._rotated_at > WINDOW_S:
             self._previous, self._current = self._current, _histogram()
             self._rotated_at = now
         self._current.record_value(max(LOWEST_MICROSECONDS, int(latency * 1e6)))
@@ -29,7 +38,7 @@
     def quantile(self, quantile: float, now: float) -> float | None:
         """Return the latency at ``quantile`` in seconds; ``None`` with too few samples."""
         cached = self._cache.get(quantile)
-        if cached is not None and now - cached[1] < REFRESH:
+        if cached is not None and now - cached[1] < REFRESH_S:
             return cached[0]
         total = _histogram()
         total.add(self._previous)
--- a/src/yokesill/routing/messages.py
+++ b/src/yokesill/routing/messages.py
@@ -19,7 +19,7 @@
 class QueryRequest:
     """A caller's request as the router sees it.
 
-    ``deadline`` is absolute, in seconds of the node's clock. ``key_hash`` is ``None`` when all
+    ``deadline_at_s`` is absolute, in seconds of the node's clock. ``key_hash`` is ``None`` when all
     shards are asked. ``payload`` is opaque and goes to the back ends as it is.
     """
 
@@ -28,7 +28,7 @@
     request_class: str
     payload: Any
     size: int
-    deadline: float
+    deadline_at_s: float
     repeatable: bool
     key_hash: int | None = None
     minimum_coverage: float = 0.0
--- a/src/yokesill/routing/query.py
+++ b/src/yokesill/routing/query.py
@@ -1,7 +1,10 @@
 """One query's life: fan out, hedge, retry, re-plan, answer or give up.
 
-The machine is driven by the router and appends its actions to the list it is given. Once it is
-given up on, its refusal is an action of the same step.
+The router drives the machine, which appends its actions to the list that it is given. Here stand the rules
+on retries (``_may_retry``), on starting over at another snapshot (``_replan``) and on ending: a query ends
+when all shards are done, when the least coverage can't be reached any more, at its soft deadline if the
+policy accepts what is there, and at its deadline. The verdict of a refusal joins those of all attempts,
+discarded ones included.
 """
 
 import itertools
@@ -19,9 +22,13 @@
 from yokesill.routing.service import ServiceState
 from yokesill.verdict import Failure, Reason, Verdict
 
+# Retry-After of a refusal that the policy gives none. Chosen, not measured.
 DEFAULT_RETRY_AFTER_MS = 200
 FULL_COVERAGE = 1.0
+# Bounds the work that is discarded while snapshots change; one is not always enough, since what is known of
+# servers that were not asked lately may be old. Chosen, not measured.
 MAXIMUM_REPLANS = 3
+# The server declined before any work: a retry elsewhere adds no load and costs no budget.
 FREE_RETRY_REASONS = frozenset({Reason.CONNECT_FAILED, Reason.SNAPSHOT_UNAVAILABLE, Reason.BACKEND_LEAVING})
 
 
@@ -44,7 +51,7 @@
         self.finished = False
         self.priority = policy.priority
         self.prefer_near = serve.zone is documents.ZonePreference.NEAR
-        self.deadline = min(query.deadline, now + serve.wait_ms / 1000)
+        self.deadline_at_s = min(query.deadline_at_s, now + serve.wait_ms / 1000)
         self._policy = policy
         self._serve = serve
         self._facts = facts
@@ -55,33 +62,33 @@
         self._discarded_verdict = Verdict.NOT_RUN
         self._attempt_numbers = itertools.count(1)
         self._fanout = Fanout(self, snapshot, context, self._attempt_numbers)
-        self._hedging = Hedging(serve.hedge, query, service, context, self.deadline)
+        self._hedging = Hedging(serve.hedge, query, service, context, self.deadline_at_s)
 
     def live_attempt(self, attempt_id: str) -> LiveAttempt:
         """Return an attempt of this query that has not ended."""
         return self._fanout.shard_of(attempt_id).live[attempt_id]
 
     def has_attempt(self, attempt_id: str) -> bool:
-        """Whether the attempt is still live: what its reply told may have ended the query meanwhile."""
+        """Whether the attempt is still live; its reply's report may have ended the query."""
         return self._fanout.has_attempt(attempt_id)
 
     def defect(self, partial: Partial) -> Reason | None:
-        """Return why a part must not be merged, or ``None``."""
+        """Return why a shard reply must not be merged, or ``None``."""
         return self._fanout.defect(partial)
 
     # --- events ---
 
     def start(self, now: float, actions: list[Action]) -> None:
-        """Set the timers and ask every shard."""
+        """Set the timers and send to every shard."""
         query_id = self.query.query_id
-        actions.append(SetTimer(query_id, TimerKind.HARD, self.deadline))
+        actions.append(SetTimer(query_id, TimerKind.HARD, self.deadline_at_s))
         if self._serve.soft_wait_ms is not None:
             soft_at = self._arrived_at + self._serve.soft_wait_ms / 1000
             actions.append(SetTimer(query_id, TimerKind.SOFT, soft_at))
         self._ask_all(now, actions)
 
     def answered(self, partial: Partial, now: float, actions: list[Action]) -> None:
-        """Merge a part without defect; its shard is done."""
+        """Merge a shard reply without defect; its shard is done."""
         progress, attempt = self._fanout.end_attempt(partial.attempt_id)
         self.service.latency_of(self.query.request_class).record(now - attempt.sent_at_s, now)
         self._fanout.merge(progress, partial)
@@ -89,7 +96,7 @@
         self._finish_if_settled(now, actions)
 
     def failed(self, attempt_id: str, failure: Failure, now: float, actions: list[Action]) -> None:
-        """Take an attempt's failure: re-plan, retry, or give the shard up."""
+        """Handle an attempt's failure: re-plan, retry, or give the shard up."""
         progress, _ = self._fanout.end_attempt(attempt_id)
         progress.verdict = max(progress.verdict, failure.verdict)
         progress.last_reason = failure.reason
@@ -117,11 +124,11 @@
             self._end(now, actions)
 
     def wait_over(self, shard_id: str, now: float, actions: list[Action]) -> None:
-        """Ask for a shard whose turn has come, unless its answer could only come too late."""
+        """Send a shard's attempt when its turn has come, unless its answer would come too late."""
         progress = self._fanout.shard(shard_id)
         progress.waiter = None
         typical = self.service.latency_of(self.query.request_class).quantile(0.5, now) or 0.0
-        if now + typical >= self.deadline and not progress.live:
+        if now + typical >= self.deadline_at_s and not progress.live:
             self._fanout.give_up(progress, Reason.OVERLOADED)
         else:
             self._ask(progress, now, actions)
@@ -172,7 +179,7 @@
 
     def _may_retry(self, progress: ShardProgress, failure: Failure, now: float) -> bool:
         options = self._context.options
-        if not options.retries or now >= self.deadline:
+        if not options.retries or now >= self.deadline_at_s:
             return False
         if not self.query.repeatable and progress.verdict is not Verdict.NOT_RUN:
             return False
@@ -181,7 +188,6 @@
             return True
         if len(progress.tried) >= options.maximum_attempts:
             return False
-        # What was declined without work put no load on anybody: trying elsewhere is free.
         return failure.reason in FREE_RETRY_REASONS or self.service.budget.take()
 
     def _retry_later(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
@@ -189,7 +195,7 @@
         if self._retry_armed:
             return
         self._retry_armed = True
-        backoff = self._context.options.retry_backoff * max(1, len(progress.tried))
+        backoff = self._context.options.retry_backoff_s * max(1, len(progress.tried))
         backoff *= 0.5 + self._context.random_source.random()
         actions.append(SetTimer(self.query.query_id, TimerKind.RETRY, now + backoff))
 
@@ -212,11 +218,11 @@
         """End when nothing is open, or as soon as the least coverage is out of reach."""
         if self.finished:
             return
-        hopeless = (
+        coverage_unreachable = (
             self._fanout.any_exhausted
             and self._fanout.possible_coverage().fraction < self._minimum_coverage(self._serve)
         )
-        if hopeless or not self._fanout.any_open:
+        if coverage_unreachable or not self._fanout.any_open:
             self._end(now, actions)
 
     def _outcome_at(self, stage: Stage, coverage: Coverage, now: float) -> documents.Serve | documents.Refuse:
@@ -233,7 +239,7 @@
             self._answer(coverage, now, actions)
 
     def _end(self, now: float, actions: list[Action]) -> None:
-        """Answer with what there is, if the policy accepts it; refuse otherwise."""
+        """Answer with the coverage reached if the policy accepts it; refuse otherwise."""
         coverage = self._fanout.coverage()
         if coverage.fraction >= FULL_COVERAGE:
             self._answer(coverage, now, actions)
@@ -244,7 +250,7 @@
             self._refuse(Reason.POLICY_REFUSED, coverage, now, actions, detail, retry_after_ms)
         elif coverage.covered_width > 0 and coverage.fraction >= self._minimum_coverage(outcome):
             self._answer(coverage, now, actions)
-        elif now >= self.deadline:
+        elif now >= self.deadline_at_s:
             self._refuse(Reason.DEADLINE_EXCEEDED, coverage, now, actions)
         else:
             self._refuse(self._fanout.give_up_reason(), coverage, now, actions)
--- a/src/yokesill/routing/router.py
+++ b/src/yokesill/routing/router.py
@@ -1,4 +1,8 @@
-"""The router: the one interface through which a node's data path is driven."""
+"""The router of ``yokesill serve``: the one interface through which a node's data path is driven.
+
+``Router.on_event`` takes a typed event and the time and returns actions. It owns the queries in flight, the
+services' state, the servers and the waiters, and does no I/O.
+"""
 
 import random
 
@@ -17,7 +21,9 @@
 from yokesill.routing.waiting import ShardKey, Waiter
 from yokesill.verdict import Failure, Reason, Verdict
 
+# Of the class's latency; a query that this would make late is refused on arrival. Chosen, not measured.
 ADMISSION_QUANTILE = 0.9
+# Failures that count towards a server's ejection; shedding and declining don't.
 SERVER_FAULTS = frozenset(
     {
         Reason.CONNECT_FAILED,
@@ -120,7 +126,7 @@
         outcome = policy.evaluate(facts).outcome
         if isinstance(outcome, documents.Refuse):
             return Failure(Reason.POLICY_REFUSED, Verdict.NOT_RUN, outcome.refuse, outcome.retry_after_ms)
-        deadline = min(query.deadline, now + outcome.wait_ms / 1000)
+        deadline = min(query.deadline_at_s, now + outcome.wait_ms / 1000)
         tail = service.latency_of(query.request_class).quantile(ADMISSION_QUANTILE, now) or 0.0
         longest = max((self._context.waiting.length(key) for key in keys), default=0)
         options = self._context.options
@@ -147,7 +153,7 @@
         if not machine.has_attempt(event.attempt_id):
             return
         machine.service.count_shed(False)
-        # A part that must not be merged is the server's fault, however quickly it came.
+        # A shard reply that must not be merged is the server's fault, however quickly it came.
         defect = machine.defect(event.partial)
         changed = server.answered(now - sent_at, now) if defect is None else server.failed(now)
         if changed:
@@ -201,7 +207,7 @@
             actions.append(ev.AnnounceLeaving(server.address, report.incarnation))
 
     def _reconsider(self, dropped: set[ShardKey], now: float, actions: list[ev.Action]) -> None:
-        """Let who waits for a snapshot that a server dropped look again; nobody may hold it now."""
+        """Let waiters for a snapshot that a server dropped decide anew: no server may hold it now."""
         for key in sorted(dropped, key=str):
             for waiter in self._context.waiting.evict(key):
                 self._end_wait(waiter, now, actions)
@@ -250,7 +256,7 @@
     # --- waiters ---
 
     def _serve_waiters(self, now: float, actions: list[ev.Action]) -> None:
-        """Hand freed slots to whoever's turn it is."""
+        """Give freed slots to the next waiters."""
         freed = self._context.freed
         while freed:
             server = freed.pop()
@@ -261,7 +267,7 @@
                 before = server.in_flight
                 self._end_wait(turn, now, actions)
                 if server.in_flight == before:
-                    # The waiter had asked this server already, say: it waits for another one.
+                    # The waiter did not use the slot: it may have tried this server already.
                     break
 
 
@@ -271,7 +277,7 @@
         namespace=query.service.namespace,
         keyed=query.key_hash is not None,
         size=query.size,
-        deadline_ms=(query.deadline - now) * 1000,
+        deadline_ms=(query.deadline_at_s - now) * 1000,
         priority=priority,
         repeatable=query.repeatable,
         queue_delay_ms=delay * 1000,
--- a/src/yokesill/routing/selection.py
+++ b/src/yokesill/routing/selection.py
@@ -1,4 +1,9 @@
-"""Chooses the server of an attempt: power of two choices on expected cost."""
+"""Which server an attempt goes to: the cheaper of two drawn at random.
+
+Eligible are servers that hold the query's snapshot, don't leave and were not tried; those below their
+concurrency limit first, ejected ones only if nothing else is left. Cost is the expected latency in seconds
+(``ServerState.cost``). Two choices spread load where all nodes would otherwise pick the same best server.
+"""
 
 import random
 from collections.abc import Iterable, Sequence
@@ -17,10 +22,10 @@
     now: float,
     prefer_near: bool = True,
 ) -> ServerState | None:
-    """Return the server to ask, or ``None`` when none may take a request now.
+    """Return the server to send to, or ``None`` if none can take a request now.
 
-    Servers that hold the snapshot and were not tried come first. Ejected ones are asked when
-    nothing else is left (the floor of ejection), so a shard is never given up on suspicion.
+    Ejected servers are used when nothing else is left (the floor of ejection): a shard is never given up on
+    suspicion alone.
     """
     holding = [each for each in servers if each.state != LEAVING and snapshot in each.holdings]
     fresh = [each for each in holding if each.address not in tried]
@@ -37,7 +42,7 @@
 
 
 def _last_resort(servers: list[ServerState]) -> list[ServerState]:
-    """All servers, when every one of them is ejected and idle: better a doubtful try than none."""
+    """Return the idle ones of ``servers`` if all are ejected: a doubtful attempt is better than none."""
     if servers and all(each.state == EJECTED for each in servers):
         return [each for each in servers if each.in_flight == 0]
     return []
--- a/src/yokesill/routing/servers.py
+++ b/src/yokesill/routing/servers.py
@@ -1,4 +1,10 @@
-"""What one node knows of each server: limit, latency, load, holdings and life-cycle state."""
+"""What one node knows of each server: limit, latency, load, holdings and life-cycle state.
+
+The concurrency limit grows by 1/limit with each answer that used it and shrinks when the server sheds or
+reports a queue as long as its slots: the node's queue is ordered by priority, share and deadline, the
+server's is not. Goodput at 1.5 times the capacity with this rule and without: docs/design/limits.md. States
+follow the chart ``charts/server.yaml``. Times are in seconds of the node's clock.
+"""
 
 from collections.abc import Iterable
 
@@ -8,11 +14,17 @@
 from yokesill.routing.messages import LoadReport, ServerReport, Snapshot
 from yokesill.routing.options import RoutingOptions
 
+# The weight of the newest answer in a server's latency. Chosen, not measured.
 LATENCY_WEIGHT = 0.2
-LIMIT_DECREASE = 0.7
-DECREASE_INTERVAL = 0.1
-INITIAL_LATENCY = 0.005
+# The limit shrinks by this factor, once an interval at most: all answers of one overload come from the same
+# queue. Chosen, not measured.
+LIMIT_DECREASE_FACTOR = 0.7
+DECREASE_INTERVAL_S = 0.1
+# Until a server has answered. Chosen, not measured: that of a fast server, so a new one is tried.
+INITIAL_LATENCY_S = 0.005
+# A cold server costs up to this much more than its latency, less as it warms up. Chosen, not measured.
 COLD_PENALTY = 3.0
+# After so many answers a server is warm. Chosen, not measured.
 WARM_ANSWERS = 20
 
 COLD, ACTIVE, EJECTED, LEAVING = "cold", "active", "ejected", "leaving"
@@ -29,8 +41,8 @@
         self.holdings: frozenset[Snapshot] = frozenset()
         self.in_flight = 0
         self.limit = options.initial_limit
-        self.latency = INITIAL_LATENCY
-        self.heard_at = float("-inf")
+        self.latency_s = INITIAL_LATENCY_S
+        self.heard_at_s = float("-inf")
         self.shards: set[tuple[ServiceName, str]] = set()
         self._options = options
         self._table = transition_table("server")
@@ -73,27 +85,27 @@
     def cost(self, now: float, prefer_near: bool) -> float:
         """Return the expected cost of one more request, in seconds; lower is better."""
         waiting = self.in_flight + self._reported_wait(now)
-        cost = self.latency * (1.0 + waiting)
+        cost = self.latency_s * (1.0 + waiting)
         if self.state == COLD:
-            age = min(1.0, (now - self._since) / self._options.slow_start)
+            age = min(1.0, (now - self._since) / self._options.slow_start_s)
             cost *= 1.0 + COLD_PENALTY * (1.0 - age)
         if prefer_near and self.zone != self._options.zone:
-            cost += self._options.remote_zone_penalty
+            cost += self._options.remote_zone_penalty_s
         return cost
 
     def _reported_wait(self, now: float) -> float:
-        """The reported queue, halved every half-life: reports lag, so they fade."""
+        """Return the reported requests a slot, halved every half-life since reports age."""
         if self._load is None or self._load.slots < 1:
             return 0.0
         age = now - self._load_at
-        faded = 0.5 ** (age / self._options.load_report_half_life)
+        faded = 0.5 ** (age / self._options.load_report_half_life_s)
         return float((self._load.queued + self._load.active) / self._load.slots * faded)
 
     def answered(self, latency: float, now: float) -> bool:
         """Count an answer; return whether the state changed."""
         self._failures = 0
         self._ejections = max(0, self._ejections - 1) if self.state == ACTIVE else self._ejections
-        self.latency += LATENCY_WEIGHT * (latency - self.latency)
+        self.latency_s += LATENCY_WEIGHT * (latency - self.latency_s)
         if self._reports_queue():
             self.back_off(now)
         elif self.in_flight + 1 >= int(self.limit):
@@ -105,19 +117,19 @@
         return changed
 
     def outrun(self, elapsed: float) -> None:
-        """Count an attempt that lost to its hedge after ``elapsed``: at least that slow."""
-        if elapsed > self.latency:
-            self.latency += LATENCY_WEIGHT * (elapsed - self.latency)
+        """Count an attempt that lost to its hedge after ``elapsed`` seconds: it is at least that slow."""
+        if elapsed > self.latency_s:
+            self.latency_s += LATENCY_WEIGHT * (elapsed - self.latency_s)
 
     def leave(self, incarnation: str, now: float) -> bool:
-        """Take a notice that ``incarnation`` (empty: the present one) leaves; return whether it is news."""
+        """Record that ``incarnation`` (empty: the present one) leaves; return whether that is new."""
         if incarnation and self.incarnation and incarnation != self.incarnation:
             return False
         self._leaving_as = incarnation or self.incarnation
         return self.handle("leaving", now)
 
     def _is_back(self) -> bool:
-        """Whether the incarnation that was just learnt is another one than that which leaves."""
+        """Whether the newest incarnation is not the one that leaves."""
         if not self._leaving_as:
             self._leaving_as = self.incarnation
         return self._leaving_as != self.incarnation
@@ -127,18 +139,15 @@
         return {(name, shard, snapshot) for name, shard in self.shards for snapshot in self.holdings}
 
     def _reports_queue(self) -> bool:
-        """Whether the server's last report tells of a queue as long as its slots are many.
-
-        Its queue is the wrong place to wait: here priorities, shares and deadlines order it.
-        """
+        """Whether the server's last report shows a queue of at least its slots."""
         return self._load is not None and self._load.queued >= max(1, self._load.slots)
 
     def back_off(self, now: float) -> None:
         """Lower the limit, at most once an interval."""
-        if now - self._decreased_at < DECREASE_INTERVAL:
+        if now - self._decreased_at < DECREASE_INTERVAL_S:
             return
         self._decreased_at = now
-        self.limit = max(1.0, self.limit * LIMIT_DECREASE)
+        self.limit = max(1.0, self.limit * LIMIT_DECREASE_FACTOR)
 
     def failed(self, now: float) -> bool:
         """Count a failure of the server itself; return whether the state changed."""
@@ -154,21 +163,21 @@
         return True
 
     def _eject(self, now: float) -> None:
-        pause = self._options.ejection_base * 2.0**self._ejections
-        self._ejected_until = now + min(self._options.ejection_ceiling, pause)
+        pause = self._options.ejection_base_s * 2.0**self._ejections
+        self._ejected_until = now + min(self._options.ejection_ceiling_s, pause)
         self._ejections = min(self._ejections + 1, 10)
 
     def observe(self, report: ServerReport, asked_at: float, now: float) -> bool:
-        """Take in what the server said of itself; return whether routing must look again.
+        """Update from the server's own report; return whether routing must decide anew.
 
-        Replies overtake each other: a report is ignored when a request sent after the one that
-        it answers has been answered already.
+        Replies overtake each other: a report is ignored if a request that was sent later has been answered
+        already.
         """
         if asked_at < self._report_asked_at:
             return False
         self._report_asked_at = asked_at
         changed = False
-        self.heard_at = now
+        self.heard_at_s = now
         if report.incarnation != self.incarnation:
             self.incarnation = report.incarnation
             changed = self._is_back() and self.handle("returned", now)
--- a/src/yokesill/routing/service.py
+++ b/src/yokesill/routing/service.py
@@ -1,4 +1,4 @@
-"""What the router keeps for each service between queries."""
+"""What the router keeps for each service: configuration, budget, latencies and the pinned snapshot."""
 
 from dataclasses import dataclass, field
 
@@ -11,6 +11,8 @@
 from yokesill.routing.servers import ServerState, ServerTable
 from yokesill.routing.snapshots import choose_snapshot
 
+# The weight of the newest attempt in the share of shed attempts, a fact that policies may read. Chosen, not
+# measured: follows a change within some twenty attempts.
 SHED_WEIGHT = 0.05
 
 
--- a/src/yokesill/routing/waiting.py
+++ b/src/yokesill/routing/waiting.py
@@ -1,9 +1,8 @@
-"""Shards of queries that wait for a server's free slot, in a fair order.
+"""Whose turn it is when a server has a free slot again.
 
-They wait by shard and snapshot, so that a freed server is only offered what it can serve.
-
-When a slot frees, the highest priority goes first; within a priority the namespace that had
-least of its share; within a namespace the earliest deadline.
+Shards of queries wait here, by shard and snapshot, so a freed server is only offered what it can serve. The
+highest priority goes first; within a priority the namespace that got least of its share; within a namespace
+the earliest deadline. The queue's recent pace gives the expected wait that admission uses (seconds).
 """
 
 import heapq
@@ -14,17 +13,19 @@
 from yokesill.routing.messages import Snapshot
 
 ShardKey = tuple[ServiceName, str, Snapshot]
+# The weight of the newest interval between two turns in a queue's pace. Chosen, not measured: follows a
+# change of pace within some five turns.
 INTERVAL_WEIGHT = 0.2
 
 
 @dataclass(order=True, slots=True)
 class Waiter:
-    """One shard of one query, waiting since ``since`` (seconds)."""
+    """One shard of one query, waiting since ``since_s`` (seconds)."""
 
     order: tuple[int, float, int]
     query_id: str = field(compare=False)
     shard_id: str = field(compare=False)
-    since: float = field(compare=False)
+    since_s: float = field(compare=False)
     abandoned: bool = field(default=False, compare=False)
 
 
@@ -48,13 +49,13 @@
         return waiter
 
     def leave(self, key: ShardKey, waiter: Waiter) -> None:
-        """Take a waiter out before its turn."""
+        """Remove a waiter before its turn."""
         if not waiter.abandoned:
             waiter.abandoned = True
             self._counts[key] -= 1
 
     def evict(self, key: ShardKey) -> list[Waiter]:
-        """Take out everybody who waits for ``key``: a server does not hold the snapshot any more."""
+        """Remove all waiters of ``key``, whose snapshot a server no longer holds; return them."""
         waiters = [each for each in self._queues.pop(key, []) if not each.abandoned]
         self._counts.pop(key, None)
         return waiters
@@ -64,18 +65,18 @@
         return self._counts.get(key, 0)
 
     def delay(self, key: ShardKey, now: float) -> float:
-        """Return the expected wait of a newcomer in seconds: who is before it, at the recent pace.
+        """Return the expected wait of a new waiter in seconds: the queue before it, at the recent pace.
 
-        A queue that has stalled is as slow as its head has waited.
+        It is at least as long as the first waiter has waited, so a stalled queue is seen.
         """
         head = self._head(key)
         if head is None:
             return 0.0
         pace = (self.length(key) + 1) * self._intervals.get(key, 0.0)
-        return max(pace, now - head.since)
+        return max(pace, now - head.since_s)
 
     def next(self, keys: set[ShardKey], now: float) -> Waiter | None:
-        """Take out whoever's turn it is among the waiters for ``keys``."""
+        """Remove and return the next waiter among those for ``keys``."""
         heads = [(key, head) for key in keys if (head := self._head(key)) is not None]
         if not heads:
             return None
@@ -86,8 +87,8 @@
         return waiter
 
     def _count_turn(self, key: ShardKey, waiter: Waiter, now: float) -> None:
-        """Fold the time since the last turn (or since this waiter came) into the queue's pace."""
-        since = max(self._served_at.get(key, 0.0), waiter.since)
+        """Fold the time since the last turn, or since this waiter entered, into the queue's pace."""
+        since = max(self._served_at.get(key, 0.0), waiter.since_s)
         pace = self._intervals.get(key, 0.0)
         self._intervals[key] = pace + INTERVAL_WEIGHT * (now - since - pace)
         self._served_at[key] = now
