--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -58,7 +58,7 @@
         """
         contacts = tuple(contacts)
         gathering = gathering_nodes((each.node, each.zone, each.cores) for each in contacts)
-        if not self._options.gathers_near_servers:
+        if not self._options.switches.gathers_near_servers:
             return gathering
         zones = {each.zone for each in self._servers.records()}
         near_servers = {each.node for each in contacts if each.zone in zones}
@@ -70,7 +70,7 @@
 
     def coordinators(self, route: Route, now: float) -> Mapping[str, Coordinator]:
         """Return who may gather a wide request near its servers; empty where that is no better."""
-        if not self._options.gathers_near_servers or not self._hop_is_short(route, now):
+        if not self._options.switches.gathers_near_servers or not self._hop_is_short(route, now):
             return {}
         heard_at_s = now - RETRY_PAUSE_S
         return {
--- a/src/yokesill/gateway/attempt_outcomes.py
+++ b/src/yokesill/gateway/attempt_outcomes.py
@@ -50,7 +50,7 @@
             server.shed(now)
         elif failure.reason is Reason.BACKEND_LEAVING:
             server.leave()
-        elif failure.reason is Reason.CONNECTION_REFUSED and self._context.options.heeds_refusals:
+        elif failure.reason is Reason.CONNECTION_REFUSED and attempt.server.connections.enabled:
             server.connections.refused(now)
         elif self._evidence.counts(attempt, route, failure, now):
             state = server.failed(attempt.sent_at_s, now)
--- a/src/yokesill/gateway/requests/deferral.py
+++ b/src/yokesill/gateway/requests/deferral.py
@@ -35,7 +35,7 @@
 
 def calls_needed(fan_out: FanOut) -> int:
     """Return how many of the deferred calls the answer still needs; may be negative."""
-    if not fan_out.context.options.leaves_out:
+    if not fan_out.context.options.switches.leaves_out:
         return fan_out.deferred
     expected = sum(call.open and not call.deferred_cause and not call.late for call in fan_out.calls)
     return fan_out.required - fan_out.covered - expected
--- a/src/yokesill/gateway/requests/hedging.py
+++ b/src/yokesill/gateway/requests/hedging.py
@@ -79,7 +79,7 @@
     calls = len(fan_out.calls)
     if fan_out.postponed_hedges or calls < LEAST_CALLS_TO_COMPARE:
         return False
-    return fan_out.context.options.postpones_hedges and len(late) > NODE_LATE_SHARE * calls
+    return fan_out.context.options.switches.postpones_hedges and len(late) > NODE_LATE_SHARE * calls
 
 
 def hedge(fan_out: FanOut, late: list[ServiceCall], step: Step) -> None:
@@ -97,7 +97,7 @@
 
 def _send_hedge(fan_out: FanOut, call: ServiceCall, delay_s: float, step: Step) -> None:
     context, route = fan_out.context, fan_out.route
-    if not route.repeatable or not call.has_attempts_left or not context.options.hedges:
+    if not route.repeatable or not call.has_attempts_left or not context.options.switches.hedges:
         return
     choice = select(fan_out, call, step.now, hedging=True)
     if choice is not None and has_spare_slot(choice, call.service, context, step.now):
--- a/src/yokesill/gateway/requests/pacing.py
+++ b/src/yokesill/gateway/requests/pacing.py
@@ -11,7 +11,7 @@
 
 def has_free_slot(choice: Choice, context: GatewayContext, now: float) -> bool:
     """Whether the chosen server may be sent an attempt now."""
-    return choice.sound or not context.options.paces or choice.slot_at_s <= now
+    return choice.sound or not context.options.switches.paces or choice.slot_at_s <= now
 
 
 def has_spare_slot(choice: Choice, service: str, context: GatewayContext, now: float) -> bool:
--- a/src/yokesill/gateway/requests/server_choice.py
+++ b/src/yokesill/gateway/requests/server_choice.py
@@ -57,7 +57,7 @@
         removed_grace_s=context.options.removed_grace_s,
         connection_limit=context.eligibility.connection_limit(service),
         last_resort=len(route.services) == 1,
-        active_nodes=context.node_shares.active_nodes(service) if context.options.paces else 0,
+        active_nodes=context.node_shares.active_nodes(service) if context.options.switches.paces else 0,
     )
     candidates = context.eligibility.candidates(service, route, now, new)
     return choose_server(candidates, criteria, now, context.random_source)
--- a/src/yokesill/gateway/servers/connection_backoff.py
+++ b/src/yokesill/gateway/servers/connection_backoff.py
@@ -25,21 +25,22 @@
 class ConnectionBackoff:
     """One server's connections.
 
-    ``open`` is how many this node holds, ``refused_until_s`` when the pause after a refused one ends.
+    ``open`` is how many this node holds, ``refused_until_s`` when the pause after a refused one ends. Where
+    it is not ``enabled`` a refused connection is a failure like any other.
     """
 
-    __slots__ = ("_enabled", "_refusals", "_window", "open", "refused_until_s")
+    __slots__ = ("_refusals", "_window", "enabled", "open", "refused_until_s")
 
     def __init__(self, enabled: bool) -> None:
         self.open = 0
         self.refused_until_s = 0.0
-        self._enabled = enabled
+        self.enabled = enabled
         self._refusals = 0
         self._window = FIRST_CONNECTIONS
 
     def limit(self, share: int) -> int:
         """Return how many connections this node may hold, given its share of what is configured."""
-        return min(share, self._window) if self._enabled else share
+        return min(share, self._window) if self.enabled else share
 
     def answered(self) -> None:
         """Allow one more connection, and forget refusals."""
--- a/src/yokesill/gateway/servers/server_table.py
+++ b/src/yokesill/gateway/servers/server_table.py
@@ -84,7 +84,7 @@
     def _put(self, record: ServerRecord, now: float) -> bool:
         state = self._by_instance.get(record.instance)
         if state is None:
-            backs_off = self._options.heeds_refusals
+            backs_off = self._options.switches.heeds_refusals
             state = ServerState(record, self.distances, self._connecting, backs_off, now)
             self._by_instance[record.instance] = state
             self._by_service.setdefault(record.service, {})[record.instance] = state
--- a/src/yokesill/gateway/state_updates.py
+++ b/src/yokesill/gateway/state_updates.py
@@ -80,7 +80,7 @@
     def suspicion(self, instance: str, for_s: float, now: float, actions: list[ev.Action]) -> None:
         """Suspect a server that the nodes together found slow or failing."""
         context = self.context
-        if context.options.heeds_suspicions and suspect(context.servers, instance, for_s, now):
+        if context.options.switches.heeds_suspicions and suspect(context.servers, instance, for_s, now):
             actions.append(log_events.server_suspected(instance, for_s))
 
     def _forget_removed(self, now: float, actions: list[ev.Action]) -> None:
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -176,7 +176,7 @@
         core.settings,
         _followed_feeds(dependencies, core.driver, updates),
         partial(whole_feed, core.router),
-        core.options.few_watchers,
+        core.options.switches.few_watchers,
         core.source,
     )
     return _Registry(updates, following, RemoteCoordinators(core.options, core.router.servers))
@@ -200,7 +200,7 @@
 
 def _create_callers(core: _Core, registry: _Registry) -> _Callers:
     forwarder = None
-    if core.options.hands_over:
+    if core.options.switches.hands_over:
         forwarder = Forwarder(
             CoordinatorChoice(core.settings.node),
             CoordinatorClient(),
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -497,7 +497,10 @@
         without = usual.without(switches)
     except ValueError:
         return "refused"
-    return sum(getattr(usual, each) != getattr(without, each) for each in usual.__slots__)
+    rest = [each for each in usual.__slots__ if each != "switches"]
+    changed = sum(getattr(usual, each) != getattr(without, each) for each in rest)
+    before, after = usual.switches, without.switches
+    return changed + sum(getattr(before, each) != getattr(after, each) for each in before.__slots__)
 
 
 def _command(name: str) -> Any:
