--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -102,8 +102,8 @@
     def set_budget(self, limits: BudgetLimits) -> None:
         """Keep every service to other limits; windows of another length are counted anew."""
         for service, budget in list(self._budgets.items()):
-            if budget.terms.window_s == limits.window_s:
-                budget.terms = limits
+            if budget.limits.window_s == limits.window_s:
+                budget.limits = limits
             else:
                 self._budgets[service] = ExtraAttemptBudget(limits, self.started_at)
         self._budget_limits = limits
--- a/src/yokesill/gateway/limits/budget.py
+++ b/src/yokesill/gateway/limits/budget.py
@@ -61,17 +61,17 @@
 
     Parameters
     ----------
-    terms
+    limits
         The contract's figures.
     started_at
         When the node started, by its clock: it forgot what it spent before.
     """
 
-    def __init__(self, terms: BudgetLimits, started_at: float) -> None:
-        self.terms = terms
+    def __init__(self, limits: BudgetLimits, started_at: float) -> None:
+        self.limits = limits
         self._started_at = started_at
-        self._requests = SlidingCount(terms.window_s)
-        self._extras = SlidingCount(terms.window_s)
+        self._requests = SlidingCount(limits.window_s)
+        self._extras = SlidingCount(limits.window_s)
 
     def count_request(self, now: float) -> None:
         """Count a request for the service."""
@@ -79,10 +79,10 @@
 
     def left(self, nodes: float, now: float) -> float:
         """Return how many extra attempts this node may send now, where ``nodes`` share the allowance."""
-        windows = (now - self._started_at) / self.terms.window_s
+        windows = (now - self._started_at) / self.limits.window_s
         age = min(1.0, windows / WINDOWS_TO_FULL_ALLOWANCE)
-        allowance = ALLOWANCE_MARGIN * self.terms.allowance * age / max(1, nodes)
-        earned = RATIO_MARGIN * self.terms.ratio * self._requests.total(now)
+        allowance = ALLOWANCE_MARGIN * self.limits.allowance * age / max(1, nodes)
+        earned = RATIO_MARGIN * self.limits.ratio * self._requests.total(now)
         return allowance + earned - self._extras.total(now)
 
     def take(self, nodes: float, now: float) -> bool:
--- a/src/yokesill/gateway/limits/node_shares.py
+++ b/src/yokesill/gateway/limits/node_shares.py
@@ -6,10 +6,10 @@
 
 - A service that other requests reach too, or where no node is a coordinator: equal shares.
 - A service that only wide requests reach: three quarters go to the coordinators, since they send nearly all
-  of its
-  requests; a quarter goes to all nodes, for requests that no coordinator accepts.
+  of its requests; a quarter goes to all nodes, for requests that no coordinator accepts.
 
-The shares of all nodes never sum up to more than the whole.
+The shares of all nodes never sum up to more than the whole. Cold servers are the exception: what they can do
+is too little to divide, so a few nodes own each (`ColdStarts`).
 """
 
 from yokesill.gateway.documents import Configuration
--- a/src/yokesill/gateway/servers/__init__.py
+++ b/src/yokesill/gateway/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Servers as one node sees them: their state, what is learnt of them, and which one is chosen."""
+"""Servers as one node knows them: their state, which of them are eligible, and which one is selected."""
--- a/src/yokesill/gateway/servers/eligibility.py
+++ b/src/yokesill/gateway/servers/eligibility.py
@@ -3,12 +3,13 @@
 Everything that sends to a server, or counts the servers that could be sent to, asks here. An eligible
 server is
 
-1. of a version that a roll-out lets this request reach (``rollouts/versions``): nothing gets around it, 2.
-in no evacuated zone: nor around this, the operators' request holds also if no other server is left, 3. in a
-region that the route allows: bodies of requests must not leave them, 4. not cold, or within this node's
-share of what a cold server can do (`ColdStarts`), 5. not tried by this request before, 6. not leaving, and
-listed. A server whose entry vanished a moment ago is eligible if no listed one is: entries
-   also vanish when the registry was away (``GatewayOptions.removed_grace_s``).
+1. of a version that a roll-out lets this request reach (``rollouts/versions``), even if no other is left,
+2. in no evacuated zone, even if no other server is left: operators must be able to rely on it,
+3. in a region that the route allows, since bodies of requests must not leave these,
+4. not cold, or within this node's share of what a cold server can do (`ColdStarts`),
+5. not tried by this request before,
+6. listed and not leaving. A server whose entry vanished a moment ago is eligible if no listed one is:
+   entries also vanish when the registry was away (``GatewayOptions.removed_grace_s``).
 
 Ejection, refused connections and peers' suspicions do not exclude a server: they make it a worse choice
 (`selection`). A suspicion is applied only while a server that nobody suspects is left.
--- a/src/yokesill/gateway/servers/selection.py
+++ b/src/yokesill/gateway/servers/selection.py
@@ -3,16 +3,18 @@
 Inputs: the eligible servers (`eligibility`), what the attempt needs (`SelectionCriteria`), the node's clock
 in seconds, a source of random numbers for ties. In this order, the first group that isn't empty:
 
-1. sound servers with a free connection in this node's subset, 2. other sound ones with a free connection,
-3. other sound ones that rejected nothing just now, 4. other sound ones: by expected latency. 5. servers
-that are slow, stalled, refuse connections or are suspected: by expected latency, with the wait for a
-   pacing slot.
-6. failing servers, if the request has no other service to get an answer from.
-
-Of a group the least expected latency wins; among near equals the nearest, and among equally near ones
-chance. Measured with ``bench/overload.py``, five seeds, where pacing and subsets of shards came together:
-with all servers of two shards slow or dark, searches never answered 0.214 -> 0.063
-(``docs/design/overload.md``).
+1. Sound servers with a free connection that are in this node's subset.
+2. Other sound servers with a free connection.
+3. Other sound servers that rejected nothing just now.
+4. Other sound servers.
+5. Servers that are slow, stalled, suspected or refuse connections. Their expected latency includes the wait
+   for a pacing slot.
+6. Failing servers, if the request has no other service to get an answer from. Once its ejection is over a
+   failing server counts as sound for one attempt.
+
+Of a group the least expected latency wins, among near equals the nearest, among equally near ones chance.
+What pacing and skipping slow shards buy together, ``bench/overload.py``, five seeds: with all servers of two
+shards slow or dark, searches never answered 0.214 -> 0.063 (``docs/design/overload.md``).
 """
 
 import random
