--- a/src/yokesill/outliers/messages.py
+++ b/src/yokesill/outliers/messages.py
@@ -1,6 +1,7 @@
 """What nodes tell each other of slow and failing servers: observations, and suspicions found from them."""
 
 from collections.abc import Callable
+from functools import singledispatch
 from typing import Any, NamedTuple
 
 from yokesill.peers.frame import Kind, count, decode_frame, encode_frame, text
@@ -46,10 +47,19 @@
 Message = Observations | Suspicions
 
 
-def encode(message: Message) -> bytes:
+@singledispatch
+def encode(message: Any) -> bytes:
     """Return a message's datagram."""
-    if isinstance(message, Observations):
-        return encode_frame(Kind.OBSERVATIONS, [list(each) for each in message.observations])
+    raise TypeError(f"no datagram for {type(message).__name__}")
+
+
+@encode.register
+def _(message: Observations) -> bytes:
+    return encode_frame(Kind.OBSERVATIONS, [list(each) for each in message.observations])
+
+
+@encode.register
+def _(message: Suspicions) -> bytes:
     pairs = [[each.instance, round(each.for_s * 1000)] for each in message.suspicions]
     return encode_frame(Kind.SUSPICIONS, pairs, message.relay)
 
--- a/src/yokesill/quarantine/messages.py
+++ b/src/yokesill/quarantine/messages.py
@@ -1,6 +1,7 @@
 """What nodes tell each other of requests that crash servers: losses, answers, and findings."""
 
 from collections.abc import Callable
+from functools import singledispatch
 from typing import Any, NamedTuple
 
 from yokesill.peers.frame import Kind, decode_frame, encode_frame, name
@@ -57,12 +58,24 @@
 Message = Losses | Answers | QuarantineFindings
 
 
-def encode(message: Message) -> bytes:
+@singledispatch
+def encode(message: Any) -> bytes:
     """Return a message's datagram."""
-    if isinstance(message, Losses):
-        return encode_frame(Kind.LOSSES, [[each.fingerprint, *each.loss] for each in message.losses])
-    if isinstance(message, Answers):
-        return encode_frame(Kind.ANSWERS, [list(each) for each in message.answers])
+    raise TypeError(f"no datagram for {type(message).__name__}")
+
+
+@encode.register
+def _(message: Losses) -> bytes:
+    return encode_frame(Kind.LOSSES, [[each.fingerprint, *each.loss] for each in message.losses])
+
+
+@encode.register
+def _(message: Answers) -> bytes:
+    return encode_frame(Kind.ANSWERS, [list(each) for each in message.answers])
+
+
+@encode.register
+def _(message: QuarantineFindings) -> bytes:
     entries = [[each.fingerprint, int(each.status)] for each in message.findings]
     return encode_frame(Kind.QUARANTINE_FINDINGS, entries, message.relay)
 
--- a/src/yokesill/rollouts/datagrams.py
+++ b/src/yokesill/rollouts/datagrams.py
@@ -1,7 +1,8 @@
 """Splits reports and decisions on roll-outs into datagrams; of samples, the latest are kept."""
 
 from collections.abc import Iterable, Iterator
-from typing import TypeVar
+from functools import singledispatch
+from typing import Any, TypeVar
 
 import cbor2
 
@@ -29,19 +30,26 @@
     return by_size(pieces, ENTRIES_BYTES, _size_bytes)
 
 
-def _pieces(entry: _Entry) -> Iterator[_Entry]:
+@singledispatch
+def _pieces(entry: Any) -> Iterator[Any]:
     """Return an entry in pieces of as many samples as one may have."""
-    if isinstance(entry, OrderDecision):
-        yield entry
-        return
+    yield entry
+
+
+@_pieces.register
+def _(entry: OrderReport) -> Iterator[Any]:
     for start in range(0, max(1, len(entry.samples)), SAMPLES_PER_ENTRY):
         yield entry._replace(samples=entry.samples[start : start + SAMPLES_PER_ENTRY])
 
 
-def _shortened(entry: _Entry) -> _Entry:
+@singledispatch
+def _shortened(entry: Any) -> Any:
     """Return an entry without the oldest samples that don't fit."""
-    if isinstance(entry, OrderDecision):
-        return entry
+    return entry
+
+
+@_shortened.register
+def _(entry: OrderReport) -> Any:
     while entry.samples and _size_bytes(entry) > ENTRIES_BYTES:
         entry = entry._replace(samples=entry.samples[1:])
     return entry
--- a/src/yokesill/rollouts/messages.py
+++ b/src/yokesill/rollouts/messages.py
@@ -5,6 +5,7 @@
 """
 
 from collections.abc import Callable
+from functools import singledispatch
 from typing import Any, NamedTuple
 
 from yokesill.peers.frame import Kind, count, decode_frame, encode_frame, text
@@ -78,22 +79,41 @@
 Message = RolloutReport | RolloutDecisions
 
 
-def encode(message: Message) -> bytes:
+@singledispatch
+def encode(message: Any) -> bytes:
     """Return a message's datagram."""
+    raise TypeError(f"no datagram for {type(message).__name__}")
+
+
+@encode.register
+def _(message: RolloutReport) -> bytes:
+    entries = [entry_to_wire(each) for each in message.orders]
+    return encode_frame(Kind.ROLLOUT_REPORT, message.node, message.incarnation, entries)
+
+
+@encode.register
+def _(message: RolloutDecisions) -> bytes:
     entries = [entry_to_wire(each) for each in message.orders]
-    if isinstance(message, RolloutReport):
-        return encode_frame(Kind.ROLLOUT_REPORT, message.node, message.incarnation, entries)
     valid_ms = round(message.valid_s * 1000)
     return encode_frame(Kind.ROLLOUT_DECISIONS, message.node, message.reaches_registry, valid_ms, entries)
 
 
-def entry_to_wire(entry: OrderReport | OrderDecision) -> list[Any]:
+@singledispatch
+def entry_to_wire(entry: Any) -> list[Any]:
     """Return one order's entry as its message carries it."""
-    order = [list(entry.order), entry.state.value]
-    if isinstance(entry, OrderDecision):
-        return [*order, entry.share, round(entry.elapsed_s * 1000)]
+    raise TypeError(f"no entry of a datagram: {type(entry).__name__}")
+
+
+@entry_to_wire.register
+def _(entry: OrderReport) -> list[Any]:
+    counts = [entry.sent_old, entry.sent_new, entry.old_in_flight]
     samples = [_sample_to_wire(sample) for sample in entry.samples]
-    return [*order, entry.sent_old, entry.sent_new, entry.old_in_flight, samples]
+    return [list(entry.order), entry.state.value, *counts, samples]
+
+
+@entry_to_wire.register
+def _(entry: OrderDecision) -> list[Any]:
+    return [list(entry.order), entry.state.value, entry.share, round(entry.elapsed_s * 1000)]
 
 
 def decode(data: bytes) -> Message:
