--- a/bench/startup.py
+++ b/bench/startup.py
@@ -62,7 +62,7 @@
     "callers' socket": "import yokesill.platform.start",
     "imports": (
         "import yokesill.platform.start\n"
-        "try:\n    import yokesill.lazy_imports\n    yokesill.lazy_imports.leave_out()\n"
+        "try:\n    import yokesill.lazy_imports\n    yokesill.lazy_imports.install()\n"
         "except ImportError:\n    pass  # A checkout that loads everything.\n"
         "import yokesill.platform.main"
     ),
--- a/src/yokesill/callers/application.py
+++ b/src/yokesill/callers/application.py
@@ -30,7 +30,7 @@
 # Bounds what a caller can put into each log line of its request. Chosen, not measured.
 REQUEST_ID_LIMIT_BYTES = 128
 # A request that arrives just before a starting node is ready is answered instead of refused; the wait takes
-# from the request's latency objective. Chosen, not measured: below the objectives in use (140 ms and more).
+# from the request's latency objective. Chosen, not measured.
 FIRST_CONFIGURATION_WAIT_S = 0.12
 
 
--- a/src/yokesill/cli/demo_queries.py
+++ b/src/yokesill/cli/demo_queries.py
@@ -28,8 +28,8 @@
 HOST = "127.0.0.1"
 DEMO_TOKEN = "demo-administrator"
 QUERIES_A_CLASS = 3
-READY_POLL = 0.05
-READY_TIMEOUT = 10.0
+READY_POLL_S = 0.05
+READY_TIMEOUT_S = 10.0
 
 
 class DemoQueriesCommand(BaseCommand):
@@ -72,15 +72,15 @@
     async def _use(self, node: Node, scenario: Scenario, documents: dict[str, dict[str, Any]]) -> int:
         """Apply the configuration and query; return how many calls failed."""
         client = AdminClient(node.settings.node.address, DEMO_TOKEN)
-        with anyio.fail_after(READY_TIMEOUT):
+        with anyio.fail_after(READY_TIMEOUT_S):
             while not node.ready:
-                await anyio.sleep(READY_POLL)
+                await anyio.sleep(READY_POLL_S)
         failed = 0
         for key, value in documents.items():
             failed += await self._apply(client, key, value)
-        with anyio.fail_after(READY_TIMEOUT):
+        with anyio.fail_after(READY_TIMEOUT_S):
             while any(not each.holdings for each in node.router.servers.all()):
-                await anyio.sleep(READY_POLL)
+                await anyio.sleep(READY_POLL_S)
         failed += await self._query_all(client, scenario)
         await client.aclose()
         return failed
--- a/src/yokesill/cli/load.py
+++ b/src/yokesill/cli/load.py
@@ -18,7 +18,7 @@
 from yokesill.verdict import Failure
 
 HOST = "127.0.0.1"
-EXECUTIONS_TIMEOUT = 20.0
+EXECUTIONS_TIMEOUT_S = 20.0
 
 
 class LoadCommand(BaseCommand):
@@ -77,7 +77,7 @@
         executions: list[Execution] = []
         for placed in place_servers(scenario, HOST, int(self.option("first-port"))):
             url = f"http://{placed.profile.address}/executions"
-            reply = await client.call("GET", url, EXECUTIONS_TIMEOUT)
+            reply = await client.call("GET", url, EXECUTIONS_TIMEOUT_S)
             if not isinstance(reply, Failure):
                 executions.extend(Execution(**each) for each in json.loads(reply.body)["executions"])
         await client.aclose()
--- a/src/yokesill/cli/serve.py
+++ b/src/yokesill/cli/serve.py
@@ -18,8 +18,8 @@
 from yokesill.settings import Settings, load_settings
 from yokesill.store.http_store import HttpStore
 
-CONNECTION_GRACE = 1.0
-STOP_POLL = 0.01
+CONNECTION_GRACE_S = 1.0
+STOP_POLL_S = 0.01
 
 
 class ServeCommand(BaseCommand):
@@ -55,10 +55,10 @@
         task_group.start_soon(_stop_on_signal, node)
         task_group.start_soon(server.serve)
         await node.run()
-        await server.finish_connections(CONNECTION_GRACE)
+        await server.finish_connections(CONNECTION_GRACE_S)
         server.should_exit = True
         while server.server_state.connections:
-            await anyio.sleep(STOP_POLL)
+            await anyio.sleep(STOP_POLL_S)
         task_group.cancel_scope.cancel()
     return int(ExitCode.OK)
 
--- a/src/yokesill/comm/http_reply.py
+++ b/src/yokesill/comm/http_reply.py
@@ -1,9 +1,15 @@
-"""Collects one HTTP/1.1 reply from httptools, uvicorn's parser; parses nothing itself."""
+"""Reads one HTTP/1.1 reply with httptools, uvicorn's parser.
+
+Shared by connections to servers, coordinators and the registry. Owns the bytes of one reply until it is
+complete; anything that is not exactly one reply raises ``ReplyError`` or is marked as ``surplus``.
+"""
 
 import httptools
 
+# Bound the memory that one reply can use. Chosen, not measured.
 MAXIMUM_HEAD_BYTES = 64 * 1024
 MAXIMUM_BODY_BYTES = 32 * 1024 * 1024
+# Statuses whose replies have no body whatever their headers say (RFC 9112, section 6.3).
 BODILESS_STATUS = frozenset({204, 304})
 
 
--- a/src/yokesill/gc_tuning.py
+++ b/src/yokesill/gc_tuning.py
@@ -1,25 +1,25 @@
-"""When the interpreter looks for cycles of garbage: not while a node starts.
+"""When the garbage collector runs: not while a node starts, and never over what was there by then.
 
-What is made while a node loads its modules and its first lists stays until its end; looking through
-it for garbage takes 6 in 100 of the start's processor time, and every later look at everything takes
-8 ms of a node's answers for 28,000 objects. So the collector is off until the node listens, and what
-was there by then, and when it became ready, is not looked through again.
+Modules and first lists live until the process ends. Collecting among them costs 6% of the start's processor
+time, and each later full collection 8 ms of a node's answers for 28,000 objects
+(``docs/design/startup-and-memory.md``). So the collector is off until the node listens, and objects of that
+moment, and of the moment at which it is ready, are frozen.
 """
 
 import gc
 
-_postponed = False
+_paused = False
 
 
-def postpone() -> None:
-    """Collect nothing until ``keep_for_good``; only whoever starts a process calls it."""
-    global _postponed  # noqa: PLW0603 (the collector is one of the process, too)
-    _postponed = True
+def pause() -> None:
+    """Collect nothing until ``freeze``; only the entry point of a process calls it."""
+    global _paused  # noqa: PLW0603 (the collector is one of the process, too)
+    _paused = True
     gc.disable()
 
 
-def keep_for_good() -> None:
-    """Take what is there out of collections, and begin to collect; nothing where it was not postponed."""
-    if _postponed:
+def freeze() -> None:
+    """Exclude all present objects from collections, and collect from now on; only after ``pause``."""
+    if _paused:
         gc.freeze()
         gc.enable()
--- a/src/yokesill/lazy_imports.py
+++ b/src/yokesill/lazy_imports.py
@@ -3,8 +3,8 @@
 A node's processor time from its start to its first answer is what callers wait for after everything
 was killed, and what is loaded is held until the end. uvicorn's package loads its command line and
 what starts further processes, asyncio loads TLS, structlog thread-local contexts: a node uses none
-of them. ``leave_out`` puts a placeholder in their place before anything loads them. What is used of
-a placeholder all the same loads the real module.
+of them. ``install`` puts a placeholder in their place before anything loads them. Using what a placeholder
+doesn't have loads the real module.
 
 Only the entry point of a node calls it: commands, tests and benches load the libraries whole.
 """
@@ -23,7 +23,7 @@
     "structlog.threadlocal": (),
     "uvicorn.main": ("main", "run"),
 }
-# What a left out module only takes from another one.
+# What a placeholder's module itself imports from another one.
 ELSEWHERE = {("uvicorn.main", "Server"): "uvicorn.server"}
 # What asyncio, anyio, uvicorn and prometheus-client name of TLS when they are loaded, or ask whether a
 # socket is one of. Without TLS nothing is; whoever comes to use it takes ``ssl`` out of here.
@@ -42,20 +42,20 @@
         return getattr(importlib.import_module(elsewhere) if elsewhere else _load(self.__name__), name)
 
 
-def leave_out() -> None:
-    """Put placeholders in the place of what is not loaded yet."""
+def install() -> None:
+    """Put placeholders in the place of modules that are not loaded yet."""
     for name, functions in LATER.items():
         if name not in sys.modules:
             placeholder = Placeholder(name)
             placeholder.__dict__.update({each: _later(name, each) for each in functions})
             sys.modules[name] = placeholder
-            _tell_package(placeholder)
+            _set_in_package(placeholder)
     if "ssl" not in sys.modules:
         sys.modules["ssl"] = _tls_placeholder()
     _load_hashes_alone()
 
 
-def _tell_package(placeholder: Placeholder) -> None:
+def _set_in_package(placeholder: Placeholder) -> None:
     """Make ``logging.config`` work after ``import logging.config``, as a real module does it."""
     package, _, name = placeholder.__name__.rpartition(".")
     if package in sys.stdlib_module_names:
--- a/src/yokesill/platform/start.py
+++ b/src/yokesill/platform/start.py
@@ -21,8 +21,8 @@
     listening = listen_early(arguments[0]) if arguments else None
     from yokesill import gc_tuning, lazy_imports  # noqa: PLC0415 (after the socket is open)
 
-    gc_tuning.postpone()
-    lazy_imports.leave_out()
+    gc_tuning.pause()
+    lazy_imports.install()
     from yokesill.platform.main import run  # noqa: PLC0415 (after the socket is open)
 
     return run(listening)
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -91,7 +91,7 @@
                 listener = create_listener(application)
                 await listener.start(address)
                 self._side_listeners.append(listener)
-        gc_tuning.keep_for_good()
+        gc_tuning.freeze()
         self._log.info("started", node=settings.node, callers=str(settings.callers))
 
     async def _become_ready(self) -> None:
@@ -99,7 +99,7 @@
             await anyio.sleep(POLL_INTERVAL_S)
         self.node.application.synchronised.set()
         self.life_cycle.enter("learnt")
-        gc_tuning.keep_for_good()
+        gc_tuning.freeze()
 
     async def _drain(self) -> None:
         """Report not ready, serve requests that still arrive, then finish those in flight."""
--- a/tests/platform/test_start_is_lean.py
+++ b/tests/platform/test_start_is_lean.py
@@ -16,7 +16,7 @@
 NODE = """
 import sys
 from yokesill import lazy_imports
-lazy_imports.leave_out()
+lazy_imports.install()
 import yokesill.platform.main
 {rest}
 """
@@ -67,16 +67,16 @@
 
 def test_a_process_that_postponed_nothing_collects_as_before() -> None:
     before = gc.get_freeze_count()
-    gc_tuning.keep_for_good()
+    gc_tuning.freeze()
     assert (gc.isenabled(), gc.get_freeze_count()) == (True, before)
 
 
 def test_what_a_start_made_is_not_looked_through_again(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(gc_tuning, "_postponed", False)
+    monkeypatch.setattr(gc_tuning, "_paused", False)
     try:
-        gc_tuning.postpone()
+        gc_tuning.pause()
         assert not gc.isenabled()
-        gc_tuning.keep_for_good()
+        gc_tuning.freeze()
         assert gc.isenabled()
         assert gc.get_freeze_count() > 0
     finally:
