--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -9,23 +9,13 @@
 from functools import partial
 from typing import NamedTuple
 
-import anyio
-
 from yokesill.callers.application import GatewayApplication
-from yokesill.callers.listener import Listener, create_listener
-from yokesill.coordinators.client import CoordinatorClient
+from yokesill.callers.listener import Listener
 from yokesill.coordinators.coordinator import CoordinatorApplication
-from yokesill.coordinators.forwarding import Forwarder
-from yokesill.coordinators.remote_coordinators import RemoteCoordinators
 from yokesill.gateway.events import ConfigurationLearnt, Event, NodesCounted
-from yokesill.gateway.forwarding import CoordinatorChoice
-from yokesill.gateway.messages import GatewayRequest
-from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
-from yokesill.logs import LogOutput, get_logger
-from yokesill.quarantine.detector import QuarantineStatus
-from yokesill.registry.feed_states import CONFIGURATION, EVACUATIONS, QUARANTINE, ROLLOUTS, SERVERS
-from yokesill.registry.following import FollowedFeed, RegistryFollowing
+from yokesill.logs import LogOutput
+from yokesill.registry.following import RegistryFollowing
 from yokesill.registry.node_presence import NodePresence
 from yokesill.registry.peer_bootstrap import PeerBootstrap
 from yokesill.registry.stream_connection import connect_tcp
@@ -39,13 +29,19 @@
 from yokesill.serving.peer_changes import PeerChanges
 from yokesill.serving.probes import ProbeApplication
 from yokesill.serving.reachability import Reachability
+from yokesill.serving.request_path import (
+    Callers,
+    Core,
+    Registry,
+    create_callers,
+    create_core,
+    create_registry,
+)
 from yokesill.serving.rollout_link import RolloutLink
 from yokesill.serving.rollout_port import create_rollout_link
 from yokesill.serving.settings import GatewaySettings
-from yokesill.serving.state_snapshot import configuration_version, snapshot_of, whole_feed
+from yokesill.serving.state_snapshot import configuration_version, snapshot_of
 from yokesill.telemetry.figures import GatewayFigures
-from yokesill.telemetry.observer import Observer
-from yokesill.upstreams.server_client import ServerClient
 
 
 class NodeComponents(NamedTuple):
@@ -69,36 +65,6 @@
     peers: PeerApplication
 
 
-class _Core(NamedTuple):
-    """What all other components are built on."""
-
-    settings: GatewaySettings
-    dependencies: Dependencies
-    options: GatewayOptions
-    source: random.Random
-    figures: GatewayFigures
-    observer: Observer
-    router: GatewayRouter
-    client: ServerClient
-    driver: GatewayDriver
-    key_prefix: str
-
-
-class _Registry(NamedTuple):
-    """What keeps the router up to date, and finds coordinators by it."""
-
-    updates: FeedUpdates
-    following: RegistryFollowing
-    remote_coordinators: RemoteCoordinators
-
-
-class _Callers(NamedTuple):
-    """What serves callers."""
-
-    application: GatewayApplication
-    listener: Listener
-
-
 class _Exchanges(NamedTuple):
     """What a node does together with the others."""
 
@@ -132,9 +98,9 @@
     ValueError
         A name in ``settings.switched_off`` is no switch.
     """
-    core = _create_core(settings, dependencies, source, now)
-    registry = _create_registry(core)
-    callers = _create_callers(core, registry)
+    core = create_core(settings, dependencies, source, now)
+    registry = create_registry(core)
+    callers = create_callers(core, registry)
     exchanges = _create_exchanges(core, registry, callers, life_cycle)
     side = _create_side_services(core, registry, callers, exchanges, life_cycle, output)
     return NodeComponents(
@@ -150,81 +116,7 @@
     )
 
 
-def _create_core(
-    settings: GatewaySettings, dependencies: Dependencies, source: random.Random, now: float
-) -> _Core:
-    options = settings.options()
-    figures = GatewayFigures()
-    observer = Observer(get_logger("requests"), figures)
-    router = GatewayRouter(options, source, now)
-    client = ServerClient(dependencies.names)
-    driver = GatewayDriver(router, client, observer.log_event)
-    key_prefix = f"{settings.node}-{source.getrandbits(32):08x}"
-    return _Core(
-        settings, dependencies, options, source, figures, observer, router, client, driver, key_prefix
-    )
-
-
-def _create_registry(core: _Core) -> _Registry:
-    dependencies = core.dependencies
-    updates = FeedUpdates(
-        core.driver,
-        awaits_quarantine=dependencies.quarantine is not None,
-        awaits_rollouts=dependencies.rollouts is not None,
-    )
-    following = RegistryFollowing(
-        core.settings,
-        _followed_feeds(dependencies, core.driver, updates),
-        partial(whole_feed, core.router),
-        core.options.few_watchers,
-        core.source,
-    )
-    return _Registry(updates, following, RemoteCoordinators(core.options, core.router.servers))
-
-
-def _followed_feeds(
-    dependencies: Dependencies, driver: GatewayDriver, updates: FeedUpdates
-) -> dict[str, FollowedFeed]:
-    feeds = {
-        CONFIGURATION: FollowedFeed(dependencies.configuration, updates.apply),
-        SERVERS: FollowedFeed(dependencies.servers, driver.feed),
-    }
-    if dependencies.evacuations is not None:
-        feeds[EVACUATIONS] = FollowedFeed(dependencies.evacuations, driver.feed)
-    if dependencies.quarantine is not None:
-        feeds[QUARANTINE] = FollowedFeed(dependencies.quarantine, driver.feed)
-    if dependencies.rollouts is not None:
-        feeds[ROLLOUTS] = FollowedFeed(dependencies.rollouts, updates.apply)
-    return feeds
-
-
-def _create_callers(core: _Core, registry: _Registry) -> _Callers:
-    forwarder = None
-    if core.options.hands_over:
-        forwarder = Forwarder(
-            CoordinatorChoice(core.settings.node),
-            CoordinatorClient(),
-            registry.following.coordinators,
-            lambda: core.router.configuration,
-            core.observer,
-            registry.remote_coordinators,
-            partial(_is_suspected, core.router),
-        )
-    application = GatewayApplication(
-        core.driver, core.dependencies.names, core.observer, core.key_prefix, forwarder
-    )
-    listener = create_listener(application)
-    return _Callers(application, listener)
-
-
-def _is_suspected(router: GatewayRouter, request: GatewayRequest) -> bool:
-    """Whether a request may crash servers: if a coordinator failed, two nodes would send it."""
-    return router.quarantine.status(request, anyio.current_time()) > QuarantineStatus.CLEAR
-
-
-def _create_exchanges(
-    core: _Core, registry: _Registry, callers: _Callers, life_cycle: LifeCycle
-) -> _Exchanges:
+def _create_exchanges(core: Core, registry: Registry, callers: Callers, life_cycle: LifeCycle) -> _Exchanges:
     driver, source, contact = core.driver, core.source, registry.following.contact
     records = core.dependencies.quarantine_records
     findings = Findings(contact, core.settings.datagrams, driver, records, source)
@@ -247,7 +139,7 @@
     return _Exchanges(findings, rollouts, reachability, bootstrap, presence)
 
 
-def _create_rollout_link(core: _Core, following: RegistryFollowing) -> RolloutLink | None:
+def _create_rollout_link(core: Core, following: RegistryFollowing) -> RolloutLink | None:
     limits, records = core.settings.rollouts, core.dependencies.rollout_records
     if limits is None or records is None:
         return None
@@ -262,7 +154,7 @@
         listener.set_limits(limits.header_timeout_s, limits.idle_timeout_s)
 
 
-def _create_reachability(core: _Core, application: GatewayApplication, life_cycle: LifeCycle) -> Reachability:
+def _create_reachability(core: Core, application: GatewayApplication, life_cycle: LifeCycle) -> Reachability:
     driver = core.driver
 
     def partition_changed(partitioned: bool) -> None:
@@ -279,7 +171,7 @@
     )
 
 
-def _create_peer_bootstrap(core: _Core, registry: _Registry) -> PeerBootstrap:
+def _create_peer_bootstrap(core: Core, registry: Registry) -> PeerBootstrap:
     updates, following = registry.updates, registry.following
 
     def apply_from_peer(event: Event) -> None:
@@ -290,9 +182,9 @@
 
 
 def _create_side_services(
-    core: _Core,
-    registry: _Registry,
-    callers: _Callers,
+    core: Core,
+    registry: Registry,
+    callers: Callers,
     exchanges: _Exchanges,
     life_cycle: LifeCycle,
     output: LogOutput,
--- /dev/null
+++ b/src/yokesill/serving/request_path.py
@@ -0,0 +1,137 @@
+"""Makes the components on a request's path: router and driver, their feeds, and what serves callers.
+
+The first stages of ``builder``, which makes what a node does together with others on top. Owns nothing.
+"""
+
+import random
+from functools import partial
+from typing import NamedTuple
+
+import anyio
+
+from yokesill.callers.application import GatewayApplication
+from yokesill.callers.listener import Listener, create_listener
+from yokesill.coordinators.client import CoordinatorClient
+from yokesill.coordinators.forwarding import Forwarder
+from yokesill.coordinators.remote_coordinators import RemoteCoordinators
+from yokesill.gateway.forwarding import CoordinatorChoice
+from yokesill.gateway.messages import GatewayRequest
+from yokesill.gateway.options import GatewayOptions
+from yokesill.gateway.router import GatewayRouter
+from yokesill.logs import get_logger
+from yokesill.quarantine.detector import QuarantineStatus
+from yokesill.registry.feed_states import CONFIGURATION, EVACUATIONS, QUARANTINE, ROLLOUTS, SERVERS
+from yokesill.registry.following import FollowedFeed, RegistryFollowing
+from yokesill.serving.dependencies import Dependencies
+from yokesill.serving.driver import GatewayDriver
+from yokesill.serving.feed_updates import FeedUpdates
+from yokesill.serving.settings import GatewaySettings
+from yokesill.serving.state_snapshot import whole_feed
+from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.observer import Observer
+from yokesill.upstreams.server_client import ServerClient
+
+
+class Core(NamedTuple):
+    """What all other components are built on."""
+
+    settings: GatewaySettings
+    dependencies: Dependencies
+    options: GatewayOptions
+    source: random.Random
+    figures: GatewayFigures
+    observer: Observer
+    router: GatewayRouter
+    client: ServerClient
+    driver: GatewayDriver
+    key_prefix: str
+
+
+class Registry(NamedTuple):
+    """What keeps the router up to date, and finds coordinators by it."""
+
+    updates: FeedUpdates
+    following: RegistryFollowing
+    remote_coordinators: RemoteCoordinators
+
+
+class Callers(NamedTuple):
+    """What serves callers."""
+
+    application: GatewayApplication
+    listener: Listener
+
+
+def create_core(
+    settings: GatewaySettings, dependencies: Dependencies, source: random.Random, now: float
+) -> Core:
+    """Return what all other components are built on."""
+    options = settings.options()
+    figures = GatewayFigures()
+    observer = Observer(get_logger("requests"), figures)
+    router = GatewayRouter(options, source, now)
+    client = ServerClient(dependencies.names)
+    driver = GatewayDriver(router, client, observer.log_event)
+    key_prefix = f"{settings.node}-{source.getrandbits(32):08x}"
+    return Core(
+        settings, dependencies, options, source, figures, observer, router, client, driver, key_prefix
+    )
+
+
+def create_registry(core: Core) -> Registry:
+    """Return what keeps the router up to date."""
+    dependencies = core.dependencies
+    updates = FeedUpdates(
+        core.driver,
+        awaits_quarantine=dependencies.quarantine is not None,
+        awaits_rollouts=dependencies.rollouts is not None,
+    )
+    following = RegistryFollowing(
+        core.settings,
+        _followed_feeds(dependencies, core.driver, updates),
+        partial(whole_feed, core.router),
+        core.options.few_watchers,
+        core.source,
+    )
+    return Registry(updates, following, RemoteCoordinators(core.options, core.router.servers))
+
+
+def _followed_feeds(
+    dependencies: Dependencies, driver: GatewayDriver, updates: FeedUpdates
+) -> dict[str, FollowedFeed]:
+    feeds = {
+        CONFIGURATION: FollowedFeed(dependencies.configuration, updates.apply),
+        SERVERS: FollowedFeed(dependencies.servers, driver.feed),
+    }
+    if dependencies.evacuations is not None:
+        feeds[EVACUATIONS] = FollowedFeed(dependencies.evacuations, driver.feed)
+    if dependencies.quarantine is not None:
+        feeds[QUARANTINE] = FollowedFeed(dependencies.quarantine, driver.feed)
+    if dependencies.rollouts is not None:
+        feeds[ROLLOUTS] = FollowedFeed(dependencies.rollouts, updates.apply)
+    return feeds
+
+
+def create_callers(core: Core, registry: Registry) -> Callers:
+    """Return what serves callers."""
+    forwarder = None
+    if core.options.hands_over:
+        forwarder = Forwarder(
+            CoordinatorChoice(core.settings.node),
+            CoordinatorClient(),
+            registry.following.coordinators,
+            lambda: core.router.configuration,
+            core.observer,
+            registry.remote_coordinators,
+            partial(_is_suspected, core.router),
+        )
+    application = GatewayApplication(
+        core.driver, core.dependencies.names, core.observer, core.key_prefix, forwarder
+    )
+    listener = create_listener(application)
+    return Callers(application, listener)
+
+
+def _is_suspected(router: GatewayRouter, request: GatewayRequest) -> bool:
+    """Whether a request may crash servers: if a coordinator failed, two nodes would send it."""
+    return router.quarantine.status(request, anyio.current_time()) > QuarantineStatus.CLEAR
