--- a/src/yokesill/cluster/gossip.py
+++ b/src/yokesill/cluster/gossip.py
@@ -1,4 +1,8 @@
-"""Drives the failure detector over datagrams and merges the rumors that arrive."""
+"""Drives the failure detector over datagrams and merges the rumors that arrive.
+
+Owns what is sent between ticks, and which peers' digests differ (``sync`` brings those up to date). Notices
+when the node itself was paused. Relies on ``membership.detector`` for every decision on members.
+"""
 
 import random
 from collections.abc import Callable
@@ -16,10 +20,17 @@
 from yokesill.replication.replica import ConfigurationReplica
 from yokesill.resources.objects import StoredObject
 
-TICK = 0.1
-PAUSE_THRESHOLD = 1.0
-QUIET_BEFORE_SYNC = 1.5
-BULK = 8
+# How often the detector runs. Chosen, not measured: short against its probe interval of a second.
+TICK_S = 0.1
+# A tick later than this means that the node was paused: it confirms its configuration before it serves on.
+# Chosen, not measured: above what a busy machine delays a tick.
+PAUSE_THRESHOLD_S = 1.0
+# Digests that still differ so long after the last change are synchronised; rumors reach every member by then.
+# Chosen, not measured.
+QUIET_BEFORE_SYNC_S = 1.5
+# More rumors than this at once are a node's catching up, known to the others, and not passed on. Chosen, not
+# measured.
+BULK_RUMORS = 8
 
 
 class Gossip:
@@ -62,14 +73,14 @@
         last = anyio.current_time()
         while True:
             now = anyio.current_time()
-            if now - last > TICK + PAUSE_THRESHOLD:
+            if now - last > TICK_S + PAUSE_THRESHOLD_S:
                 self._log.warning("paused", seconds=round(now - last, 1))
                 self.detector.resumed(now)
                 self.on_pause()
             last = now
             self._outgoing.extend(self.detector.tick(now))
             await self._flush()
-            with anyio.move_on_after(TICK):
+            with anyio.move_on_after(TICK_S):
                 await self._wake.wait()
             self._wake = anyio.Event()
 
@@ -130,8 +141,8 @@
         self._spread_few([record for record in records if self.detector.learn(record, now)])
 
     def _spread_few(self, rumors: list[Rumor]) -> None:
-        """Pass news on, unless it comes in bulk: then this node was behind, and the others know it."""
-        if len(rumors) <= BULK:
+        """Pass rumors on unless they come in bulk: then this node was behind and the others know them."""
+        if len(rumors) <= BULK_RUMORS:
             self.spread(rumors)
 
     def _compare_digests(self, packet: Packet, now: float) -> None:
@@ -140,7 +151,7 @@
         same_members = packet.member_digest == self.table.digest
         if same_config and same_members:
             self.differing_peers.pop(packet.sender, None)
-        elif not same_config and now - self._replica.changed_at > QUIET_BEFORE_SYNC:
+        elif not same_config and now - self._replica.changed_at > QUIET_BEFORE_SYNC_S:
             self.differing_peers.setdefault(packet.sender, now)
 
     async def _flush(self) -> None:
--- a/src/yokesill/cluster/sync.py
+++ b/src/yokesill/cluster/sync.py
@@ -1,4 +1,9 @@
-"""Bulk synchronisation between nodes: on joining, after a pause, and where digests differ."""
+"""Bulk synchronisation between nodes: on joining, after a pause, and where digests differ.
+
+Answers peers' requests for objects and members and makes this node's own. ``barrier`` is what a node waits
+for before it serves; ``push`` spreads an accepted change before rumors do. Modelled in
+``spec/configuration.pml``.
+"""
 
 import random
 
@@ -15,10 +20,16 @@
 from yokesill.resources.objects import StoredObject
 from yokesill.verdict import Failure, Reason, Verdict
 
-SYNC_TIMEOUT = 2.0
-SYNC_INTERVAL = 0.5
+# How long a peer may take to answer; a whole state is some megabytes. Chosen, not measured.
+SYNC_TIMEOUT_S = 2.0
+# How often peers whose digests differ are synchronised. Chosen, not measured: within the 5 s of a change's
+# bound.
+SYNC_INTERVAL_S = 0.5
+# So many peers confirm a starting node's configuration, since one may be behind. Chosen, not measured.
 BARRIER_PEERS = 3
-PUSH_TIMEOUT = 1.0
+# An operator waits for a pushed change, so less than a synchronisation. Chosen, not measured.
+PUSH_TIMEOUT_S = 1.0
+# Peers that get a change at once, in different zones first; rumors bring it to the rest.
 PUSH_PEERS = 3
 
 
@@ -121,7 +132,7 @@
         have: list[str] = []
 
         async def push_to(address: str) -> None:
-            if await self._request(address, msg.PUSH, body, PUSH_TIMEOUT) is not None:
+            if await self._request(address, msg.PUSH, body, PUSH_TIMEOUT_S) is not None:
                 have.append(address)
 
         async with anyio.create_task_group() as task_group:
@@ -132,7 +143,7 @@
     async def run(self) -> None:
         """Fetch what notices told of and sync with peers that differ, until cancelled."""
         while True:
-            await anyio.sleep(SYNC_INTERVAL * (0.8 + 0.4 * self._random.random()))
+            await anyio.sleep(SYNC_INTERVAL_S * (0.8 + 0.4 * self._random.random()))
             await self._fetch_noticed()
             if self._gossip.differing_peers:
                 address = self._random.choice(list(self._gossip.differing_peers))
@@ -151,7 +162,7 @@
                 self._merge(msg.decode_objects(answer))
 
     async def _request(
-        self, address: str, kind: str, body: bytes, timeout: float = SYNC_TIMEOUT
+        self, address: str, kind: str, body: bytes, timeout: float = SYNC_TIMEOUT_S
     ) -> bytes | None:
         answer = await self._transport.request(address, kind, self._sealer.seal(body), timeout)
         if isinstance(answer, Failure):
--- a/src/yokesill/cluster/watcher.py
+++ b/src/yokesill/cluster/watcher.py
@@ -1,8 +1,8 @@
-"""The few nodes that watch the store, and how the rest know that it is not their turn.
+"""Which nodes watch the store of ``yokesill serve``, and what a watcher does.
 
-A node watches while it is among the first of its region's reachable members by rendezvous rank.
-Being a watcher is only an optimisation: two too many, or a paused one, does no harm, because
-objects are merged by revision. So no lease guards it.
+A node watches while it is among the first of its region's reachable members by rendezvous rank. Being a
+watcher is only an optimisation: two too many, or a paused one, does no harm, because objects are merged by
+revision. So no lease guards it.
 """
 
 import random
@@ -16,11 +16,15 @@
 from yokesill.store.base import Store
 from yokesill.verdict import Failure
 
+# Two, since one may be paused or cut off.
 WATCHERS_A_REGION = 2
-RETRY_PAUSE = 0.5
-RETRY_CEILING = 10.0
-RANK_CHECK = 1.0
-MACHINE_LIST_INTERVAL = 1.0
+# After a failed call of the store, doubled up to the ceiling. Chosen, not measured.
+RETRY_PAUSE_S = 0.5
+RETRY_CEILING_S = 10.0
+# How soon a node notices that it has become a watcher. Chosen, not measured: within a change's bound of 5 s.
+RANK_CHECK_S = 1.0
+# How soon leaving machines are noticed. Chosen, not measured: a server's own notice is sooner.
+MACHINE_LIST_INTERVAL_S = 1.0
 RANK_SUBJECT = "store-watcher"
 
 
@@ -67,17 +71,17 @@
             while True:
                 if not self.ranks():
                     self.watching = False
-                    await anyio.sleep(RANK_CHECK)
+                    await anyio.sleep(RANK_CHECK_S)
                     continue
                 self.watching = True
                 await self._follow_objects()
 
     async def _follow_objects(self) -> None:
         """List, then watch until a failure or until it is no longer this node's turn."""
-        pause = RETRY_PAUSE
+        pause = RETRY_PAUSE_S
         while not await self.load():
             await anyio.sleep(pause * (0.5 + self._random.random()))
-            pause = min(RETRY_CEILING, pause * 2)
+            pause = min(RETRY_CEILING_S, pause * 2)
         while self.ranks():
             changes = await self._store.watch(self._revision)
             if isinstance(changes, Failure):
@@ -94,7 +98,7 @@
     async def _follow_machines(self) -> None:
         """Poll the machine list and pass on which servers are leaving."""
         while True:
-            await anyio.sleep(MACHINE_LIST_INTERVAL)
+            await anyio.sleep(MACHINE_LIST_INTERVAL_S)
             if not self.watching:
                 continue
             machines = await self._store.machines()
--- a/src/yokesill/node.py
+++ b/src/yokesill/node.py
@@ -35,8 +35,10 @@
 from yokesill.store.base import Store
 from yokesill.verdict import Failure, Reason, Verdict
 
-BARRIER_PAUSE = 0.3
-IDLE_CHECK = 0.02
+# Before a starting node asks store and peers again. Chosen, not measured.
+BARRIER_PAUSE_S = 0.3
+# How soon a draining node notices that it is idle. Chosen, not measured.
+IDLE_CHECK_S = 0.02
 SERVING_STATES = frozenset({"serving", "lame_duck"})
 
 
@@ -141,7 +143,7 @@
             if answered or loaded:
                 break
             self._log.info("barrier_waits", reason="neither the store nor a peer answered")
-            await anyio.sleep(BARRIER_PAUSE)
+            await anyio.sleep(BARRIER_PAUSE_S)
         self.gossip.rumors.add(self.table.own)
         self._configuration_changed()
         self._enter("synchronised")
@@ -169,7 +171,7 @@
         await self.close_listener()
         with anyio.move_on_after(limits.drain_seconds) as bound:
             while self.queries.in_flight or self.router.queries_in_flight:
-                await anyio.sleep(IDLE_CHECK)
+                await anyio.sleep(IDLE_CHECK_S)
         self._enter("drain_time_over" if bound.cancelled_caught else "idle")
 
     def _enter(self, event: str) -> str:
@@ -190,7 +192,7 @@
             self._resync_wanted = anyio.Event()
             alone = not self.table.peers()
             while not await self.sync.barrier([], 1) and not await self.watcher.load() and not alone:
-                await anyio.sleep(BARRIER_PAUSE)
+                await anyio.sleep(BARRIER_PAUSE_S)
             self._enter("synchronised")
 
     async def _follow_membership(self) -> None:
--- a/src/yokesill/query/calls.py
+++ b/src/yokesill/query/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request as it travels between nodes, and its final answer."""
+"""A caller's request and its final answer, as messages between nodes (CBOR; forms pinned by tests/forms)."""
 
 from dataclasses import dataclass
 from typing import Any
--- a/src/yokesill/query/driver.py
+++ b/src/yokesill/query/driver.py
@@ -1,4 +1,7 @@
-"""The query driver: feeds the router and carries its actions out."""
+"""Feeds the router of ``yokesill serve`` and carries its actions out: attempts, timers, final answers.
+
+Each attempt is a task with a cancel scope; the caller of ``execute`` waits for the query's final answer.
+"""
 
 from collections.abc import Callable
 
--- a/src/yokesill/query/idempotency.py
+++ b/src/yokesill/query/idempotency.py
@@ -1,8 +1,9 @@
 """Records of requests with an idempotency key, kept in memory by two nodes.
 
-The first two members by rendezvous rank of a key keep its record: the owner, which runs the
-request, and the backup, where the owner reserves the key before anything is sent. Whichever one
-member is lost, restarted or joins between a request and its repeat, the repeat meets a record.
+The first two members by rendezvous rank of a key keep its record: the owner, which runs the request, and the
+backup, where the owner reserves the key before anything is sent. Whichever one member is lost, restarted or
+joins between a request and its repeat, the other one has the record. Two such changes within ``RETENTION_S``
+lose it (docs/PROMISES.md).
 """
 
 from collections import OrderedDict
@@ -12,7 +13,9 @@
 
 from yokesill.routing.events import Answer, Refuse
 
-RETENTION = 600.0
+# How long a repeat is recognised. Chosen, not measured: well beyond the longest deadline of a request.
+RETENTION_S = 600.0
+# Bounds the memory; beyond it keyed requests are refused as overloaded. Chosen, not measured.
 MAXIMUM_RECORDS = 100_000
 
 RecordKey = tuple[str, str, str]
@@ -65,6 +68,6 @@
     def _expire(self, now: float) -> None:
         while self._records:
             oldest = next(iter(self._records.values()))
-            if now - oldest.created_at < RETENTION or (oldest.final is None and not oldest.done.is_set()):
+            if now - oldest.created_at < RETENTION_S or (oldest.final is None and not oldest.done.is_set()):
                 return
             self._records.popitem(last=False)
--- a/src/yokesill/query/owned.py
+++ b/src/yokesill/query/owned.py
@@ -1,4 +1,9 @@
-"""Requests with an idempotency key: routed to the key's owner, reserved at its backup, run once."""
+"""Requests with an idempotency key: forwarded to the key's owner, reserved at its backup, run once.
+
+Relies on the members' ranks, which both sides of a cut compute alike, and on the records of ``idempotency``.
+Verdicts are exact: a request whose owner can't be reached says whether it may have run there. The protocol is
+modelled in ``spec/keys.pml``.
+"""
 
 from collections.abc import Awaitable, Callable
 
@@ -22,9 +27,17 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 OWNED_QUERY, RESERVE, SETTLE = "owned-query", "reserve", "settle"
-RESERVE_TIMEOUT = 0.5
-FORWARD_MARGIN = 1.0
-JOIN_MARGIN = 0.6
+# How long a backup may take to reserve or settle a key. Chosen, not measured: many round trips, yet short
+# against a request's deadline.
+RESERVE_TIMEOUT_S = 0.5
+# A caller's node waits so much longer than the request's deadline: the owner refuses by then, with a truer
+# verdict than a timeout. Chosen, not measured: above ``JOIN_MARGIN_S``.
+FORWARD_MARGIN_S = 1.0
+# A repeat waits so much longer than its deadline for the first request, which may spend RESERVE_TIMEOUT_S
+# more.
+JOIN_MARGIN_S = 0.6
+# When a caller may repeat a refused keyed request: members' changes are noticed within seconds. Chosen, not
+# measured.
 RETRY_AFTER_MS = 1000
 
 Execute = Callable[[QueryCall, str], Awaitable[Answer | Refuse]]
@@ -69,7 +82,7 @@
 
     async def _forward(self, call: QueryCall, query_id: str, owner: str) -> Answer | Refuse:
         body = cbor2.dumps([query_id, encode_call(call)])
-        timeout = call.deadline_ms / 1000 + FORWARD_MARGIN
+        timeout = call.deadline_ms / 1000 + FORWARD_MARGIN_S
         reply = await self._transport.request(owner, OWNED_QUERY, self._sealer.seal(body), timeout)
         if isinstance(reply, Failure):
             detail = f"owner {owner} of the key: {reply.detail}"
@@ -130,14 +143,14 @@
         if backup is not None:
             outcome = None if frees_key else encode_final(final)
             body = cbor2.dumps([list(key), query_id, outcome])
-            await self._transport.request(backup, SETTLE, self._sealer.seal(body), RESERVE_TIMEOUT)
+            await self._transport.request(backup, SETTLE, self._sealer.seal(body), RESERVE_TIMEOUT_S)
 
     async def _join(self, call: QueryCall, record: Record, query_id: str) -> Answer | Refuse:
         """Give a repeat the first request's outcome."""
         if record.fingerprint != call.fingerprint():
             detail = "the idempotency key was used for another request"
             return _refusal(query_id, Reason.KEY_REUSED, Verdict.NOT_RUN, detail)
-        with anyio.move_on_after(call.deadline_ms / 1000 + JOIN_MARGIN):
+        with anyio.move_on_after(call.deadline_ms / 1000 + JOIN_MARGIN_S):
             await record.done.wait()
         if record.final is not None:
             return record.final
@@ -150,7 +163,7 @@
         if backup is None:
             return None
         body = cbor2.dumps([list(key), fingerprint, nonce])
-        reply = await self._transport.request(backup, RESERVE, self._sealer.seal(body), RESERVE_TIMEOUT)
+        reply = await self._transport.request(backup, RESERVE, self._sealer.seal(body), RESERVE_TIMEOUT_S)
         opened = None if isinstance(reply, Failure) else self._sealer.open(reply)
         if opened is None:
             detail = f"backup {backup} of the key does not answer"
--- a/src/yokesill/query/service.py
+++ b/src/yokesill/query/service.py
@@ -1,4 +1,8 @@
-"""Takes callers' requests at a node, and peers' requests about keyed ones, and counts how they end."""
+"""Every query of a node passes here: callers' requests, and peers' requests about keyed ones.
+
+Refuses while the node is not ready or can't confirm its configuration, runs the rest by the driver or, with
+an idempotency key, by ``owned``, and counts how each ends.
+"""
 
 import itertools
 from collections.abc import Callable
@@ -11,7 +15,7 @@
 from yokesill.metrics import Metrics
 from yokesill.query.calls import QueryCall
 from yokesill.query.driver import FinalAnswer, QueryDriver
-from yokesill.query.owned import OwnedQueries
+from yokesill.query.owned import RETRY_AFTER_MS, OwnedQueries
 from yokesill.replication.catalog import Catalog
 from yokesill.resources.documents import WhenIsolated
 from yokesill.resources.hashing import hash_key
@@ -20,14 +24,12 @@
 from yokesill.routing.messages import QueryRequest
 from yokesill.verdict import Failure, Reason, Verdict
 
-RETRY_AFTER_MS = 1000
-
 
 class QueryService:
     """Every query of a node passes here; ``in_flight`` is what a planned stop waits for.
 
-    ``not_accepting`` says why new requests are refused now (``None``: they are taken);
-    ``isolated`` whether nobody confirms that the configuration is fresh.
+    ``not_accepting`` says why new requests are refused now (``None``: they are accepted);
+    ``isolated`` whether no other node or store confirms that the configuration is fresh.
     """
 
     def __init__(
