--- a/src/yokesill/admin/status.py
+++ b/src/yokesill/admin/status.py
@@ -12,7 +12,7 @@
 from yokesill.resources.documents import Role
 from yokesill.verdict import Failure
 
-SWEEP_TIMEOUT = 1.0
+SWEEP_TIMEOUT_S = 1.0
 SWEEP_AT_ONCE = 32
 
 
@@ -62,7 +62,7 @@
 
         async def ask(address: str) -> None:
             async with limiter:
-                answer = await node.transport.request(address, STATUS, frame, SWEEP_TIMEOUT)
+                answer = await node.transport.request(address, STATUS, frame, SWEEP_TIMEOUT_S)
             replies[address] = None if isinstance(answer, Failure) else _read(node, answer)
 
         async with anyio.create_task_group() as task_group:
--- a/src/yokesill/backends/health.py
+++ b/src/yokesill/backends/health.py
@@ -1,4 +1,7 @@
-"""Health checks of servers that have been silent: replies tell all there is to know of the others."""
+"""Health checks of servers that this node has received nothing from lately.
+
+Replies carry the same report, so servers in use are not checked. The router knows when each last replied.
+"""
 
 import anyio
 
@@ -7,12 +10,14 @@
 from yokesill.routing.events import ServerObserved
 from yokesill.routing.router import Router
 
-CHECK_TICK = 0.1
+# How often it is looked for servers that are due. Chosen, not measured: short against the interval of 5 s.
+CHECK_TICK_S = 0.1
+# Bounds connections and memory when a node starts with thousands of servers. Chosen, not measured.
 MAXIMUM_CHECKS_AT_ONCE = 16
 
 
 class HealthChecker:
-    """Asks servers that were not heard of for ``interval`` seconds; new ones at once."""
+    """Checks servers that were silent for ``interval`` seconds; new ones at once."""
 
     def __init__(self, router: Router, backends: BackendClient, driver: QueryDriver, interval: float) -> None:
         self._router = router
@@ -30,7 +35,7 @@
                 for address in self._due(now):
                     self._asked_at[address] = now
                     task_group.start_soon(self._check, address)
-                await anyio.sleep(CHECK_TICK)
+                await anyio.sleep(CHECK_TICK_S)
 
     def _due(self, now: float) -> list[str]:
         """Return the servers to ask: never heard of ones are asked ten times as often."""
--- a/src/yokesill/backends/http_backend.py
+++ b/src/yokesill/backends/http_backend.py
@@ -22,7 +22,9 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 TIMEOUTS = {"timeout": {"connect": 1.0}}
-HEALTH_TIMEOUT = 1.0
+# A server that takes longer to say how it is counts as failing. Chosen, not measured.
+HEALTH_TIMEOUT_S = 1.0
+# A longer reply is malformed; bounds the memory of a reply. Chosen, not measured.
 MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
 VERDICT_OF_STATE = {
     "never_sent": Verdict.NOT_RUN,
@@ -82,7 +84,7 @@
         if connection is None:
             return None
         try:
-            with anyio.fail_after(HEALTH_TIMEOUT):
+            with anyio.fail_after(HEALTH_TIMEOUT_S):
                 status, content = await exchange(connection, connections, b"GET", HEALTH_PATH, b"")
         except (*NETWORK_ERRORS, TimeoutError):
             await connections.drop(connection)
--- a/src/yokesill/emulator/running.py
+++ b/src/yokesill/emulator/running.py
@@ -14,7 +14,7 @@
 from yokesill.emulator.store_model import StoreModel
 from yokesill.frontend.server import EmbeddedServer, create_server
 
-START_POLL = 0.01
+START_POLL_S = 0.01
 
 
 async def start_server(app: object, host: str, port: int, task_group: anyio.abc.TaskGroup) -> EmbeddedServer:
@@ -22,7 +22,7 @@
     server = create_server(app, host, port)
     task_group.start_soon(server.serve)
     while not server.started:
-        await anyio.sleep(START_POLL)
+        await anyio.sleep(START_POLL_S)
     return server
 
 
--- a/src/yokesill/emulator/server_model.py
+++ b/src/yokesill/emulator/server_model.py
@@ -12,9 +12,9 @@
 from yokesill.emulator.records import entries_in
 
 HTTP_OK, HTTP_BAD_REQUEST, HTTP_CONFLICT, HTTP_UNAVAILABLE = 200, 400, 409, 503
-COLD_SECONDS = 2.0
+COLD_S = 2.0
 LATENCY_SIGMA = 0.35
-LOAD_LAG = 0.05
+LOAD_LAG_S = 0.05
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,7 +176,7 @@
         seconds *= faults.slow_factor
         if self.random_source.random() < faults.straggle_probability:
             seconds *= faults.straggle_factor
-        if anyio.current_time() - self.started_at < COLD_SECONDS:
+        if anyio.current_time() - self.started_at < COLD_S:
             seconds *= self.profile.cold_penalty
         return seconds
 
@@ -203,7 +203,7 @@
     def _status(self) -> dict[str, Any]:
         """What every reply tells besides; the load lags and may be a lie."""
         now = anyio.current_time()
-        if now - self._reported[0] > LOAD_LAG:
+        if now - self._reported[0] > LOAD_LAG_S:
             self._reported = (now, self.active, self.queued)
         _, active, queued = self._reported
         return {
--- a/src/yokesill/frontend/server.py
+++ b/src/yokesill/frontend/server.py
@@ -9,7 +9,7 @@
 import anyio
 import uvicorn
 
-POLL = 0.01
+POLL_S = 0.01
 # The same for every listener of the package: one event loop, no logs but our own, no headers nobody reads.
 UVICORN_OPTIONS: dict[str, Any] = {
     "loop": "asyncio",
@@ -59,9 +59,9 @@
         """
         with anyio.move_on_after(grace):
             while self.server_state.connections:
-                await anyio.sleep(POLL)
+                await anyio.sleep(POLL_S)
         while self.server_state.tasks:
-            await anyio.sleep(POLL)
+            await anyio.sleep(POLL_S)
 
 
 def _accept_waiting(listener: socket.socket) -> list[socket.socket]:
--- a/src/yokesill/loadgen/checkers.py
+++ b/src/yokesill/loadgen/checkers.py
@@ -9,7 +9,7 @@
 from yokesill.loadgen.outcomes import Outcome
 from yokesill.resources.hashing import KEY_SPACE
 
-LEAVING_GRACE = 3.0
+LEAVING_GRACE_S = 3.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,6 +88,6 @@
 
 def _check_leaving(runs: Sequence[Execution]) -> Iterable[Violation]:
     for each in runs:
-        if each.leaving_for is not None and each.leaving_for > LEAVING_GRACE:
+        if each.leaving_for is not None and each.leaving_for > LEAVING_GRACE_S:
             detail = f"{each.address} had been leaving for {each.leaving_for:.1f} s"
             yield Violation("leaving", each.query_id, detail)
--- a/src/yokesill/loadgen/http_load.py
+++ b/src/yokesill/loadgen/http_load.py
@@ -14,7 +14,7 @@
 from yokesill.loadgen.plan import Arrival
 
 CONNECTIONS_A_NODE = 512
-REPLY_GRACE = 2.0
+REPLY_GRACE_S = 2.0
 
 
 @dataclass(slots=True)
@@ -74,7 +74,7 @@
                 "repeatable": load.repeatable,
             }
         ).encode()
-        limit = load.deadline_ms / 1000 + REPLY_GRACE
+        limit = load.deadline_ms / 1000 + REPLY_GRACE_S
         try:
             with anyio.fail_after(limit):
                 status, content = await exchange(connection, connections, b"POST", path, body, headers)
--- a/src/yokesill/membership/rumors.py
+++ b/src/yokesill/membership/rumors.py
@@ -7,9 +7,13 @@
 from yokesill.membership.records import MemberRecord
 from yokesill.resources.objects import StoredObject
 
+# Each rumor is sent this many times the logarithm of the members. Chosen, not measured: gossip reaches all
+# members with high probability after a few logarithms of rounds.
 REPEAT_FACTOR = 3.0
+# Chosen, not measured: with the packet's other fields and the seal below a usual MTU of 1,500 bytes.
 PACKET_BYTES = 1200
-RUMOR_OVERHEAD = 8
+# What a rumor's frame takes in a packet. Chosen, not measured.
+RUMOR_OVERHEAD_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
@@ -53,7 +57,7 @@
         """Pass ``rumor`` on from now on."""
         subject = subject_of(rumor)
         wire = rumor_to_wire(rumor)
-        size = _size(wire) + RUMOR_OVERHEAD
+        size = _size(wire) + RUMOR_OVERHEAD_BYTES
         self._entries[subject] = _Entry(subject, rumor, wire, size)
 
     def take(self, members: int, room: int = PACKET_BYTES) -> list[list[Any]]:
--- a/src/yokesill/membership/table.py
+++ b/src/yokesill/membership/table.py
@@ -7,7 +7,9 @@
 from yokesill.membership.records import MemberRecord, MemberStatus
 from yokesill.resources.hashing import rendezvous_weight
 
-DEAD_RETENTION = 600.0
+# How long a dead member is remembered, so that an old rumor of it is recognised and a healed cut is noticed.
+# Chosen, not measured.
+DEAD_RETENTION_S = 600.0
 
 
 class MemberTable:
@@ -75,7 +77,7 @@
     def expire(self, now: float) -> None:
         """Forget members that have been dead for long."""
         for record in self.dead():
-            if now - self._changed_at.get(record.address, now) > DEAD_RETENTION:
+            if now - self._changed_at.get(record.address, now) > DEAD_RETENTION_S:
                 self._digest ^= _record_hash(record)
                 del self._records[record.address]
                 self._serving = None
--- a/src/yokesill/store/http_store.py
+++ b/src/yokesill/store/http_store.py
@@ -16,8 +16,11 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 HTTP_OK, HTTP_NOT_FOUND, HTTP_CONFLICT, HTTP_UNAVAILABLE = 200, 404, 409, 503
-WATCH_WAIT = 2.0
-WATCH_TIMEOUT = 6.0
+# How long the store holds a watch without changes: short, so a path that is cut is noticed. Chosen, not
+# measured.
+WATCH_WAIT_S = 2.0
+# Above the wait by the time of a slow call. Chosen, not measured.
+WATCH_TIMEOUT_S = 6.0
 
 Parsed = TypeVar("Parsed")
 
@@ -70,7 +73,7 @@
 
     async def watch(self, after_revision: int) -> list[StoredObject] | Failure:
         """See ``Store.watch``."""
-        body = await self._read(f"/watch?after={after_revision}&wait={WATCH_WAIT}", WATCH_TIMEOUT)
+        body = await self._read(f"/watch?after={after_revision}&wait={WATCH_WAIT_S}", WATCH_TIMEOUT_S)
         if isinstance(body, Failure):
             return body
         return [] if body is None else [_object(each) for each in body["objects"]]
