--- a/src/yokesill/backends/http_backend.py
+++ b/src/yokesill/backends/http_backend.py
@@ -6,8 +6,7 @@
 import httpcore
 
 from yokesill.backends.base import BackendClient
-from yokesill.backends.connections import ConnectionFactory, ConnectionSet
-from yokesill.backends.httptools_connection import HttptoolsConnection
+from yokesill.backends.connections import ConnectionSet
 from yokesill.backends.wire import (
     HEALTH_PATH,
     HTTP_OK,
@@ -23,7 +22,9 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 TIMEOUTS = {"timeout": {"connect": 1.0}}
-HEALTH_TIMEOUT = 1.0
+# A server that takes longer to say how it is counts as failing. Chosen, not measured.
+HEALTH_TIMEOUT_S = 1.0
+# A longer reply is malformed; bounds the memory of a reply. Chosen, not measured.
 MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
 VERDICT_OF_STATE = {
     "never_sent": Verdict.NOT_RUN,
@@ -37,9 +38,8 @@
 class HttpBackendClient(BackendClient):
     """Sends attempts over per-server connection sets."""
 
-    def __init__(self, connections_a_server: int, factory: ConnectionFactory = HttptoolsConnection) -> None:
+    def __init__(self, connections_a_server: int) -> None:
         self._maximum = connections_a_server
-        self._factory = factory
         self._sets: dict[str, ConnectionSet] = {}
         self._table = transition_table("attempt")
 
@@ -84,7 +84,7 @@
         if connection is None:
             return None
         try:
-            with anyio.fail_after(HEALTH_TIMEOUT):
+            with anyio.fail_after(HEALTH_TIMEOUT_S):
                 status, content = await exchange(connection, connections, b"GET", HEALTH_PATH, b"")
         except (*NETWORK_ERRORS, TimeoutError):
             await connections.drop(connection)
@@ -105,7 +105,7 @@
         if connections is None:
             host, port = split_address(address)
             origin = httpcore.Origin(b"http", host.encode(), port)
-            connections = self._sets[address] = ConnectionSet(origin, self._maximum, self._factory)
+            connections = self._sets[address] = ConnectionSet(origin, self._maximum)
         return connections
 
     def _failure(self, attempt: Attempt, state: str, reason: Reason, detail: str) -> AttemptFailed:
--- a/src/yokesill/loadgen/http_load.py
+++ b/src/yokesill/loadgen/http_load.py
@@ -9,13 +9,12 @@
 
 from yokesill.backends.connections import ConnectionSet
 from yokesill.backends.http_backend import exchange
-from yokesill.backends.httptools_connection import HttptoolsConnection
 from yokesill.comm.network import split_address
 from yokesill.loadgen.outcomes import Outcome, fill_from_reply
 from yokesill.loadgen.plan import Arrival
 
 CONNECTIONS_A_NODE = 512
-REPLY_GRACE = 2.0
+REPLY_GRACE_S = 2.0
 
 
 @dataclass(slots=True)
@@ -75,7 +74,7 @@
                 "repeatable": load.repeatable,
             }
         ).encode()
-        limit = load.deadline_ms / 1000 + REPLY_GRACE
+        limit = load.deadline_ms / 1000 + REPLY_GRACE_S
         try:
             with anyio.fail_after(limit):
                 status, content = await exchange(connection, connections, b"POST", path, body, headers)
@@ -98,5 +97,5 @@
         if node not in self.sets:
             host, port = split_address(node)
             origin = httpcore.Origin(b"http", host.encode(), port)
-            self.sets[node] = ConnectionSet(origin, CONNECTIONS_A_NODE, HttptoolsConnection)
+            self.sets[node] = ConnectionSet(origin, CONNECTIONS_A_NODE)
         return self.sets[node]
