--- a/bench/startup.py
+++ b/bench/startup.py
@@ -62,7 +62,9 @@
     "callers' socket": "import yokesill.platform.start",
     "imports": (
         "import yokesill.platform.start\n"
-        "try:\n    import yokesill.lazy_imports\n    yokesill.lazy_imports.install()\n"
+        "try:\n    import yokesill.lazy_imports as lazy\n"
+        # Checkouts before the rename call it ``leave_out``.
+        "    (getattr(lazy, 'install', None) or lazy.leave_out)()\n"
         "except ImportError:\n    pass  # A checkout that loads everything.\n"
         "import yokesill.platform.main"
     ),
