--- a/src/yokesill/rollouts/barrier.py
+++ b/src/yokesill/rollouts/barrier.py
@@ -20,7 +20,7 @@
 
 
 class Barrier:
-    """What each node effective under one order, and how much it has under way at old servers."""
+    """Each node's effective state under one order, and its requests in flight at old servers."""
 
     def __init__(self) -> None:
         self._states: dict[str, _NodeState] = {}
