--- a/src/yokesill/gateway/forwarding.py
+++ b/src/yokesill/gateway/forwarding.py
@@ -3,7 +3,7 @@
 Sending to a hundred servers costs a node's processor some ten milliseconds, and many times that where no
 connections are open, so a weak node that gets a wide request now and then is late before it has sent
 everything. It forwards the whole request to a coordinator of its zone: a node with at least twice the
-processor of most (``watchers/capacity_rank``), which gets many and holds open connections.
+processor of most (``peers/capacity_rank``), which gets many and holds open connections.
 
 Inputs: the route, the coordinators that are known, what came of earlier requests; seconds of the node's
 clock. `ServerZones` chooses zones elsewhere for a node whose zone has no servers; ``coordinators/`` does
