--- a/src/yokesill/logs.py
+++ b/src/yokesill/logs.py
@@ -22,7 +22,7 @@
 class LogOutput:
     """Writes lines to a file descriptor without ever waiting for it.
 
-    ``dropped`` counts the lines that did not fit into the buffer.
+    ``dropped`` counts the lines that did not fit into the buffer, or whose reader was gone.
     """
 
     def __init__(self, descriptor: int, limit_bytes: int = BUFFER_BYTES) -> None:
@@ -52,7 +52,8 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good, and there is no other place to say so.
+                # The reader is gone for good: the only place left to say so is the figure of dropped lines.
+                self.dropped += len(self._lines)
                 self._lines.clear()
                 self._size = 0
                 return
--- a/tests/serving/test_logs.py
+++ b/tests/serving/test_logs.py
@@ -48,6 +48,16 @@
     os.close(writing)
 
 
+def test_what_a_reader_that_went_away_never_got_counts_as_dropped() -> None:
+    reading, writing = os.pipe()
+    os.close(reading)
+    output = logs.LogOutput(writing)
+    for _ in range(3):
+        output.write("{}")
+    os.close(writing)
+    assert output.dropped == 3
+
+
 def test_lines_are_json_objects_with_component_level_and_time() -> None:
     reading, writing = os.pipe()
     os.set_blocking(reading, False)
