--- a/src/yokesill/serving/datagrams.py
+++ b/src/yokesill/serving/datagrams.py
@@ -137,6 +137,7 @@
         self._parts: list[DatagramPart] = []
         self._by_kind: dict[int, DatagramPart] = {}
         self._wanted = anyio.Event()
+        self._alone = False
 
     def add(self, part: DatagramPart) -> None:
         """Add a part; it calls ``wake`` when it has something to send."""
@@ -145,11 +146,14 @@
 
     async def run(self) -> None:
         """Send and receive until cancelled; without a port the node goes on alone."""
-        await self._datagrams.run(self._receive, self._send)
+        self._alone = not await self._datagrams.run(self._receive, self._send)
+        self.wake()
 
     def wake(self) -> None:
-        """Send soon what is pending."""
-        if any(part.pending for part in self._parts):
+        """Send soon what is pending; without a port drop it: it would grow as long as the node runs."""
+        if self._alone:
+            self._take_pending()
+        elif any(part.pending for part in self._parts):
             self._wanted.set()
 
     def _receive(self, data: bytes, sender: str, now: float) -> None:
@@ -165,9 +169,12 @@
             await self._wanted.wait()
             await self._gather()
             self._wanted = anyio.Event()
-            for datagram in [each for part in self._parts for each in part.flush()]:
+            for datagram in self._take_pending():
                 await self._datagrams.send(datagram.address, datagram.data)
 
+    def _take_pending(self) -> list[Datagram]:
+        return [datagram for part in self._parts for datagram in part.flush()]
+
     async def _gather(self) -> None:
         """Wait a moment for more to go along, unless there is something urgent."""
         with anyio.move_on_after(GATHERING_S):
--- a/tests/serving/test_outlier_link.py
+++ b/tests/serving/test_outlier_link.py
@@ -99,3 +99,20 @@
             assert [each.instance for each in node.suspicions] == ["slow"]
 
     anyio.run(main)
+
+
+def test_a_node_whose_port_is_taken_keeps_nothing_to_send() -> None:
+    async def main() -> None:
+        port = free_port()
+        with contextlib.closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as taken:
+            taken.bind((LOOPBACK, port))
+            node = Node("n1", port)
+            node.exchange.set_peers([node.peer, Peer("n2", f"{LOOPBACK}:1", "z1")])
+            node.link.observe(SLOW)
+            await node.datagrams.run()
+            assert not node.link.pending
+            await anyio.sleep(0.12)
+            node.link.observe(SLOW)
+            assert not node.link.pending
+
+    anyio.run(main)
