--- a/src/yokesill/gateway/crash_events.py
+++ b/src/yokesill/gateway/crash_events.py
@@ -55,14 +55,14 @@
 
 
 class LossObserved(NamedTuple):
-    """A server ended under a request: report it to the nodes that judge the request."""
+    """A server ended under a request: report it to the request's owners."""
 
     fingerprint: str
     loss: Loss
 
 
 class AnswerObserved(NamedTuple):
-    """A server answered a request under which servers had ended: report it to the nodes that judge it."""
+    """A server answered a request under which servers had ended: report it to the request's owners."""
 
     fingerprint: str
     service: str
--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -1,7 +1,7 @@
 """What a node knows of requests under which servers ended, and what it reports of them.
 
 Owns the node's ``CrashDetector``; turns its findings into actions: a log event for each change of a request's
-status, and reports to the nodes that judge a request together.
+status, and reports to a request's owners, the two nodes that detect for all.
 """
 
 from yokesill.gateway import events as ev
@@ -34,9 +34,8 @@
     def lost(self, name: str, loss: Loss, now: float, actions: list[ev.Action]) -> None:
         """Count that a server ended under the request with the fingerprint ``name``.
 
-        A suspicion stays here: the request may be answered yet. The nodes that judge it for all get its
-        losses once it has failed, so that a loss of many servers at once makes no messages for every request
-        there.
+        A suspicion stays here: the request may be answered yet. Its owners get its losses once it has failed,
+        so a loss of many servers at once makes no messages for every request there.
         """
         status = self.detector.lost(name, loss, now)
         if status is not None:
@@ -45,7 +44,7 @@
             actions.append(ev.RequestJudged(name, status))
 
     def report_loss(self, name: str, loss: Loss, actions: list[ev.Action]) -> None:
-        """Report a loss of a failed request to the nodes that judge it."""
+        """Report a loss of a failed request to its owners."""
         self.detector.share(name)
         actions.append(ev.LossObserved(name, loss))
 
--- a/src/yokesill/gateway/requests/isolation.py
+++ b/src/yokesill/gateway/requests/isolation.py
@@ -63,8 +63,9 @@
 
     def update(self, now: float) -> bool:
         """Return whether calls are held from now on."""
-        judge = self._crashes.detector
-        self._suspected = len(judge) > 0 and judge.status(self.fingerprint, now) is QuarantineStatus.SUSPECTED
+        detector = self._crashes.detector
+        known = len(detector) > 0
+        self._suspected = known and detector.status(self.fingerprint, now) is QuarantineStatus.SUSPECTED
         lost = len(self._lost_services)
         self.active = self._suspected or (lost >= SERVICES_LOST_TO_HOLD and not self._answered)
         return self.active
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -149,7 +149,7 @@
                 await anyio.sleep(RECORD_RETRY_S * (0.5 + self._random.random()))
 
     async def _lift_old(self, records: QuarantineRecords) -> None:
-        """Take requests off the record that have been on it for long; each one's judges see to it."""
+        """Take requests off the record that have been on it for long; each one's owners do it."""
         while True:
             await anyio.sleep(LIFT_CHECK_S * (0.5 + self._random.random()))
             now, recorded = anyio.current_time(), self._crashes.detector.recorded
--- a/src/yokesill/serving/reachability.py
+++ b/src/yokesill/serving/reachability.py
@@ -55,7 +55,7 @@
         changed: Callable[[bool], object],
         source: random.Random,
     ) -> None:
-        self.judgement = PartitionDetector()
+        self.detector = PartitionDetector()
         self._zone = zone
         self._router = router
         self._answered_at_s = answered_at_s
@@ -72,30 +72,30 @@
     async def run(self) -> None:
         """Check until cancelled."""
         while True:
-            await anyio.sleep(self.judgement.interval_s * (0.9 + 0.2 * self._random.random()))
-            before = self.judgement.cut
+            await anyio.sleep(self.detector.interval_s * (0.9 + 0.2 * self._random.random()))
+            before = self.detector.cut
             reached = await self._reaches_anything()
             now = anyio.current_time()
             if reached:
-                self.judgement.reached(now)
+                self.detector.reached(now)
             else:
-                self.judgement.reached_nobody(now)
-            if self.judgement.cut != before:
-                self._changed(self.judgement.cut)
+                self.detector.reached_nobody(now)
+            if self.detector.cut != before:
+                self._changed(self.detector.cut)
 
     async def _reaches_anything(self) -> bool:
         """Whether a server elsewhere answered since the last check, or a place accepts a connection.
 
         Without nodes elsewhere a partition can't be told from servers that are dark for all nodes.
         """
-        since_s = anyio.current_time() - self.judgement.interval_s
+        since_s = anyio.current_time() - self.detector.interval_s
         if self._answered_at_s() >= since_s or not self._nodes:
             return True
         records = self._router.servers.records()
         if not depends_on_others(self._zone, self._router.configuration, records):
             return True
-        places = self._some(self._nodes, NODES_TRIED if self.judgement.doubtful else 1)
-        if self.judgement.doubtful:
+        places = self._some(self._nodes, NODES_TRIED if self.detector.doubtful else 1)
+        if self.detector.doubtful:
             far = [each for each in records if each.zone != self._zone]
             places += [Address(each.host, each.port) for each in self._some(far, SERVERS_TRIED)]
         return await self._connects_to_any(places)
