--- a/src/yokesill/loadgen/summary.py
+++ b/src/yokesill/loadgen/summary.py
@@ -2,8 +2,7 @@
 
 from collections import Counter
 from collections.abc import Sequence
-from dataclasses import asdict, dataclass, field
-from typing import Any
+from dataclasses import dataclass, field
 
 from hdrh.histogram import HdrHistogram
 
@@ -39,10 +38,6 @@
     violations: dict[str, int]
     refusal_ms: dict[str, float]
 
-    def to_json(self) -> dict[str, Any]:
-        """Return plain data for a report."""
-        return asdict(self)
-
 
 def summarise(
     name: str,
