--- a/Makefile
+++ b/Makefile
@@ -3,7 +3,7 @@
 VENV ?= .venv
 BIN := $(VENV)/bin
 
-.PHONY: demo demo-queries test tools check unit guards spec bench bench-platform soak soak-short clean
+.PHONY: demo demo-queries test tools check unit guards spec bench-platform soak soak-short clean
 
 PIP := $(BIN)/pip install --quiet --disable-pip-version-check
 
@@ -48,9 +48,6 @@
 spec: $(VENV)/.installed
 	$(BIN)/python spec/check.py
 
-bench: $(VENV)/.installed
-	$(BIN)/python bench/run.py
-
 # The users' bench is not part of this repository: its path comes in FLEETBENCH.
 bench-platform:
 	@test -n "$(FLEETBENCH)" || { echo "set FLEETBENCH=PATH (the users' bench) and SITE=FILE; WHY=\"...\" goes into the journal"; exit 2; }
--- a/bench/results_file.py
+++ b/bench/results_file.py
@@ -1,19 +1,14 @@
 """Where the bench writes its results, each with the revision that gave them."""
 
 import json
-import os
 import subprocess
 from pathlib import Path
 from typing import Any
 
-FOLDER_VARIABLE = "BENCH_RESULTS"
-
 
 def folder() -> Path:
-    """Return the folder of results: ``$BENCH_RESULTS``, or ``bench/results``, which is committed."""
-    path = Path(os.environ.get(FOLDER_VARIABLE, Path(__file__).parent / "results"))
-    path.mkdir(parents=True, exist_ok=True)
-    return path
+    """Return the folder of results, which is committed."""
+    return Path(__file__).parent / "results"
 
 
 def revision() -> str:
--- a/bench/launcher.py
+++ b/tests/launcher.py
@@ -1,4 +1,4 @@
-"""Starts and ends the processes of a deployment, for the bench and for the features that need real ones.
+"""Starts and ends the processes of a deployment, for the features that need real ones.
 
 Nothing in the product starts a process; this launcher stands in for the machines' own.
 """
