--- a/src/yokesill/gateway/requests/deferral.py
+++ b/src/yokesill/gateway/requests/deferral.py
@@ -94,5 +94,5 @@
     request = fan_out.waiting_request()
     if request is not None:
         queue.enter(call.service, request, choice.expected_s)
-    if queue.plan_wake_up(call.service, choice.slot_at_s):
+    if queue.schedule_wake_up(call.service, choice.slot_at_s):
         step.actions.append(SetTimer(call.service, TimerKind.PACING, choice.slot_at_s))
--- a/src/yokesill/gateway/requests/pacing_queue.py
+++ b/src/yokesill/gateway/requests/pacing_queue.py
@@ -81,7 +81,7 @@
         """Whether any request waits for a slot at a service."""
         return any(each.awaits_slot(service) for each in self._requests.get(service, ()))
 
-    def plan_wake_up(self, service: str, at_s: float) -> bool:
+    def schedule_wake_up(self, service: str, at_s: float) -> bool:
         """Note when a slot is free; return whether that needs a timer, since none is set for as early."""
         planned_at_s = self._wake_up_at_s.get(service)
         if planned_at_s is not None and planned_at_s <= at_s:
@@ -89,7 +89,7 @@
         self._wake_up_at_s[service] = at_s
         return True
 
-    def woken_up(self, service: str) -> None:
+    def clear_wake_up(self, service: str) -> None:
         """Note that the timer of a service has fired."""
         self._wake_up_at_s.pop(service, None)
 
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -127,7 +127,7 @@
 
     def _timer_fired(self, event: ev.TimerFired, step: Step) -> None:
         if event.kind is ev.TimerKind.PACING:
-            self._context.pacing_queue.woken_up(event.key)
+            self._context.pacing_queue.clear_wake_up(event.key)
             self._serve_queue(event.key, step)
             return
         machine = self._requests.get(event.key)
@@ -144,7 +144,7 @@
             self._track(request, turn)
             step.actions.extend(turn.actions)
             if free_at_s is not None:
-                if queue.plan_wake_up(service, free_at_s):
+                if queue.schedule_wake_up(service, free_at_s):
                     step.actions.append(ev.SetTimer(service, ev.TimerKind.PACING, free_at_s))
                 return
 
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -24,7 +24,7 @@
 
 HOST = "shop.example"
 SHARDS = ("s1", "s2", "s3", "s4")
-TERMS = BudgetLimits(ratio=0.2, allowance=50.0, window_s=10.0)
+BUDGET = BudgetLimits(ratio=0.2, allowance=50.0, window_s=10.0)
 
 
 def gather_route(coverage: float = 0.75, services: tuple[str, ...] = SHARDS, attempts: int = 2) -> Route:
@@ -70,11 +70,11 @@
     ) -> None:
         self.now = started
         self.router = GatewayRouter(
-            options or GatewayOptions(zone="z1", budget=TERMS), random.Random(7), started - 100.0
+            options or GatewayOptions(zone="z1", budget=BUDGET), random.Random(7), started - 100.0
         )
         self.sent: list[Attempt] = []
         self.cancelled: list[int] = []
-        self.notes: list[ev.LogEvent] = []
+        self.logged: list[ev.LogEvent] = []
         self.observed: list[ev.ServerObserved] = []
         self.finals: dict[str, ev.FinalAnswer] = {}
         self._timers: list[tuple[float, int, ev.TimerFired]] = []
@@ -97,7 +97,7 @@
                     entry = (at, next(self._numbers), ev.TimerFired(key, kind))
                     heapq.heappush(self._timers, entry)
                 case ev.LogEvent():
-                    self.notes.append(action)
+                    self.logged.append(action)
                 case ev.ServerObserved():
                     self.observed.append(action)
                 case ev.PassOn(key) | ev.Gathered(key) | ev.Refuse(key):
@@ -116,7 +116,7 @@
     def arrive(
         self,
         path: str = "/wide/x",
-        patience: float | None = 1.5,
+        timeout_s: float | None = 1.5,
         host: str = HOST,
         fresh: bool = True,
         asked_before: bool = False,
@@ -132,14 +132,14 @@
             (),
             b"",
             self.now,
-            patience,
+            timeout_s,
             fresh,
             asked_before,
         )
         self.feed(ev.RequestArrived(request))
         return key
 
-    def of(self, key: str) -> list[Attempt]:
+    def attempts(self, key: str) -> list[Attempt]:
         return [each for each in self.sent if each.request.key == key]
 
     def answer(
@@ -155,7 +155,7 @@
         for _ in range(requests):
             key = self.arrive(path)
             self.advance(latency)
-            for attempt in self.of(key):
+            for attempt in self.attempts(key):
                 self.answer(attempt)
             self.advance(0.1)
 
--- a/tests/gateway/test_budget.py
+++ b/tests/gateway/test_budget.py
@@ -2,7 +2,7 @@
 
 import random
 
-from harness import TERMS, RouterHarness, failure, gather_route, single_route
+from harness import BUDGET, RouterHarness, failure, gather_route, single_route
 from hypothesis import Phase, given, settings, strategies as st
 
 from yokesill.gateway.limits.budget import ExtraAttemptBudget
@@ -12,10 +12,10 @@
 def allowed(requests: list[float], end: float) -> float:
     """What the contract allows in the window that ends at ``end``, by its three counts."""
     counts = [
-        sum(end - back - TERMS.window_s < at <= end - back for at in requests)
-        for back in (0.0, TERMS.window_s, TERMS.window_s / 2)
+        sum(end - back - BUDGET.window_s < at <= end - back for at in requests)
+        for back in (0.0, BUDGET.window_s, BUDGET.window_s / 2)
     ]
-    return TERMS.ratio * max(counts) + TERMS.allowance
+    return BUDGET.ratio * max(counts) + BUDGET.allowance
 
 
 # The same examples every time; making a failing one smaller took minutes, and proved no more.
@@ -26,7 +26,7 @@
 @given(st.integers(1, 12), st.integers(0, 10_000))
 def test_no_window_holds_more_than_the_contract_allows(nodes: int, seed: int) -> None:
     source = random.Random(seed)
-    budgets = [ExtraAttemptBudget(TERMS, 0.0) for _ in range(nodes)]
+    budgets = [ExtraAttemptBudget(BUDGET, 0.0) for _ in range(nodes)]
     requests: list[float] = []
     extras: list[float] = []
     now = 0.0
@@ -34,26 +34,26 @@
         now += source.expovariate(60.0)
         node = source.randrange(nodes)
         if source.random() < 0.005:
-            budgets[node] = ExtraAttemptBudget(TERMS, now)
+            budgets[node] = ExtraAttemptBudget(BUDGET, now)
         if source.random() < 0.0005:
-            budgets = [ExtraAttemptBudget(TERMS, now) for _ in range(nodes)]
+            budgets = [ExtraAttemptBudget(BUDGET, now) for _ in range(nodes)]
         budgets[node].count_request(now)
         requests.append(now)
         while source.random() < 0.8 and budgets[node].take(nodes, now):
             extras.append(now)
     for end in extras:
-        spent = sum(end - TERMS.window_s < at <= end for at in extras)
+        spent = sum(end - BUDGET.window_s < at <= end for at in extras)
         assert spent <= allowed(requests, end)
 
 
 def test_a_node_that_just_started_has_no_allowance_yet() -> None:
-    budget = ExtraAttemptBudget(TERMS, 50.0)
+    budget = ExtraAttemptBudget(BUDGET, 50.0)
     assert not budget.take(1, 50.0)
     assert budget.take(1, 51.0)
 
 
 def test_more_nodes_mean_a_smaller_share_each() -> None:
-    budget = ExtraAttemptBudget(TERMS, 0.0)
+    budget = ExtraAttemptBudget(BUDGET, 0.0)
     assert budget.left(1, 100.0) > 5 * budget.left(8, 100.0) > 0
 
 
@@ -61,29 +61,29 @@
     harness = RouterHarness(gather_route(), nodes=10_000)
     key = harness.arrive()
     harness.advance(0.5)
-    assert len(harness.of(key)) == 4
-    assert "budget_spent" in {note.name for note in harness.notes}
+    assert len(harness.attempts(key)) == 4
+    assert "budget_spent" in {note.name for note in harness.logged}
 
 
 def test_arrivals_that_servers_reject_are_paid_for_too() -> None:
     harness = RouterHarness(single_route(attempts=5), nodes=10_000)
     key = harness.arrive("/one/x", 6.0)
-    harness.fail(harness.of(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
-    assert len(harness.of(key)) == 1
-    assert [note.name for note in harness.notes][-1] == "budget_spent"
+    harness.fail(harness.attempts(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
+    assert len(harness.attempts(key)) == 1
+    assert [note.name for note in harness.logged][-1] == "budget_spent"
 
 
 def test_what_never_left_this_node_is_sent_elsewhere_for_nothing() -> None:
     for reason in (Reason.OVERLOADED, Reason.CONNECT_FAILED):
         harness = RouterHarness(single_route(attempts=5), nodes=10_000)
         key = harness.arrive("/one/x", 6.0)
-        harness.fail(harness.of(key)[0], failure(reason, Verdict.NOT_RUN))
-        assert len(harness.of(key)) == 2
+        harness.fail(harness.attempts(key)[0], failure(reason, Verdict.NOT_RUN))
+        assert len(harness.attempts(key)) == 2
 
 
 def test_what_may_have_arrived_is_paid_for_also_after_a_refused_connection() -> None:
     harness = RouterHarness(single_route(attempts=5), nodes=10_000)
     key = harness.arrive("/one/x", 6.0)
-    harness.fail(harness.of(key)[0], failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN))
-    harness.fail(harness.of(key)[1], failure(Reason.CONNECTION_LOST))
-    assert len(harness.of(key)) == 2
+    harness.fail(harness.attempts(key)[0], failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN))
+    harness.fail(harness.attempts(key)[1], failure(Reason.CONNECTION_LOST))
+    assert len(harness.attempts(key)) == 2
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -90,7 +90,7 @@
     assert len(harness.sent) == 1
     harness.feed(ev.ServerListed(replace(WARM, warmup_left_s=5.0)))
     key = harness.arrive()
-    assert harness.of(key) == []
+    assert harness.attempts(key) == []
     assert isinstance(harness.finals[key], ev.Refuse)
     harness.advance(5.1)
-    assert len(harness.of(harness.arrive())) == 1
+    assert len(harness.attempts(harness.arrive())) == 1
--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -113,33 +113,33 @@
 def test_what_a_lost_coordinator_may_have_sent_is_paid_for_as_a_second_time() -> None:
     harness = RouterHarness(gather_route(attempts=2))
     key = asked_before(harness)
-    for attempt in harness.of(key):
+    for attempt in harness.attempts(key):
         harness.answer(attempt, reply())
     final = harness.finals[key]
     assert isinstance(final, ev.Gathered)
-    assert final.summary.extra_attempts == len(harness.of(key)) == 4
+    assert final.summary.extra_attempts == len(harness.attempts(key)) == 4
 
 
 def test_after_a_lost_coordinator_no_shard_is_asked_more_often_than_its_route_allows() -> None:
     harness = RouterHarness(gather_route(attempts=2))
     key = asked_before(harness)
-    for attempt in list(harness.of(key)):
+    for attempt in list(harness.attempts(key)):
         harness.fail(attempt)
     harness.advance(2.0)
-    assert len(harness.of(key)) == 4
+    assert len(harness.attempts(key)) == 4
 
     # The one that was lost may have hedged or repeated: all but the last attempt are taken as used.
     thrice = RouterHarness(gather_route(attempts=3))
     key = asked_before(thrice)
     for _ in range(3):
-        for attempt in list(thrice.of(key)):
+        for attempt in list(thrice.attempts(key)):
             thrice.fail(attempt)
     thrice.advance(2.0)
-    assert len(thrice.of(key)) == 4
+    assert len(thrice.attempts(key)) == 4
 
     once = RouterHarness(gather_route(attempts=1))
     key = asked_before(once)
-    assert once.of(key) == []
+    assert once.attempts(key) == []
     assert isinstance(once.finals[key], ev.Refuse)
 
 
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -27,7 +27,7 @@
     ended = 0
     for _ in range(50):
         harness.advance(0.02)
-        unended = harness.of(key)[ended:]
+        unended = harness.attempts(key)[ended:]
         if not unended:
             break
         for attempt in unended:
@@ -46,7 +46,7 @@
     crash_all(harness, harness.arrive("/wide/deadly"))
     harness.advance(10.0)
     key = harness.arrive("/wide/deadly")
-    assert harness.of(key) == []
+    assert harness.attempts(key) == []
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.NOT_RUN
@@ -54,39 +54,39 @@
 
 def lose(harness: RouterHarness, key: str, *shards: str) -> None:
     """Let the servers of some shards end under a request's first attempts."""
-    for attempt in [each for each in harness.of(key) if each.server.service in shards]:
+    for attempt in [each for each in harness.attempts(key) if each.server.service in shards]:
         harness.fail(attempt)
 
 
 def test_what_another_server_answered_is_repeated_at_once() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     key = harness.arrive()
-    harness.answer(harness.of(key)[3])
+    harness.answer(harness.attempts(key)[3])
     lose(harness, key, "s1", "s2")
-    assert [each.server.service for each in harness.of(key)[4:]] == ["s1", "s2"]
+    assert [each.server.service for each in harness.attempts(key)[4:]] == ["s1", "s2"]
 
 
 def test_what_is_lost_before_any_answer_is_held_until_the_first_one() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     key = harness.arrive()
     lose(harness, key, "s1", "s2")
-    assert [each.server.service for each in harness.of(key)[4:]] == ["s1"]
-    harness.answer(harness.of(key)[3])
-    assert [each.server.service for each in harness.of(key)[4:]] == ["s1", "s2"]
+    assert [each.server.service for each in harness.attempts(key)[4:]] == ["s1"]
+    harness.answer(harness.attempts(key)[3])
+    assert [each.server.service for each in harness.attempts(key)[4:]] == ["s1", "s2"]
 
 
 def test_a_request_beside_it_is_cleared_by_its_first_trial_and_answered() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     key = harness.arrive("/wide/beside")
     lose(harness, key, *SHARDS)
-    suspected = [each for each in harness.notes if each.name == "request_judged"]
+    suspected = [each for each in harness.logged if each.name == "request_judged"]
     assert [each.details["standing"] for each in suspected] == ["suspected"]
     for _ in range(8):
-        for attempt in harness.of(key)[4:]:
+        for attempt in harness.attempts(key)[4:]:
             harness.answer(attempt)
     assert isinstance(harness.finals[key], ev.Gathered)
     again = harness.arrive("/wide/beside")
-    assert len(harness.of(again)) == len(SHARDS)
+    assert len(harness.attempts(again)) == len(SHARDS)
 
 
 def test_a_suspected_request_is_at_one_server_at_a_time_and_never_hedged() -> None:
@@ -94,13 +94,13 @@
     harness.warm_up()
     harness.feed(ev.QuarantineStatusReceived(fingerprint_of("/wide/deadly"), QuarantineStatus.SUSPECTED))
     key = harness.arrive("/wide/deadly")
-    assert len(harness.of(key)) == 1
+    assert len(harness.attempts(key)) == 1
     harness.advance(0.5)
-    assert len(harness.of(key)) == 1
-    harness.fail(harness.of(key)[0])
-    assert len(harness.of(key)) == 2
-    harness.fail(harness.of(key)[1])
-    assert len(harness.of(key)) == 2
+    assert len(harness.attempts(key)) == 1
+    harness.fail(harness.attempts(key)[0])
+    assert len(harness.attempts(key)) == 2
+    harness.fail(harness.attempts(key)[1])
+    assert len(harness.attempts(key)) == 2
     assert isinstance(harness.finals[key], ev.Refuse)
 
 
@@ -109,7 +109,7 @@
     key = harness.arrive("/wide/deadly")
     other = harness.arrive("/wide/other")
     harness.feed(ev.QuarantineStatusReceived(fingerprint_of("/wide/deadly"), QuarantineStatus.QUARANTINED))
-    assert set(harness.cancelled) == {each.number for each in harness.of(key)}
+    assert set(harness.cancelled) == {each.number for each in harness.attempts(key)}
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
@@ -144,9 +144,9 @@
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     name = fingerprint_of("/wide/mended")
     harness.feed(ev.QuarantineReplaced(frozenset({name})))
-    assert harness.of(harness.arrive("/wide/mended")) == []
+    assert harness.attempts(harness.arrive("/wide/mended")) == []
     harness.feed(ev.QuarantineLifted(name))
-    assert len(harness.of(harness.arrive("/wide/mended"))) == len(SHARDS)
+    assert len(harness.attempts(harness.arrive("/wide/mended"))) == len(SHARDS)
 
 
 def test_methods_hosts_paths_and_bodies_tell_requests_apart_and_their_names_do_not() -> None:
@@ -166,7 +166,7 @@
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     name = fingerprint_of("/wide/x")
     key = harness.arrive()
-    harness.answer(harness.of(key)[0])
+    harness.answer(harness.attempts(key)[0])
     lose(harness, key, "s2", "s3", "s4")
     assert len(harness.router.quarantine.detector) == 0
     lose(harness, key, "s3")
@@ -177,16 +177,16 @@
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     told: list[ev.Action] = []
     key = harness.arrive()
-    for attempt in harness.of(key)[:2]:
+    for attempt in harness.attempts(key)[:2]:
         told += harness.feed(ev.AttemptFailed(attempt.number, failure()))
     for _ in range(3):
-        for attempt in harness.of(key)[2:]:
+        for attempt in harness.attempts(key)[2:]:
             told += harness.feed(ev.AttemptAnswered(attempt.number, reply()))
     assert isinstance(harness.finals[key], ev.Gathered)
     assert not [each for each in told if isinstance(each, ev.LossObserved | ev.RequestJudged)]
     key = harness.arrive("/wide/deadly")
     for _ in range(4):
-        for attempt in harness.of(key):
+        for attempt in harness.attempts(key):
             told += harness.feed(ev.AttemptFailed(attempt.number, failure()))
     losses = [each for each in told if isinstance(each, ev.LossObserved)]
     assert len(losses) >= len(SHARDS)
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -29,7 +29,7 @@
     answered: set[int] = set()
     for moment, chosen in ((usual, False), (slow, True), (2 * slow, True), (3 * slow, True)):
         harness.advance(max(0.0, started + moment - harness.now))
-        for each in harness.of(key):
+        for each in harness.attempts(key):
             late = each.server.service in services
             if each.number not in answered and late == chosen:
                 answered.add(each.number)
@@ -45,13 +45,13 @@
 
 
 def asked(harness: RouterHarness, key: str) -> set[str]:
-    return {each.server.service for each in harness.of(key)}
+    return {each.server.service for each in harness.attempts(key)}
 
 
 def answer_others(harness: RouterHarness, key: str, service: str) -> None:
     """Answer a request's attempts at all services but one."""
     harness.advance(USUAL)
-    for attempt in harness.of(key):
+    for attempt in harness.attempts(key):
         if attempt.server.service != service:
             harness.answer(attempt)
 
@@ -60,7 +60,7 @@
     """A node that knows the one server of ``s1`` as slow, and has just sent it something."""
     harness = slowed(RouterHarness(ALL_NEEDED, servers=servers_with_one_of("s1"), nodes=nodes), ("s1",))
     for _ in range(2):
-        key = harness.arrive(patience=6.0)
+        key = harness.arrive(timeout_s=6.0)
         answer_others(harness, key, "s1")
     return harness
 
@@ -90,7 +90,7 @@
 def test_of_the_slow_shards_only_as_many_are_asked_as_the_answer_needs() -> None:
     ones = tuple(server(name, name) for name in SHARDS)
     harness = slowed(RouterHarness(gather_route(coverage=0.75), servers=ones, nodes=8), ("s1", "s2"))
-    keys = [harness.arrive(patience=6.0) for _ in range(4)]
+    keys = [harness.arrive(timeout_s=6.0) for _ in range(4)]
     assert any(asked(harness, key) == {"s3", "s4"} for key in keys)
     play_servers(harness, ("s1", "s2"), 1.4)
     for key in keys:
@@ -104,12 +104,12 @@
 def test_a_slow_shard_that_was_left_out_is_asked_after_all_when_another_fails() -> None:
     harness = slowed(RouterHarness(gather_route(coverage=0.75), nodes=8), ("s1",))
     for _ in range(4):
-        key = harness.arrive(patience=6.0)
+        key = harness.arrive(timeout_s=6.0)
         if waits(harness, key):
             break
     assert waits(harness, key)
     for _ in range(2):
-        harness.fail([each for each in harness.of(key) if each.server.service == "s2"][-1])
+        harness.fail([each for each in harness.attempts(key) if each.server.service == "s2"][-1])
     harness.advance(3.0)
     assert "s1" in asked(harness, key)
 
@@ -117,7 +117,7 @@
 def test_slow_servers_get_this_nodes_share_of_their_pace() -> None:
     harness = busy_shard(nodes=8)
     for _ in range(3):
-        answer_others(harness, harness.arrive(patience=6.0), "s1")
+        answer_others(harness, harness.arrive(timeout_s=6.0), "s1")
     started = harness.now
     sent_at = play_servers(harness, ("s1",), 3.0)
     # Two slots and 0.2 s an answer: eight nodes may each send one in 0.44 s or so.
@@ -129,15 +129,15 @@
 
 def test_whoever_can_still_be_in_time_goes_first_and_the_newest_of_them() -> None:
     harness = busy_shard(nodes=3)
-    old = harness.arrive(patience=6.0)
+    old = harness.arrive(timeout_s=6.0)
     harness.advance(0.12)
-    older, newest = harness.arrive(patience=6.0), harness.arrive(patience=6.0)
+    older, newest = harness.arrive(timeout_s=6.0), harness.arrive(timeout_s=6.0)
     assert all(waits(harness, key) for key in (old, older, newest))
     waiting = harness.router._context.pacing_queue
     first = waiting.next("s1", harness.now)
     assert first.request.key == newest
     longest = waiting.next("s1", harness.now + 1.0)
-    assert longest.request.arrived_at_s <= min(each.request.arrived_at_s for each in harness.of(old))
+    assert longest.request.arrived_at_s <= min(each.request.arrived_at_s for each in harness.attempts(old))
 
 
 def test_a_more_urgent_request_has_room_before_a_newer_less_urgent_one() -> None:
@@ -145,8 +145,8 @@
     harness = RouterHarness(ALL_NEEDED, lesser, servers=servers_with_one_of("s1"), nodes=3)
     slowed(harness, ("s1",))
     for _ in range(2):
-        answer_others(harness, harness.arrive(patience=6.0), "s1")
-    urgent = harness.arrive(patience=6.0)
+        answer_others(harness, harness.arrive(timeout_s=6.0), "s1")
+    urgent = harness.arrive(timeout_s=6.0)
     newer = harness.arrive("/lesser/x", 6.0)
     assert waits(harness, urgent) and waits(harness, newer)
     assert harness.router._context.pacing_queue.next("s1", harness.now).request.key == urgent
@@ -154,7 +154,7 @@
 
 def test_whoever_would_soon_be_given_up_goes_before_the_newest() -> None:
     harness = busy_shard(nodes=3)
-    old, newest = harness.arrive(patience=0.5), harness.arrive(patience=6.0)
+    old, newest = harness.arrive(timeout_s=0.5), harness.arrive(timeout_s=6.0)
     assert waits(harness, old) and waits(harness, newest)
     assert harness.router._context.pacing_queue.next("s1", harness.now).request.key == old
 
@@ -163,9 +163,9 @@
     one = (server("a", "desk"),)
     harness = slowed(RouterHarness(single_route(), servers=one, nodes=50), ("desk",), path="/one/x")
     keys = [harness.arrive("/one/x", 1.2) for _ in range(4)]
-    assert all(harness.of(key) == [] for key in keys)
+    assert all(harness.attempts(key) == [] for key in keys)
     harness.advance(1.3)
-    given_up = [key for key in keys if harness.of(key) == []]
+    given_up = [key for key in keys if harness.attempts(key) == []]
     assert given_up
     for key in given_up:
         final = harness.finals[key]
@@ -173,7 +173,7 @@
         assert final.failure.verdict is Verdict.NOT_RUN
         assert final.failure.retry_after_ms > 0
     harness.advance(30.0)
-    assert all(harness.of(key) == [] for key in given_up)
+    assert all(harness.attempts(key) == [] for key in given_up)
 
 
 def test_whoever_can_have_room_in_time_waits_for_it_unsent_and_gets_it() -> None:
@@ -182,21 +182,21 @@
     play_servers(harness, ("desk",), 6.0)
     harness.arrive("/one/x", 6.0)
     key = harness.arrive("/one/x", 6.0)
-    assert harness.of(key) == []
+    assert harness.attempts(key) == []
     play_servers(harness, ("desk",), 6.0)
-    assert len(harness.of(key)) == 1
+    assert len(harness.attempts(key)) == 1
     assert isinstance(harness.finals[key], ev.PassOn)
 
 
 def test_whose_room_would_come_too_late_is_asked_at_once_and_not_held() -> None:
     one = (server("a", "desk"),)
     harness = slowed(RouterHarness(single_route(), servers=one, nodes=50), ("desk",), path="/one/x")
-    assert len(harness.of(harness.arrive("/one/x", 0.6))) == 1
+    assert len(harness.attempts(harness.arrive("/one/x", 0.6))) == 1
 
 
 def test_a_caller_that_left_while_it_waited_is_not_served() -> None:
     harness = busy_shard(nodes=8)
-    key = harness.arrive(patience=6.0)
+    key = harness.arrive(timeout_s=6.0)
     assert waits(harness, key)
     harness.feed(ev.CallerLeft(key))
     play_servers(harness, ("s1",), 4.0)
@@ -205,22 +205,22 @@
 
 def test_a_hedge_does_not_take_the_room_that_somebody_waits_for() -> None:
     harness = slowed(RouterHarness(ALL_NEEDED, nodes=8), ("s1",))
-    keys = [harness.arrive(patience=6.0) for _ in range(6)]
+    keys = [harness.arrive(timeout_s=6.0) for _ in range(6)]
     assert any(waits(harness, key) for key in keys)
     for _ in range(100):
         if not any(waits(harness, key) for key in keys):
             break
-        assert all(sum(each.server.service == "s1" for each in harness.of(key)) <= 1 for key in keys)
+        assert all(sum(each.server.service == "s1" for each in harness.attempts(key)) <= 1 for key in keys)
         harness.advance(0.01)
 
 
 def test_too_few_shards_are_refused_at_once_with_a_time_to_come_back() -> None:
     harness = RouterHarness(gather_route(coverage=0.75))
     key = harness.arrive()
-    answered = harness.of(key)[3]
+    answered = harness.attempts(key)[3]
     for shard in ("s1", "s2"):
         for _ in range(2):
-            for attempt in [each for each in harness.of(key) if each.server.service == shard][-1:]:
+            for attempt in [each for each in harness.attempts(key) if each.server.service == shard][-1:]:
                 harness.fail(attempt)
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
@@ -231,8 +231,8 @@
 
 def test_a_sound_shard_is_asked_at_once_whatever_the_others_are() -> None:
     harness = slowed(RouterHarness(gather_route(coverage=1.0), nodes=8), ("s1", "s2"))
-    harness.arrive(patience=6.0)
-    key = harness.arrive(patience=6.0)
+    harness.arrive(timeout_s=6.0)
+    key = harness.arrive(timeout_s=6.0)
     assert asked(harness, key) >= {"s3", "s4"}
     harness.advance(4.0)
     assert asked(harness, key) == set(SHARDS)
@@ -247,7 +247,7 @@
 
 def test_nothing_is_kept_of_services_that_nobody_waits_for() -> None:
     harness = busy_shard(nodes=8)
-    assert waits(harness, harness.arrive(patience=6.0))
+    assert waits(harness, harness.arrive(timeout_s=6.0))
     play_servers(harness, ("s1",), 6.0)
     assert len(harness.router._context.pacing_queue) == 0
 
@@ -262,33 +262,33 @@
 def test_a_server_that_refuses_a_connection_is_not_failing_and_costs_no_budget() -> None:
     harness = RouterHarness(ONE_SHARD, servers=THREE_ONE)
     key = harness.arrive()
-    first = harness.of(key)[0]
+    first = harness.attempts(key)[0]
     refuse(harness, first)
-    again = harness.of(key)[1]
+    again = harness.attempts(key)[1]
     assert again.server.instance != first.server.instance
     harness.answer(again)
     assert harness.finals[key].summary is not None
     assert harness.finals[key].summary.extra_attempts == 0  # type: ignore[union-attr]
-    assert not any(note.details.get("state") == "ejected" for note in harness.notes)
+    assert not any(note.details.get("state") == "ejected" for note in harness.logged)
 
 
 def test_when_all_servers_refuse_connections_the_request_waits_a_moment() -> None:
     harness = RouterHarness(ONE_SHARD, servers=THREE_ONE)
     key = harness.arrive()
     for number in range(3):
-        refuse(harness, harness.of(key)[number])
+        refuse(harness, harness.attempts(key)[number])
     assert key not in harness.finals
     harness.advance(0.035)
-    assert len(harness.of(key)) == 4
-    harness.answer(harness.of(key)[3])
+    assert len(harness.attempts(key)) == 4
+    harness.answer(harness.attempts(key)[3])
     assert isinstance(harness.finals[key], ev.Gathered)
 
 
 def test_what_may_have_run_before_a_reset_is_paid_for() -> None:
     harness = RouterHarness(ONE_SHARD, servers=THREE_ONE)
     key = harness.arrive()
-    refuse(harness, harness.of(key)[0], Verdict.MAY_HAVE_RUN)
-    harness.answer(harness.of(key)[1])
+    refuse(harness, harness.attempts(key)[0], Verdict.MAY_HAVE_RUN)
+    harness.answer(harness.attempts(key)[1])
     assert harness.finals[key].summary.extra_attempts == 1  # type: ignore[union-attr]
 
 
@@ -297,14 +297,14 @@
 
     def limit() -> int:
         key = harness.arrive()
-        attempt = harness.of(key)[0]
+        attempt = harness.attempts(key)[0]
         harness.answer(attempt)
         return attempt.connection_limit
 
     grown = [limit() for _ in range(5)]
     assert grown == [1, 2, 3, 4, 5]
     harness.feed(ev.ConnectionsChanged("a", 2))
-    refuse(harness, harness.of(harness.arrive())[0])
+    refuse(harness, harness.attempts(harness.arrive())[0])
     harness.advance(0.5)
     assert limit() == 2
 
@@ -313,8 +313,8 @@
     harness = RouterHarness(ONE_SHARD, servers=THREE_ONE)
     harness.warm_up()
     key = harness.arrive()
-    first = harness.of(key)[0]
+    first = harness.attempts(key)[0]
     harness.fail(first, failure(Reason.CONNECTION_FORGOTTEN))
-    harness.answer(harness.of(key)[1], reply())
-    assert not any(note.details.get("state") == "ejected" for note in harness.notes)
-    assert harness.of(harness.arrive())[0].server.instance == first.server.instance
+    harness.answer(harness.attempts(key)[1], reply())
+    assert not any(note.details.get("state") == "ejected" for note in harness.logged)
+    assert harness.attempts(harness.arrive())[0].server.instance == first.server.instance
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -25,7 +25,7 @@
     """Let every server of a service fail, and answer the rest."""
     key = harness.arrive()
     answered: set[int] = set()
-    while open_ones := [each for each in harness.of(key) if each.number not in answered]:
+    while open_ones := [each for each in harness.attempts(key) if each.number not in answered]:
         for each in open_ones:
             answered.add(each.number)
             if each.server.service == service:
@@ -37,7 +37,7 @@
 def test_a_request_that_cannot_reach_its_coverage_is_sent_nowhere() -> None:
     harness = RouterHarness(gather_route(coverage=0.75), servers=servers_of("s1", "s2"))
     key = harness.arrive()
-    assert harness.of(key) == []
+    assert harness.attempts(key) == []
     final = refusal(harness, key)
     assert final.failure.verdict is Verdict.NOT_RUN
     assert final.failure.reason is Reason.NO_REPLICA
@@ -47,8 +47,8 @@
 def test_a_request_that_can_reach_its_coverage_is_sent_as_before() -> None:
     harness = RouterHarness(gather_route(coverage=0.75), servers=servers_of("s1", "s2", "s3"))
     key = harness.arrive()
-    assert {each.server.service for each in harness.of(key)} == {"s1", "s2", "s3"}
-    for each in harness.of(key):
+    assert {each.server.service for each in harness.attempts(key)} == {"s1", "s2", "s3"}
+    for each in harness.attempts(key):
         harness.answer(each)
     assert isinstance(harness.finals[key], ev.Gathered)
 
@@ -73,17 +73,17 @@
 def test_a_caller_comes_back_once_the_ejections_in_its_way_are_over() -> None:
     harness = RouterHarness(gather_route(coverage=1.0), servers=servers_of(*SHARDS))
     fail_all(harness, "s1")
-    told = [refusal(harness, harness.arrive(patience=PATIENCE_S)).failure.retry_after_ms for _ in range(20)]
+    told = [refusal(harness, harness.arrive(timeout_s=PATIENCE_S)).failure.retry_after_ms for _ in range(20)]
     assert all(FAILING_EJECTION_S * 1000 <= each <= FAILING_EJECTION_S * 1000 * 1.3 for each in told)
     assert len(set(told)) > 10
     harness.advance(max(told) / 1000)
-    assert harness.of(harness.arrive()) != []
+    assert harness.attempts(harness.arrive()) != []
 
 
 def test_ejections_that_outlast_the_caller_name_the_usual_time() -> None:
     harness = RouterHarness(gather_route(coverage=1.0), servers=servers_of(*SHARDS))
     fail_all(harness, "s1")
-    final = refusal(harness, harness.arrive(patience=0.3))
+    final = refusal(harness, harness.arrive(timeout_s=0.3))
     assert final.failure.retry_after_ms == SHED_RETRY_AFTER_MS
 
 
@@ -99,14 +99,14 @@
 def test_a_caller_whose_server_is_full_comes_back_when_it_takes_work_again() -> None:
     harness = RouterHarness(single_route(), servers=(server("d", "desk"),))
     key = harness.arrive("/one/x")
-    harness.fail(harness.of(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
+    harness.fail(harness.attempts(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
     assert 50 <= refusal(harness, key).failure.retry_after_ms <= 65
 
 
 def test_a_request_that_falls_short_later_is_refused_at_once() -> None:
     harness = RouterHarness(gather_route(coverage=1.0, attempts=1))
     key = harness.arrive()
-    first, *others = harness.of(key)
+    first, *others = harness.attempts(key)
     harness.answer(others[0], reply())
     harness.fail(first)
     final = refusal(harness, key)
--- a/tests/gateway/test_rollout_canaries.py
+++ b/tests/gateway/test_rollout_canaries.py
@@ -39,7 +39,7 @@
     sent: list[str] = []
     for node in range(NODES):
         harness = canary(share=SHARE)
-        request = harness.of(harness.arrive())[0].request
+        request = harness.attempts(harness.arrive())[0].request
         for number in range(EACH):
             name = f"{node}-{number}"
             harness.feed(ev.RequestArrived(replace(request, key=name, request_id=name)))
@@ -70,16 +70,16 @@
 def test_a_canary_that_fails_is_repeated_at_the_old_version(lost: Failure) -> None:
     harness = canary()
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], lost)
+    harness.fail(harness.attempts(key)[0], lost)
     assert harness.versions(key) == ["v2", "v1"]
-    harness.answer(harness.of(key)[1])
+    harness.answer(harness.attempts(key)[1])
     assert isinstance(harness.finals[key], ev.Gathered)
 
 
 def test_a_canary_that_answers_a_failure_is_repeated_at_the_old_version() -> None:
     harness = canary()
     key = harness.arrive()
-    harness.answer(harness.of(key)[0], reply(status=500, signature=None))
+    harness.answer(harness.attempts(key)[0], reply(status=500, signature=None))
     assert harness.versions(key) == ["v2", "v1"]
 
 
@@ -96,7 +96,7 @@
     harness = canary(budget=BudgetLimits(ratio=0.0, allowance=3.0, window_s=10.0))
     keys = [harness.arrive() for _ in range(5)]
     for key in keys:
-        harness.fail(harness.of(key)[0])
+        harness.fail(harness.attempts(key)[0])
     assert sum(len(harness.versions(key)) - 1 for key in keys) == 2
 
 
@@ -124,7 +124,7 @@
     for coverage, most in ((1.0, 1), (0.75, 1), (0.5, 2), (0.25, 3)):
         harness = canary(gather_route(coverage))
         key = harness.arrive()
-        assert (harness.versions(key).count("v2"), len(harness.of(key))) == (most, len(SHARDS))
+        assert (harness.versions(key).count("v2"), len(harness.attempts(key))) == (most, len(SHARDS))
 
 
 def test_each_part_of_a_wide_request_is_a_canary_at_times() -> None:
@@ -145,7 +145,7 @@
     harness = canary(UNREPEATABLE)
     key = harness.arrive("/one/x")
     harness.advance(2.0)
-    harness.fail(harness.of(key)[0])
+    harness.fail(harness.attempts(key)[0])
     assert harness.versions(key) == ["v2"]
     assert isinstance(harness.finals[key], ev.Refuse)
 
@@ -164,7 +164,7 @@
     harness.ask(requests=3)
     harness.hear(CANARY)
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], SHED)
+    harness.fail(harness.attempts(key)[0], SHED)
     first, second = harness.report(), harness.report()
     assert (first.sent_old, first.sent_new, first.state) == (4, 1, CANARY)
     assert (second.sent_old, second.sent_new, second.samples) == (4, 1, ())
@@ -178,8 +178,10 @@
     for status in (200, 500):
         key = harness.arrive()
         harness.advance(0.02)
-        harness.answer(harness.of(key)[0], reply(status=status, signature=b"s" if status == 200 else None))
-    old = harness.of(key)[1]
+        harness.answer(
+            harness.attempts(key)[0], reply(status=status, signature=b"s" if status == 200 else None)
+        )
+    old = harness.attempts(key)[1]
     harness.advance(0.03)
     harness.answer(old)
     good, bad, repeated = harness.report().samples
@@ -206,7 +208,7 @@
 def test_failures_that_say_nothing_of_the_server_are_no_samples(reason: Reason, samples: int) -> None:
     harness = canary()
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], failure(reason))
+    harness.fail(harness.attempts(key)[0], failure(reason))
     assert len([each for each in harness.report().samples if each.new]) == samples
 
 
@@ -214,7 +216,7 @@
     harness = RolledOut(servers=(*servers_of("s1", "v1"), *cold_servers()))
     harness.hear(CANARY)
     key = harness.arrive()
-    harness.answer(harness.of(key)[0])
+    harness.answer(harness.attempts(key)[0])
     assert [each.latency_s for each in harness.report().samples] == [None]
 
 
--- a/tests/gateway/test_rollout_versions.py
+++ b/tests/gateway/test_rollout_versions.py
@@ -46,7 +46,7 @@
     harness = RolledOut(ordered=False)
     key = harness.arrive()
     for _ in range(2):
-        harness.fail(harness.of(key)[-1], SHED)
+        harness.fail(harness.attempts(key)[-1], SHED)
     assert harness.versions(key) == ["v1", "v1"]
 
 
@@ -55,8 +55,8 @@
     harness = RolledOut(ordered=ordered)
     harness.feed(ev.NodesCounted(50))
     slowed(harness, ("s1",))
-    keys = [harness.arrive(patience=6.0) for _ in range(8)]
-    waiting = [key for key in keys if not harness.of(key)]
+    keys = [harness.arrive(timeout_s=6.0) for _ in range(8)]
+    waiting = [key for key in keys if not harness.attempts(key)]
     assert waiting
     return harness, waiting
 
@@ -98,7 +98,7 @@
     harness.feed(ev.ServerSuspected("s1-v1-1", 5.0))
     harness.feed(ev.ServerSuspected("s1-v1-2", 5.0))
     assert harness.ask(requests=3) == {"v1"}
-    assert [note.details["instance"] for note in harness.notes if note.name == "server_state"] == ["s1-v1-1"]
+    assert [note.details["instance"] for note in harness.logged if note.name == "server_state"] == ["s1-v1-1"]
 
 
 def test_the_last_server_of_the_new_version_is_not_gone_around() -> None:
@@ -106,14 +106,14 @@
     harness.record(SWITCHING)
     for number in (1, 2):
         harness.feed(ev.ServerSuspected(f"s1-v2-{number}", 5.0))
-    assert [note.details["instance"] for note in harness.notes if note.name == "server_state"] == ["s1-v2-1"]
+    assert [note.details["instance"] for note in harness.logged if note.name == "server_state"] == ["s1-v2-1"]
 
 
 def test_what_a_lost_coordinator_may_have_asked_keeps_to_the_old_version() -> None:
     harness = RolledOut()
     harness.hear(CANARY)
     key = harness.arrive()
-    handed_over = replace(harness.of(key)[0].request, key="again", asked_before=True)
+    handed_over = replace(harness.attempts(key)[0].request, key="again", asked_before=True)
     harness.feed(ev.RequestArrived(handed_over))
     assert (harness.versions(key), harness.versions("again")) == (["v2"], ["v1"])
 
@@ -232,7 +232,7 @@
     harness.feed(ev.ServerRemoved("s1-v2-2"))
     harness.advance(3.0)
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], SHED)
+    harness.fail(harness.attempts(key)[0], SHED)
     assert harness.versions(key) == ["v2"]
 
 
@@ -270,7 +270,7 @@
     harness.hear(SWITCHING)
     harness.record(SWITCHING)
     harness.feed(ev.RolloutWithdrawn("s1"))
-    told = [(note.name, note.details["state"]) for note in harness.notes if note.name.startswith("rollout")]
+    told = [(note.name, note.details["state"]) for note in harness.logged if note.name.startswith("rollout")]
     assert told == [
         ("rollout_learnt", ORDERED),
         ("rollout_obeyed", ORDERED),
@@ -289,7 +289,7 @@
     assert (harness.versions(early), harness.versions(late)) == (["v1"], ["v2"])
     report = harness.report()
     assert (report.state, report.old_in_flight, report.sent_old, report.sent_new) == (SWITCHING, 1, 1, 1)
-    harness.answer(harness.of(early)[0], reply())
+    harness.answer(harness.attempts(early)[0], reply())
     assert harness.report().old_in_flight == 0
 
 
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from harness import (
-    TERMS,
+    BUDGET,
     RouterHarness,
     configuration,
     failure,
@@ -25,12 +25,12 @@
 def ask(harness: RouterHarness, latency: float = 0.02) -> str:
     """Ask once; the first server answers after ``latency``, any other one at once. Returns the first."""
     key = harness.arrive()
-    attempt = harness.of(key)[0]
+    attempt = harness.attempts(key)[0]
     answered = 1
     end = harness.now + latency
     while harness.now < end:
         harness.advance(min(0.005, end - harness.now))
-        for each in harness.of(key)[answered:]:
+        for each in harness.attempts(key)[answered:]:
             harness.answer(each)
             answered += 1
     harness.answer(attempt)
@@ -47,7 +47,7 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     keys = [harness.arrive() for _ in range(4)]
-    zones = [harness.of(key)[0].server.zone for key in keys]
+    zones = [harness.attempts(key)[0].server.zone for key in keys]
     assert zones.count("z2") >= 1
 
 
@@ -56,18 +56,18 @@
     harness.warm_up()
     key = harness.arrive()
     busy = ServerReply(200, (), b"", b"sig", Load(2, 6, 2))
-    harness.answer(harness.of(key)[0], busy)
-    assert harness.of(harness.arrive())[0].server.zone == "z2"
+    harness.answer(harness.attempts(key)[0], busy)
+    assert harness.attempts(harness.arrive())[0].server.zone == "z2"
     harness.advance(1.0)
-    assert harness.of(harness.arrive())[0].server.zone == "z1"
+    assert harness.attempts(harness.arrive())[0].server.zone == "z1"
 
 
 def test_a_report_of_this_very_request_alone_moves_nothing() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
-    harness.answer(harness.of(key)[0], ServerReply(200, (), b"", b"sig", Load(2, 0, 2)))
-    assert harness.of(harness.arrive())[0].server.zone == "z1"
+    harness.answer(harness.attempts(key)[0], ServerReply(200, (), b"", b"sig", Load(2, 0, 2)))
+    assert harness.attempts(harness.arrive())[0].server.zone == "z1"
 
 
 def test_what_a_new_connection_costs_everywhere_is_not_distance() -> None:
@@ -75,12 +75,12 @@
     harness.warm_up()
     for seconds in (0.0062, 0.030, 0.0064):
         key = harness.arrive()
-        assert harness.of(key)[0].server.zone == "z1"
-        harness.answer(harness.of(key)[0], connected_in=seconds)
+        assert harness.attempts(key)[0].server.zone == "z1"
+        harness.answer(harness.attempts(key)[0], connected_in=seconds)
         harness.advance(0.05)
     harness.feed(ev.ServerListed(server("s1-z1", "s1", leaving=True)))
     key = harness.arrive()
-    harness.answer(harness.of(key)[0], connected_in=0.0078)
+    harness.answer(harness.attempts(key)[0], connected_in=0.0078)
     harness.feed(ev.ServerListed(server("s1-z1b", "s1", "z1")))
     assert ask(harness) == "s1-z1b"
     distances = harness.router.servers.distances
@@ -94,7 +94,7 @@
     assert ask(harness, 0.15) == "s1-z1"
     assert ask(harness, 0.15) == "s1-z1"
     assert ask(harness) == "s1-z2"
-    assert any(note.details.get("state") == "ejected" for note in harness.notes)
+    assert any(note.details.get("state") == "ejected" for note in harness.logged)
 
 
 def test_a_pause_does_not_keep_work_away_once_it_is_over() -> None:
@@ -117,19 +117,19 @@
 def test_while_an_attempt_is_stalled_its_server_gets_no_first_attempts() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
-    stalled = harness.of(harness.arrive())[0]
+    stalled = harness.attempts(harness.arrive())[0]
     harness.advance(0.06)
-    assert harness.of(harness.arrive())[0].server.instance != stalled.server.instance
+    assert harness.attempts(harness.arrive())[0].server.instance != stalled.server.instance
 
 
 def test_a_server_that_lost_one_answer_is_not_taken_for_dark() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
-    lost, *later = [harness.of(harness.arrive())[0] for _ in range(3)]
+    lost, *later = [harness.attempts(harness.arrive())[0] for _ in range(3)]
     same = [each for each in later if each.server.instance == lost.server.instance]
     if not same:
         harness.advance(0.001)
-        same = [harness.of(harness.arrive())[0]]
+        same = [harness.attempts(harness.arrive())[0]]
     harness.advance(0.02)
     for each in later + same:
         harness.answer(each)
@@ -142,14 +142,14 @@
     harness = RouterHarness(gather_route())
     for _ in range(3):
         key = harness.arrive()
-        for attempt in harness.of(key):
+        for attempt in harness.attempts(key):
             if attempt.server.service != "s1":
                 harness.answer(attempt)
         harness.advance(1.6)
-        for attempt in harness.of(key):
+        for attempt in harness.attempts(key):
             harness.fail(attempt, failure(Reason.TIMED_OUT))
     key = harness.arrive()
-    rest = harness.of(key)
+    rest = harness.attempts(key)
     assert {each.server.service for each in rest} == {"s2", "s3", "s4"}
     for attempt in rest:
         harness.answer(attempt)
@@ -160,8 +160,8 @@
     harness = RouterHarness(single_route(), servers=(server("a", "desk"),))
     for _ in range(3):
         key = harness.arrive("/one/x", 6.0)
-        harness.fail(harness.of(key)[0])
-    assert len(harness.of(harness.arrive("/one/x", 6.0))) == 1
+        harness.fail(harness.attempts(key)[0])
+    assert len(harness.attempts(harness.arrive("/one/x", 6.0))) == 1
 
 
 def test_a_leaving_server_gets_no_new_work_of_any_kind() -> None:
@@ -170,8 +170,8 @@
     harness.advance(60.0)
     assert {ask(harness) for _ in range(10)} == {"s1-z2"}
     key = harness.arrive()
-    harness.fail(harness.of(key)[0])
-    assert {each.server.instance for each in harness.of(key)} == {"s1-z2"}
+    harness.fail(harness.attempts(key)[0])
+    assert {each.server.instance for each in harness.attempts(key)} == {"s1-z2"}
 
 
 def test_an_entry_that_vanished_is_a_last_resort_for_a_moment_only() -> None:
@@ -181,7 +181,7 @@
     harness.feed(ev.ServerRemoved("s1-z2"))
     assert ask(harness) in {"s1-z1", "s1-z2"}
     harness.advance(2.0)
-    assert harness.of(harness.arrive()) == []
+    assert harness.attempts(harness.arrive()) == []
     harness.feed(ev.ServerListed(server("s1-z1", "s1")))
     assert ask(harness) == "s1-z1"
 
@@ -195,9 +195,9 @@
 def test_a_reused_address_is_another_server() -> None:
     harness = RouterHarness(ONE_SHARD)
     key = harness.arrive()
-    first = harness.of(key)[0]
+    first = harness.attempts(key)[0]
     harness.fail(first, failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN))
-    again = harness.of(key)[1]
+    again = harness.attempts(key)[1]
     assert again.server.instance != first.server.instance
     harness.answer(again)
     assert {ask(harness) for _ in range(5)} == {again.server.instance}
@@ -206,9 +206,9 @@
 def test_a_server_that_rejects_is_left_alone_for_a_moment_but_not_ejected() -> None:
     harness = RouterHarness(ONE_SHARD)
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
-    harness.answer(harness.of(key)[1])
-    again = harness.of(harness.arrive())[0]
+    harness.fail(harness.attempts(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
+    harness.answer(harness.attempts(key)[1])
+    again = harness.attempts(harness.arrive())[0]
     assert again.server.instance == "s1-z2"
     harness.answer(again)
     harness.advance(0.2)
@@ -217,29 +217,29 @@
 
 def test_connections_to_a_server_are_shared_among_the_nodes() -> None:
     harness = RouterHarness(ONE_SHARD, nodes=8)
-    first = harness.of(harness.arrive())[0]
+    first = harness.attempts(harness.arrive())[0]
     assert first.connection_limit == 1
     harness.answer(first)
     harness.warm_up(requests=40)
-    limit = harness.of(harness.arrive())[0].connection_limit
+    limit = harness.attempts(harness.arrive())[0].connection_limit
     assert 8 * limit <= 100 < 8 * (limit + 3)
 
 
 def test_a_failing_servers_error_counts_against_it() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
-    first = harness.of(key)[0]
+    first = harness.attempts(key)[0]
     harness.answer(first, reply(status=500))
-    harness.answer(harness.of(key)[1])
-    assert harness.of(harness.arrive("/one/x", 6.0))[0].server.instance != first.server.instance
+    harness.answer(harness.attempts(key)[1])
+    assert harness.attempts(harness.arrive("/one/x", 6.0))[0].server.instance != first.server.instance
 
 
 def test_a_server_whose_connections_are_all_in_use_is_not_the_first_choice() -> None:
     harness = RouterHarness(ONE_SHARD, nodes=90)
     harness.warm_up()
-    first = harness.of(harness.arrive())[0]
+    first = harness.attempts(harness.arrive())[0]
     assert first.connection_limit == 1
-    assert harness.of(harness.arrive())[0].server.instance != first.server.instance
+    assert harness.attempts(harness.arrive())[0].server.instance != first.server.instance
 
 
 def test_a_server_that_is_long_gone_is_forgotten_with_all_that_is_kept_for_it() -> None:
@@ -256,7 +256,7 @@
 
 def test_a_server_with_work_in_flight_is_not_forgotten_yet() -> None:
     harness = RouterHarness(ONE_SHARD)
-    attempt = harness.of(harness.arrive())[0]
+    attempt = harness.attempts(harness.arrive())[0]
     harness.feed(ev.ServerRemoved(attempt.server.instance))
     harness.advance(60.0)
     harness.feed(ev.ServerRemoved("nobody"))
@@ -277,13 +277,13 @@
 def test_a_caller_without_patience_does_not_get_sound_servers_ejected() -> None:
     harness = RouterHarness(gather_route())
     harness.warm_up()
-    key = harness.arrive(patience=0.040)
+    key = harness.arrive(timeout_s=0.040)
     harness.advance(0.026)
-    for attempt in harness.of(key):
+    for attempt in harness.attempts(key):
         harness.fail(attempt, failure(Reason.TIMED_OUT))
-    assert not any(note.details.get("state") == "ejected" for note in harness.notes)
+    assert not any(note.details.get("state") == "ejected" for note in harness.logged)
     after = harness.arrive()
-    assert len(harness.of(after)) == 4
+    assert len(harness.attempts(after)) == 4
 
 
 def test_a_server_that_is_silent_for_long_is_ejected() -> None:
@@ -291,8 +291,8 @@
     harness.warm_up()
     key = harness.arrive()
     harness.advance(0.3)
-    harness.fail(harness.of(key)[0], failure(Reason.TIMED_OUT))
-    assert any(note.details.get("state") == "ejected" for note in harness.notes)
+    harness.fail(harness.attempts(key)[0], failure(Reason.TIMED_OUT))
+    assert any(note.details.get("state") == "ejected" for note in harness.logged)
 
 
 def observed(harness: RouterHarness) -> list[str]:
@@ -320,7 +320,7 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     keys = [harness.arrive() for _ in range(3)]
-    attempts = [each for key in keys for each in harness.of(key) if each.server.instance == "s1-z1"]
+    attempts = [each for key in keys for each in harness.attempts(key) if each.server.instance == "s1-z1"]
     harness.advance(0.12)
     for attempt in attempts:
         harness.answer(attempt)
@@ -331,9 +331,9 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
-    first = harness.of(key)[0]
+    first = harness.attempts(key)[0]
     harness.advance(0.05)
-    for hedge in harness.of(key)[1:]:
+    for hedge in harness.attempts(key)[1:]:
         harness.answer(hedge)
     harness.advance(0.25)
     harness.arrive("/none")
@@ -350,7 +350,7 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     harness.router._context.lateness_s = 0.05
-    attempt = harness.of(harness.arrive())[0]
+    attempt = harness.attempts(harness.arrive())[0]
     harness.advance(0.055)
     harness.answer(attempt)
     assert observed(harness) == []
@@ -359,7 +359,7 @@
 def test_the_good_answers_beside_a_late_one_are_told_with_it() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up(requests=30)
-    attempt = harness.of(harness.arrive())[0]
+    attempt = harness.attempts(harness.arrive())[0]
     harness.advance(0.12)
     harness.answer(attempt)
     assert [each.good_answers >= 3 for each in harness.observed] == [True]
@@ -370,11 +370,11 @@
     harness.warm_up()
     harness.feed(ev.ServerSuspected("s1-z1", 1.0))
     harness.advance(1.0)
-    first, second = (harness.of(harness.arrive())[0] for _ in range(2))
+    first, second = (harness.attempts(harness.arrive())[0] for _ in range(2))
     assert (first.server.instance, second.server.instance) == ("s1-z1", "s1-z2")
     harness.advance(0.01)
     harness.answer(first)
-    again = [harness.of(harness.arrive())[0].server.instance for _ in range(2)]
+    again = [harness.attempts(harness.arrive())[0].server.instance for _ in range(2)]
     assert again == ["s1-z1", "s1-z1"]
 
 
@@ -384,14 +384,14 @@
     records = tuple(server(f"srv-{number}", "s1") for number in range(servers))
     asked: dict[str, int] = dict.fromkeys((each.instance for each in records), 0)
     for number in range(nodes):
-        options = GatewayOptions(zone="z1", node=f"node-{number}", budget=TERMS)
+        options = GatewayOptions(zone="z1", node=f"node-{number}", budget=BUDGET)
         harness = RouterHarness(route, servers=records, options=options, nodes=nodes)
         harness.feed(ev.ConfigurationLearnt(configuration(2, route, connections=connections)))
         used = set()
         for _ in range(20):
             key = harness.arrive()
-            used |= {each.server.instance for each in harness.of(key)}
-            for attempt in harness.of(key):
+            used |= {each.server.instance for each in harness.attempts(key)}
+            for attempt in harness.attempts(key):
                 harness.answer(attempt)
         for instance in used:
             asked[instance] += 1
@@ -412,10 +412,12 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
-    harness.answer(harness.of(key)[0], ServerReply(200, (), b"", b"sig", Load(1, 0, 2, work_percent=400)))
-    assert harness.of(harness.arrive())[0].server.zone == "z2"
+    harness.answer(
+        harness.attempts(key)[0], ServerReply(200, (), b"", b"sig", Load(1, 0, 2, work_percent=400))
+    )
+    assert harness.attempts(harness.arrive())[0].server.zone == "z2"
     harness.advance(1.0)
-    assert harness.of(harness.arrive())[0].server.zone == "z1"
+    assert harness.attempts(harness.arrive())[0].server.zone == "z1"
 
 
 def test_a_restored_registrys_older_entries_neither_bring_back_nor_call_off_a_leaving_server() -> None:
@@ -451,7 +453,7 @@
     crashed = server("s1-z1", "s1")
     harness.feed(ev.ServerListed(replace(crashed, instance="s1-new")))
     assert {ask(harness) for _ in range(20)} == {"s1-new"}
-    noted = [each.details for each in harness.notes if each.name == "server_entry"]
+    noted = [each.details for each in harness.logged if each.name == "server_entry"]
     assert {"instance": "s1-z1", "change": "replaced"} in noted
 
 
@@ -507,10 +509,10 @@
     harness.feed(ev.ServersReplaced((there,)))
     harness.feed(ev.ServerListed(replace(there, instance="s1-nobody")))
     key = harness.arrive()
-    (first,) = harness.of(key)
+    (first,) = harness.attempts(key)
     harness.fail(first, failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN))
-    assert [each.server.instance for each in harness.of(key)] == ["s1-nobody", "s1-z1"]
-    harness.answer(harness.of(key)[1])
+    assert [each.server.instance for each in harness.attempts(key)] == ["s1-nobody", "s1-z1"]
+    harness.answer(harness.attempts(key)[1])
     assert {ask(harness) for _ in range(20)} == {"s1-z1"}
 
 
@@ -518,4 +520,4 @@
     harness = RouterHarness(gather_route(services=("s1", "s2")))
     first = server("one", "s1")
     harness.feed(ev.ServersReplaced((first, replace(first, instance="two", service="s2"))))
-    assert {each.server.instance for each in harness.of(harness.arrive())} == {"one", "two"}
+    assert {each.server.instance for each in harness.attempts(harness.arrive())} == {"one", "two"}
--- a/tests/gateway/test_shedding.py
+++ b/tests/gateway/test_shedding.py
@@ -47,7 +47,7 @@
         keys = []
         end = harness.now + seconds
         while harness.now < end:
-            keys.append(harness.arrive(patience=0.8))
+            keys.append(harness.arrive(timeout_s=0.8))
             self._until(harness.now + INTERVAL_S)
         self._until(harness.now + 1.0)
         return [harness.finals[key] for key in keys]
--- a/tests/gateway/test_single.py
+++ b/tests/gateway/test_single.py
@@ -13,7 +13,7 @@
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
     answer = reply(b"body", status=404)
-    harness.answer(harness.of(key)[0], answer)
+    harness.answer(harness.attempts(key)[0], answer)
     final = harness.finals[key]
     assert isinstance(final, ev.PassOn)
     assert final.reply is answer
@@ -23,9 +23,9 @@
     harness = RouterHarness(single_route(repeatable=False))
     key = harness.arrive("/one/x", 6.0)
     harness.advance(3.0)
-    assert len(harness.of(key)) == 1
-    harness.fail(harness.of(key)[0])
-    assert len(harness.of(key)) == 1
+    assert len(harness.attempts(key)) == 1
+    harness.fail(harness.attempts(key)[0])
+    assert len(harness.attempts(key)) == 1
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
@@ -34,17 +34,17 @@
 def test_what_must_not_run_twice_is_sent_again_after_a_promise_that_it_did_not_run() -> None:
     harness = RouterHarness(single_route(repeatable=False))
     key = harness.arrive("/one/x", 6.0)
-    harness.fail(harness.of(key)[0], SHED)
-    assert len(harness.of(key)) == 2
-    harness.answer(harness.of(key)[1])
+    harness.fail(harness.attempts(key)[0], SHED)
+    assert len(harness.attempts(key)) == 2
+    harness.answer(harness.attempts(key)[1])
     assert isinstance(harness.finals[key], ev.PassOn)
 
 
 def test_a_request_that_every_server_rejected_is_refused_at_once_as_not_run() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
-    harness.fail(harness.of(key)[0], SHED)
-    harness.fail(harness.of(key)[1], SHED)
+    harness.fail(harness.attempts(key)[0], SHED)
+    harness.fail(harness.attempts(key)[1], SHED)
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.NOT_RUN
@@ -54,8 +54,8 @@
 def test_a_rejection_beside_a_run_is_not_called_not_run() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
-    harness.fail(harness.of(key)[0])
-    harness.fail(harness.of(key)[1], SHED)
+    harness.fail(harness.attempts(key)[0])
+    harness.fail(harness.attempts(key)[1], SHED)
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
@@ -65,9 +65,9 @@
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
     first = reply(status=500)
-    harness.answer(harness.of(key)[0], first)
-    assert len(harness.of(key)) == 2
-    harness.fail(harness.of(key)[1])
+    harness.answer(harness.attempts(key)[0], first)
+    assert len(harness.attempts(key)) == 2
+    harness.fail(harness.attempts(key)[1])
     final = harness.finals[key]
     assert isinstance(final, ev.PassOn)
     assert final.reply is first
@@ -124,8 +124,8 @@
     services = []
     for _ in range(300):
         key = harness.arrive("/one/x", 6.0)
-        services.append(harness.of(key)[0].server.service)
-        harness.answer(harness.of(key)[0])
+        services.append(harness.attempts(key)[0].server.service)
+        harness.answer(harness.attempts(key)[0])
         harness.advance(0.05)
     for start in range(0, 200, 7):
         window = services[start : start + 100]
--- a/tests/gateway/test_splits.py
+++ b/tests/gateway/test_splits.py
@@ -55,7 +55,7 @@
         for harness in harnesses:
             route = single_route(split=split_of(weights))
             harness.feed(ev.ConfigurationLearnt(configuration(version, route)))
-            asked += [harness.of(harness.arrive("/one/x"))[0].server.service for _ in range(3)]
+            asked += [harness.attempts(harness.arrive("/one/x"))[0].server.service for _ in range(3)]
         assert abs(asked.count("s0") / len(asked) - weights[0] / sum(weights)) <= MOST_OFF
 
 
@@ -65,6 +65,6 @@
     )
     for _ in range(20):
         key = harness.arrive("/one/x")
-        first = harness.of(key)[0]
+        first = harness.attempts(key)[0]
         harness.fail(first, failure(Reason.SHED, Verdict.NOT_RUN))
-        assert {each.server.service for each in harness.of(key)} == {first.server.service}
+        assert {each.server.service for each in harness.attempts(key)} == {first.server.service}
--- a/tests/serving/test_reload.py
+++ b/tests/serving/test_reload.py
@@ -64,12 +64,12 @@
 def test_other_budget_terms_hold_at_once_and_what_was_spent_still_counts() -> None:
     harness = RouterHarness(single_route(attempts=5))
     key = harness.arrive("/one/x", 6.0)
-    harness.fail(harness.of(key)[0])
-    assert len(harness.of(key)) == 2
+    harness.fail(harness.attempts(key)[0])
+    assert len(harness.attempts(key)) == 2
     harness.router.set_budget(BudgetLimits(ratio=0.0, allowance=1.4, window_s=10.0))
     key = harness.arrive("/one/x", 6.0)
-    harness.fail(harness.of(key)[0], failure())
-    assert len(harness.of(key)) == 1
+    harness.fail(harness.attempts(key)[0], failure())
+    assert len(harness.attempts(key)) == 1
 
 
 def test_a_vanished_entry_is_a_last_resort_until_living_servers_are_back_but_within_the_bound() -> None:
--- a/tests/serving/test_what_is_let_go.py
+++ b/tests/serving/test_what_is_let_go.py
@@ -68,7 +68,7 @@
 def test_an_answered_request_goes_with_its_answer() -> None:
     harness = RouterHarness(gather_route())
     key = harness.arrive()
-    for sent in harness.of(key):
+    for sent in harness.attempts(key):
         harness.answer(sent)
     harness.advance(0.01)
     assert key in harness.finals
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -94,13 +94,13 @@
 def test_nothing_is_sent_for_a_caller_who_has_given_up_meanwhile() -> None:
     harness = RouterHarness(gather_route(attempts=3))
     harness.warm_up()
-    key = harness.arrive(patience=1.5)
-    sent = harness.of(key)
+    key = harness.arrive(timeout_s=1.5)
+    sent = harness.attempts(key)
     harness.now += SUSPENDED_S
     # The connections were lost meanwhile, which is heard of before the timers fire.
     for attempt in sent:
         harness.fail(attempt)
-    assert harness.of(key) == sent
+    assert harness.attempts(key) == sent
     harness.advance(0.0)
     assert isinstance(harness.finals[key], ev.Refuse)
 
@@ -108,11 +108,11 @@
 def test_hedges_that_came_due_meanwhile_are_not_sent_past_the_deadline() -> None:
     harness = RouterHarness(gather_route(attempts=3))
     harness.warm_up()
-    key = harness.arrive(patience=1.5)
-    sent = harness.of(key)
+    key = harness.arrive(timeout_s=1.5)
+    sent = harness.attempts(key)
     harness.now += SUSPENDED_S
     harness.advance(0.0)
-    assert harness.of(key) == sent
+    assert harness.attempts(key) == sent
     assert isinstance(harness.finals[key], ev.Refuse)
 
 
@@ -122,10 +122,10 @@
     for instance in ("desk-z1", "desk-z2"):
         harness.feed(ev.ServerSuspected(instance, 5.0))
     key = harness.arrive("/one/x")
-    harness.fail(harness.of(key)[0])
+    harness.fail(harness.attempts(key)[0])
     harness.now += SUSPENDED_S
     again = harness.arrive("/one/x")
-    assert len(harness.of(again)) == 1
+    assert len(harness.attempts(again)) == 1
 
 
 def test_a_connection_that_its_server_has_closed_meanwhile_is_not_used() -> None:
