--- a/src/yokesill/gateway/limits/__init__.py
+++ b/src/yokesill/gateway/limits/__init__.py
@@ -1,1 +1,1 @@
-"""What bounds a node's use of servers: the budget of extra attempts and the node's share of capacity."""
+"""Limits on a node's use of servers: the extra-attempt budget and the node's share of capacity."""
--- a/src/yokesill/gateway/requests/__init__.py
+++ b/src/yokesill/gateway/requests/__init__.py
@@ -1,1 +1,1 @@
-"""One request from its arrival to its final answer; each rule has a module, ``request`` calls them."""
+"""The life cycle of a request; each rule has its own module, and ``request`` applies them."""
--- a/src/yokesill/gateway/requests/admission.py
+++ b/src/yokesill/gateway/requests/admission.py
@@ -1,8 +1,8 @@
-"""Which requests go to no server at all, before anything is selected or sent.
+"""Admission control: refuses requests before any server is selected.
 
-A request is refused while this node has no configuration, if no route of the configuration matches it, and
-if it is quarantined: it crashed servers (``quarantine``). What a refusal says is in ``refusal``. Whether
-enough servers can be sent an admitted request is decided by ``first_attempts``.
+A request is refused if this node has no configuration yet, if no route matches it, or if it is quarantined
+because it crashed servers (``quarantine``). The refusals themselves are built in ``refusal``.
+``first_attempts`` checks whether enough servers are available for an admitted request.
 """
 
 from yokesill.gateway.context import GatewayContext
@@ -15,7 +15,7 @@
 
 
 def admit(request: GatewayRequest, context: GatewayContext, now: float) -> Route | Failure:
-    """Return the route of a request that has just arrived, or why it is refused."""
+    """Return the route of a request that has just arrived, or the failure with which it is refused."""
     configuration = context.configuration
     if configuration is None:
         return refusal.not_ready()
--- a/src/yokesill/gateway/requests/conclusion.py
+++ b/src/yokesill/gateway/requests/conclusion.py
@@ -1,14 +1,15 @@
-"""When a request gets its final answer, and which.
+"""Decides when a request gets its final answer, and which answer that is.
 
-A single request ends with its call: by the server's answer, by the last failure that a server answered, or
-by a refusal. A request that gathers from many services ends
+A request to a single service ends with its call: with the server's answer, with the last failure response
+of a server, or with a refusal. A request that gathers from many services ends
 
-- when all calls are over, or when none is pending and the rest is not needed;
-- at its objective (``deadlines``), if enough replies are in by then, or as soon after it as enough are;
-- as soon as too few replies can still come, by a refusal;
+- when all calls are finished, or when none is pending and the deferred ones are not needed;
+- at its objective (``deadlines``) if enough replies have arrived, otherwise as soon as they have;
+- with a refusal, as soon as too few replies can still arrive;
 - at its deadline, when all open calls expire.
 
-The verdict of a refusal is the join of the calls' verdicts: that of the call that went furthest.
+The verdict of a refusal is the join of the calls' verdicts, that is, the verdict of the call that progressed
+furthest.
 """
 
 from yokesill.gateway.documents import Gather
@@ -21,7 +22,7 @@
 
 
 def final_answer(fan_out: FanOut, now: float) -> FinalAnswer | None:
-    """Return the final answer if the request gets it now; ``None`` while it goes on."""
+    """Return the final answer if the request ends now, or ``None`` while it continues."""
     destination = fan_out.route.destination
     if not isinstance(destination, Gather):
         return _single_answer(fan_out, now)
@@ -33,20 +34,20 @@
 
 
 def expire_open_calls(fan_out: FanOut) -> None:
-    """Close all open calls: the request's deadline has come."""
+    """Close all open calls because the request's deadline has passed."""
     for call in fan_out.calls:
         if call.open:
             call.expire()
-            fan_out.count_if_over(call)
+            fan_out.count_if_finished(call)
 
 
 def verdict_of(fan_out: FanOut) -> Verdict:
-    """Return whether the request may have run on any server."""
+    """Return the verdict on whether the request has or may have run on any server."""
     return join(call.verdict for call in fan_out.calls)
 
 
 def summarize(fan_out: FanOut, now: float) -> RequestSummary:
-    """Return how the request went until now."""
+    """Return a summary of the request's progress so far."""
     calls = fan_out.calls
     return RequestSummary(
         route=fan_out.route.name,
--- a/src/yokesill/gateway/requests/deadlines.py
+++ b/src/yokesill/gateway/requests/deadlines.py
@@ -1,11 +1,13 @@
-"""When a request's answer comes too late, and when the request is given up.
+"""Computes a request's latency objective and its deadline.
 
-- ``deadline_at_s``: the route's timeout or the caller's own, whichever ends first.
-- ``objective_at_s``: until when a whole answer is waited for; from then on, one that covers enough is given.
-  It is the route's latency objective less what the caller spent on an earlier try of the same request.
+- ``deadline_at_s``: the route's timeout or the caller's own timeout, whichever expires first.
+- ``objective_at_s``: up to this time the request waits for a complete answer; from then on, an answer with
+  sufficient coverage is given. It is the route's latency objective minus the time that the caller spent on
+  an earlier try of the same request.
 
-Both lie earlier by a margin for what this node can't see of the caller's latency: connecting, the ways here
-and back (``fresh_margin_s``, ``kept_margin_s`` of the options) and how late this node's own timers come.
+A margin is subtracted for the part of the caller's latency that this node cannot measure: connecting and the
+network round trip (``fresh_margin_s`` and ``kept_margin_s`` of the options), and the lateness of this node's
+own timers. The route's own timeout is used without a margin.
 """
 
 from typing import NamedTuple
@@ -16,7 +18,7 @@
 
 
 class RequestTimes(NamedTuple):
-    """When one request is late and given up, in seconds; an answer after ``late_after_s`` is late."""
+    """Times of one request, in seconds of the node's clock; an answer after ``late_after_s`` is late."""
 
     objective_at_s: float
     deadline_at_s: float
@@ -24,7 +26,7 @@
 
 
 def request_times(request: GatewayRequest, route: Route, context: GatewayContext) -> RequestTimes:
-    """Return when a request that has just arrived is late and when it is given up."""
+    """Return the objective and the deadline of a request that has just arrived."""
     options = context.options
     margin_s = options.fresh_margin_s if request.fresh_connection else options.kept_margin_s
     margin_s += context.lateness_s
@@ -32,7 +34,8 @@
     deadline_at_s = request.arrived_at_s + min(route.timeout_s, caller_timeout_s - margin_s)
     earlier_wait_s = context.earlier_wait_s(route, caller_timeout_s)
     if earlier_wait_s >= route.objective_s:
-        # Late whatever is done; or this caller merely has a shorter timeout than others of the route.
+        # Either the answer is late in any case, or this caller's timeout is merely shorter than that of other
+        # callers of the route.
         earlier_wait_s = 0.0
     objective_at_s = request.arrived_at_s + max(0.0, route.objective_s - earlier_wait_s - margin_s)
     return RequestTimes(objective_at_s, deadline_at_s, objective_at_s + margin_s)
--- a/src/yokesill/gateway/requests/deferral.py
+++ b/src/yokesill/gateway/requests/deferral.py
@@ -1,20 +1,23 @@
-"""Which calls wait for a slow server's pacing slot, which are sent at once, and which not at all.
+"""Defers calls to slow servers until a pacing slot is free, or skips them.
 
-A call with a sound server is never deferred. Where all servers of a service are slow, they get attempts only
-at the pace that their latency shows, one for each free slot (``pacing``):
+A call with a sound server is never deferred. If all servers of a service are slow, they get attempts only at
+the pace that their latency permits, one per free slot (``pacing``):
 
-1. An answer needs ``required`` replies. What is in and what is sent and not late counts towards them; as many
-   of the deferred calls as are missing then are needed, those with the least expected latency first.
-2. A needed call is sent when a slot is free, or when waiting for one would end after the request's deadline.
-3. A call that the answer can do without is sent only where a slot has gone unused for a whole turn. Otherwise
-   it is skipped, and the slow server answers requests that need it instead.
-4. A needed call without a slot waits in the node's ``PacingQueue``, which decides whose turn a free slot is.
+1. An answer needs ``required`` replies. Replies that have arrived and attempts that are under way and not
+   late count towards them. If more are needed, that many of the deferred calls are needed, those with the
+   lowest expected latency first.
+2. A needed call is sent when a slot is free, or at once if the next slot is free only after the request's
+   deadline.
+3. A call that is not needed is sent only if a slot has been unused for a whole turn. Otherwise it is skipped,
+   which leaves the slow server's capacity to requests that need it.
+4. A needed call without a slot waits in the node's ``PacingQueue``, which selects the next request when a
+   slot becomes free.
 
 All times are in seconds of the node's clock. Measured with bench/overload.py, five seeds: with all servers of
-two shards slow or dark, searches without an answer fall from 0.214 to 0.063; with two of three servers of
-four shards slow at 1.2 of the remaining capacity, answers in time rise from 0.355 to 0.600
-(docs/design/overload.md). Two switches go back: without ``paces`` slots are always free, without
-``leaves_out`` all deferred calls are needed.
+two shards slow or unresponsive, the fraction of searches without an answer falls from 0.214 to 0.063; with
+two of three servers of four shards slow under a load of 1.2 times the remaining capacity, the fraction of
+answers in time rises from 0.355 to 0.600 (docs/design/overload.md). Two switches turn this off: without
+``paces`` slots are always free, without ``leaves_out`` all deferred calls are needed.
 """
 
 from yokesill.gateway.events import SetTimer, TimerKind
@@ -42,7 +45,7 @@
 
 
 def dispatch_deferred_calls(fan_out: FanOut, step: Step) -> None:
-    """Send the deferred calls that may be sent now; the request waits in the queue for those it needs."""
+    """Send the deferred calls that may be sent now; queue the request for those that it still needs."""
     if not fan_out.deferred or is_isolated(fan_out, step):
         return
     choices = [(call, select(fan_out, call, step.now)) for call in fan_out.calls if call.deferred_cause]
@@ -54,11 +57,11 @@
         return
     for call, choice in choices:
         if call.deferred_cause and choice is not None:
-            _queue(fan_out, call, choice, step)
+            _enqueue(fan_out, call, choice, step)
 
 
 def dispatch_deferred(fan_out: FanOut, service: str, step: Step) -> float | None:
-    """Send a service's deferred call, whose turn it is; return ``None``, or when a slot is free instead."""
+    """Send a service's deferred call, or return when a slot is free if none is free now."""
     call = fan_out.by_service[service]
     choice = select(fan_out, call, step.now)
     if choice is not None and not has_free_slot(choice, fan_out.context, step.now):
@@ -70,9 +73,9 @@
 def _may_send(fan_out: FanOut, choice: Choice, now: float) -> bool:
     """Whether a deferred call may be sent to a slow server now.
 
-    A slot that is free too late for this request isn't waited for: a node's share of the pace is a guess
-    where few of many nodes send. Measured in bench/overload.py with 9 of 195 nodes sending: searches without
-    an answer 0.178 -> 0.
+    If the next slot is free too late for this request, a needed call is sent without waiting: a node's share
+    of the pace is only an estimate when few of many nodes send. Measured with bench/overload.py and 9 of 195
+    nodes sending: the fraction of searches without an answer falls from 0.178 to 0.
     """
     free = has_free_slot(choice, fan_out.context, now)
     if calls_needed(fan_out) > 0:
@@ -88,8 +91,8 @@
     fan_out.note_attempts(call)
 
 
-def _queue(fan_out: FanOut, call: ServiceCall, choice: Choice, step: Step) -> None:
-    """Let the request wait for a slot, with a timer for the moment at which one is free."""
+def _enqueue(fan_out: FanOut, call: ServiceCall, choice: Choice, step: Step) -> None:
+    """Queue the request for a slot and set a timer for the time at which the slot is free."""
     queue = fan_out.context.pacing_queue
     request = fan_out.waiting_request()
     if request is not None:
--- a/src/yokesill/gateway/requests/fan_out.py
+++ b/src/yokesill/gateway/requests/fan_out.py
@@ -1,11 +1,12 @@
-"""The calls of one request, and whether they cover enough of its services.
+"""The calls of one request and their coverage of its services.
 
-Owns the calls, which attempt belongs to which, and the counts behind three questions: are as many replies in
-as the answer needs (``coverage_met``), can that many still come (``coverage_unreachable``), and is anything
-still pending. ``required`` is the route's least coverage in calls; a request to one service needs that one.
+Owns the calls, the mapping from attempts to calls, and the counts that determine whether enough replies have
+arrived (``coverage_met``), whether enough can still arrive (``coverage_unreachable``), and how many calls are
+pending. ``required`` is the route's minimum coverage as a number of calls; a request to one service requires
+its single call.
 
-The rules that act on the calls stand in modules of their own: ``first_attempts``, ``deferral``, ``hedging``,
-``retrying``, ``probing``; ``conclusion`` turns the calls into the final answer.
+The rules that act on the calls are in separate modules: ``first_attempts``, ``deferral``, ``hedging``,
+``retrying`` and ``probing``; ``conclusion`` builds the final answer.
 """
 
 import math
@@ -20,27 +21,27 @@
 from yokesill.gateway.requests.service_call import ServiceCall
 from yokesill.gateway.step import Step
 
-# Far below one call and above the error of a product of floats: 0.7 of ten calls is seven, not eight.
-ROUNDING_ERROR = 1e-9
+# Tolerance for floating-point rounding, far below one call: 0.7 of ten calls is seven, not eight.
+COVERAGE_TOLERANCE = 1e-9
 
 
 class FanOut:
-    """The calls of one request, ``required`` of which must bring a reply.
+    """The calls of one request, ``required`` of which must get a reply.
 
     Attributes
     ----------
     waiting_request
-        The request itself, as the pacing queue knows it.
+        A weak reference to the request, as it is entered in the pacing queue.
     calls, by_service, by_number
-        All calls in the route's order, by service, and by the number of each attempt under way.
+        All calls in the route's order, keyed by service, and keyed by the number of each attempt under way.
     covered
-        How many calls have brought their reply.
+        Number of calls that have a reply.
     deferred
-        How many calls wait for a pacing slot.
+        Number of calls that wait for a pacing slot.
     gathers
         Whether the route gathers from many services; otherwise there is one call.
     postponed_hedges
-        Whether hedges were postponed, which happens once at most.
+        Whether hedges were postponed, which happens at most once per request.
     """
 
     def __init__(
@@ -51,8 +52,8 @@
         services: tuple[str, ...],
         context: GatewayContext,
     ) -> None:
-        # Weak: two that held each other would stay, with a whole request's answers, until the interpreter
-        # looks for cycles; 780 objects for each request to 90 services.
+        # A weak reference avoids a reference cycle, which would keep all replies of a request in memory until
+        # the next run of the cyclic garbage collector: 780 objects for each request to 90 services.
         self.waiting_request = weakref.ref(owner)
         self.request = request
         self.route = route
@@ -69,39 +70,39 @@
         self._open_calls = len(self.calls)
         self.gathers = isinstance(route.destination, Gather)
         share = route.destination.minimum_coverage if isinstance(route.destination, Gather) else 1.0
-        self.required = max(1, math.ceil(share * len(self.calls) - ROUNDING_ERROR))
+        self.required = max(1, math.ceil(share * len(self.calls) - COVERAGE_TOLERANCE))
 
     # --- coverage ---
 
     @property
     def coverage_met(self) -> bool:
-        """Whether as many replies are in as the answer needs."""
+        """Whether enough replies have arrived for an answer."""
         return self.covered >= self.required
 
     @property
     def coverage_unreachable(self) -> bool:
-        """Whether too few replies can still come."""
+        """Whether too few replies can still arrive."""
         return self.covered + self._open_calls < self.required
 
     @property
     def pending(self) -> int:
-        """How many calls were sent and may still bring a reply."""
+        """Number of open calls that are not deferred."""
         return self._open_calls - self.deferred
 
     # --- changes to calls ---
 
     def defer(self, call: ServiceCall, cause: str, step: Step) -> None:
-        """Let a call's next attempt wait for a pacing slot."""
+        """Defer a call's next attempt until a pacing slot is free."""
         self.deferred += not call.deferred_cause
         call.defer(cause, step.now)
 
     def end_deferral(self, call: ServiceCall, step: Step) -> str:
-        """Return the cause of a call's attempt that waits no longer."""
+        """End a call's deferral and return the cause of the deferred attempt."""
         self.deferred -= 1
         return call.end_deferral(step.now)
 
     def hold_deferred(self) -> None:
-        """Hold the calls that wait for a pacing slot: the request is isolated."""
+        """Hold the deferred calls because the request is isolated."""
         for call in self.calls:
             if call.deferred_cause:
                 call.deferred_cause = ""
@@ -109,16 +110,16 @@
         self.deferred = 0
 
     def note_attempts(self, call: ServiceCall) -> None:
-        """Note a call's new attempts, or that there are none and it is over."""
+        """Register a call's attempts under way, and count the call if it is finished."""
         for number in call.live_numbers:
             self.by_number[number] = call
-        self.count_if_over(call)
+        self.count_if_finished(call)
 
-    def count_if_over(self, call: ServiceCall) -> None:
-        """Count a call once it can bring nothing more; looking at all calls each time would cost too much."""
-        if call.open or call.counted:
+    def count_if_finished(self, call: ServiceCall) -> None:
+        """Count a call once it is finished; checking all calls each time would be too expensive."""
+        if call.open or call.finish_counted:
             return
-        call.counted = True
+        call.finish_counted = True
         self._open_calls -= 1
         self.deferred -= bool(call.deferred_cause)
         call.deferred_cause = ""
--- a/src/yokesill/gateway/requests/fingerprints.py
+++ b/src/yokesill/gateway/requests/fingerprints.py
@@ -1,20 +1,20 @@
-"""Recognises a request that comes again, from any caller and at any node."""
+"""Fingerprints that identify repeated requests across callers and nodes."""
 
 import hashlib
 
 from yokesill.gateway.messages import GatewayRequest
 
-# 96 bits: nobody can construct a request with the fingerprint of another one. Written in the registry's
-# records and in messages between nodes.
+# 96 bits make it infeasible to construct a request with the fingerprint of another one. The fingerprint is
+# part of the registry's records and of messages between nodes.
 FINGERPRINT_BYTES = 12
 
 
 def fingerprint(request: GatewayRequest) -> str:
-    """Return a request's fingerprint, the same for all requests that a server would run alike.
+    """Return a request's fingerprint, which is equal for all requests that a server would process alike.
 
-    Neither the caller's request id nor the headers count, since they differ between tries. Callers are not
-    told apart: a request that crashes a server for one of them does so for another, and the same caller
-    comes from several addresses.
+    The caller's request id and the headers are not included, since they differ between tries. Callers are not
+    distinguished: a request that crashes a server for one caller does so for another, and one caller may use
+    several addresses.
 
     Returns
     -------
--- a/src/yokesill/gateway/requests/first_attempts.py
+++ b/src/yokesill/gateway/requests/first_attempts.py
@@ -1,13 +1,13 @@
-"""Which services of a request that has just arrived are sent an attempt.
+"""Sends the first attempts of a request that has just arrived.
 
-1. If fewer calls than the answer needs could be sent at all, nothing is sent to anybody: the request is
-   refused and surely has not run, and it earns no budget, since another node may run it.
+1. If fewer calls can be sent than the answer needs, nothing is sent: the request is refused as not run, and
+   it is not counted towards the budget, since another node may run it.
 2. An isolated request is probed, one server at a time (``isolation``).
-3. Otherwise each call with a sound server is sent at once; one whose servers are all slow is deferred
-   (``deferral``); one without any server is closed.
+3. Otherwise each call with a sound server is sent at once; a call whose servers are all slow is deferred
+   (``deferral``); a call without any server is closed.
 
-A call can be sent if a server can be selected and, for a request that another node may have sent already
-(``asked_before``), if an attempt and one of the budget's extra attempts are left.
+A call can be sent if a server can be selected and, for a request that another node may already have sent
+(``asked_before``), if the route's attempts and the budget of extra attempts are not exhausted.
 """
 
 from yokesill.gateway.requests import refusal
@@ -16,13 +16,13 @@
 from yokesill.gateway.requests.hedging import hedge_delay_s
 from yokesill.gateway.requests.probing import is_isolated, probe_next
 from yokesill.gateway.requests.server_choice import select
-from yokesill.gateway.requests.service_call import LEAST_TIME_TO_SEND_S, NEVER, ServiceCall
+from yokesill.gateway.requests.service_call import MIN_TIME_TO_SEND_S, NEVER, ServiceCall
 from yokesill.gateway.servers.selection import Choice
 from yokesill.gateway.step import Step
 
 
 def send_first_attempts(fan_out: FanOut, step: Step) -> None:
-    """Send what a request that has just arrived needs, or close all its calls."""
+    """Send the first attempts of a request that has just arrived, or close all its calls."""
     now = step.now
     delay_s = hedge_delay_s(fan_out, now)
     if fan_out.context.rollouts.effective:
@@ -32,7 +32,7 @@
         _close_all(fan_out, choices, step)
         return
     if not fan_out.request.asked_before:
-        # Otherwise the node that had it before counted it towards the nodes' common budget.
+        # A request that another node had before was already counted there towards the shared budget.
         for call in fan_out.calls:
             fan_out.context.budget(call.service).count_request(now)
     if is_isolated(fan_out, step):
@@ -45,12 +45,12 @@
 
 
 def send_held(fan_out: FanOut, call: ServiceCall, step: Step) -> None:
-    """Send the first attempt of a call that was held until now, or defer it."""
+    """Send or defer the first attempt of a call that was held."""
     _send_or_defer(fan_out, call, select(fan_out, call, step.now), hedge_delay_s(fan_out, step.now), step)
 
 
 def _can_send(fan_out: FanOut, call: ServiceCall, choice: Choice | None, now: float) -> bool:
-    """Whether a first attempt can be sent, now or once ``choice`` has a free pacing slot."""
+    """Whether a first attempt can be sent, either now or once ``choice`` has a free pacing slot."""
     if choice is None or not call.has_attempts_left:
         return False
     return not fan_out.request.asked_before or fan_out.context.extra_attempts_left(call.service, now) >= 1.0
@@ -74,25 +74,28 @@
         return
     if choice is not None and call.send("first", choice, fan_out.deadline_at_s, delay_s, step):
         return
-    if fan_out.deadline_at_s - step.now < LEAST_TIME_TO_SEND_S:
+    if fan_out.deadline_at_s - step.now < MIN_TIME_TO_SEND_S:
         call.close(refusal.no_time_left())
     else:
         call.close_unsent(step.now)
 
 
 def _close_all(fan_out: FanOut, choices: list[tuple[ServiceCall, Choice | None]], step: Step) -> None:
-    """Close every call unsent, those that could have been sent without a failure."""
+    """Close every call unsent; a call that could have been sent gets no failure."""
     for call, choice in choices:
         if _can_send(fan_out, call, choice, step.now):
             call.skip()
         else:
             _send_or_close(fan_out, call, None, NEVER, step)
-        fan_out.count_if_over(call)
+        fan_out.count_if_finished(call)
 
 
 def _choose_canaries(fan_out: FanOut, now: float) -> None:
-    """Let as many calls be canaries as the answer can do without: a bad version then spoils none."""
-    most = max(1, len(fan_out.calls) - fan_out.required)
+    """Mark calls as canaries: at least one, and no more than the answer can do without.
+
+    A bad new version then spoils no answer.
+    """
+    max_canaries = max(1, len(fan_out.calls) - fan_out.required)
     rollouts = fan_out.context.rollouts
-    for service in rollouts.canaries(fan_out.request, fan_out.route, fan_out.by_service, most, now):
+    for service in rollouts.canaries(fan_out.request, fan_out.route, fan_out.by_service, max_canaries, now):
         fan_out.by_service[service].canary = True
--- a/src/yokesill/gateway/requests/hedging.py
+++ b/src/yokesill/gateway/requests/hedging.py
@@ -1,20 +1,20 @@
-"""When a hedge is sent: one more attempt at a service whose attempts are late.
+"""Hedges late attempts: sends an additional attempt to another server of the same service.
 
-1. An attempt is late ``hedge_delay_s`` after it was sent, or, at a slow server, when its answer was expected
-   if that is later. The delay is a few times the route's typical latency, but short enough for another
+1. An attempt is late ``hedge_delay_s`` after it was sent or, at a slow server, at its expected completion
+   time if that is later. The delay is a multiple of the route's typical latency, short enough for another
    server to answer before the objective, and never below ``minimum_hedge_delay_s``.
-2. If more than half of a request's calls are late at once, this node itself is the likelier cause: all their
-   hedges are postponed by one more delay, once a request.
-3. A late attempt marks its server as stalled, and its call counts no longer towards the answer.
-4. The hedge is sent if all of these hold: the request isn't isolated; its route is idempotent
-   (``repeatable``) and has attempts left; some server that was not tried yet can be selected; that server
-   has a spare slot if it is slow; the service's budget of extra attempts has one left (``limits.budget``).
-5. Each call is hedged once for the attempts under way. A hedge is an attempt like any other: it may be late
-   in turn, and the first answer counts.
-
-All times are in seconds. The factors are options of the gateway (2.0 for wide requests, 2.5 for single ones):
-a multiple of the median holds while up to half of the servers are slow (docs/design/platform.md). Without the
-switch ``hedges`` late servers are marked, but nothing is sent.
+2. If more than half of a request's calls are late at once, this node itself is the more likely cause: all
+   their hedges are postponed by one more delay, at most once per request.
+3. A late attempt marks its server as stalled, and its call is no longer expected to contribute a reply.
+4. The hedge is sent if all of these hold: the request is not isolated; its route is idempotent
+   (``repeatable``) and has attempts left; a server that was not tried yet can be selected; that server has a
+   spare slot if it is slow; the service's budget has an extra attempt left (``limits.budget``).
+5. Each call is hedged once for the attempts under way. A hedge is an ordinary attempt: it may be late in
+   turn, and the first successful answer is used.
+
+All times are in seconds. The factors are gateway options (2.0 for wide requests, 2.5 for single ones): a
+multiple of the median remains valid while up to half of the servers are slow (docs/design/platform.md).
+Without the switch ``hedges``, late servers are marked but no hedges are sent.
 """
 
 from yokesill.gateway.requests.fan_out import FanOut
@@ -24,23 +24,23 @@
 from yokesill.gateway.requests.service_call import NEVER, ServiceCall
 from yokesill.gateway.step import Step
 
-# This many typical latencies before the objective a hedge is due, even if the attempt is not late by its
-# typical time yet. Without it searches lose 0.003 of their credit and checks 0.002, most where two shards
-# have only slow servers (0.025); bench/overload.py, three seeds.
+# A hedge is due this many typical latencies before the objective at the latest, even if the attempt is not
+# late by the regular delay yet. Without this bound, searches lose 0.003 of their credit and checks 0.002,
+# most where two shards have only slow servers (0.025); bench/overload.py, three seeds.
 LATEST_HEDGE_FACTOR = 1.3
-# Above this share of late calls the node itself is taken to be late: its first wide request, busy connecting,
-# hedged 0.78 of its shards, and 0.12 with this rule. With nodes that are never busy it buys nothing clear
-# (0.003 of credit either way, bench/overload.py).
-NODE_LATE_SHARE = 0.5
-# With fewer calls than this, a late half is no sign of a late node.
-LEAST_CALLS_TO_COMPARE = 8
+# Above this fraction of late calls, the node itself is considered late. Without this rule a node's first wide
+# request, delayed by connecting, hedged 0.78 of its shards; with it, 0.12. On nodes that are never busy it
+# makes no clear difference (0.003 of credit either way, bench/overload.py).
+NODE_LATE_FRACTION = 0.5
+# With fewer calls than this, the fraction of late calls does not indicate a late node.
+MIN_CALLS_FOR_NODE_LATE = 8
 
 
 # --- when a hedge is due ---
 
 
 def hedge_delay_s(fan_out: FanOut, now: float) -> float:
-    """Return how long after it is sent an attempt is late."""
+    """Return the time after which an attempt that is sent now counts as late."""
     context = fan_out.context
     options = context.options
     typical_s = context.typical(fan_out.route).median
@@ -61,11 +61,11 @@
     return [call for call in fan_out.calls if call.open and call.hedge_at_s <= now]
 
 
-# --- whether it is sent ---
+# --- whether a hedge is sent ---
 
 
 def postpone_hedges(fan_out: FanOut, late: list[ServiceCall], now: float) -> bool:
-    """Postpone the hedges of ``late`` calls if this node is the likelier cause; return whether it did."""
+    """Postpone the hedges of ``late`` calls if this node is the likely cause; return whether it did so."""
     if not _node_is_late(fan_out, late):
         return False
     fan_out.postponed_hedges = True
@@ -77,13 +77,13 @@
 
 def _node_is_late(fan_out: FanOut, late: list[ServiceCall]) -> bool:
     calls = len(fan_out.calls)
-    if fan_out.postponed_hedges or calls < LEAST_CALLS_TO_COMPARE:
+    if fan_out.postponed_hedges or calls < MIN_CALLS_FOR_NODE_LATE:
         return False
-    return fan_out.context.options.switches.postpones_hedges and len(late) > NODE_LATE_SHARE * calls
+    return fan_out.context.options.switches.postpones_hedges and len(late) > NODE_LATE_FRACTION * calls
 
 
 def hedge(fan_out: FanOut, late: list[ServiceCall], step: Step) -> None:
-    """Send hedges for the ``late`` calls where that is allowed."""
+    """Mark the ``late`` calls as late and send hedges for them where the rules permit."""
     if is_isolated(fan_out, step):
         for call in late:
             call.hedge_at_s = NEVER
--- a/src/yokesill/gateway/requests/isolation.py
+++ b/src/yokesill/gateway/requests/isolation.py
@@ -1,17 +1,18 @@
-"""When a request is suspected of crashing servers and runs at one server at a time.
+"""Isolates a request that is suspected of crashing servers.
 
-A lost attempt is usually the server's fault and repeated at once. The request itself is the likelier cause,
-and its other calls are held, as long as
+A lost attempt is usually the server's fault and is retried at once. The request itself is the more likely
+cause, and its other calls are held, as long as
 
-- servers of two services were lost under it before any server answered it; without this rule one request to
-  ten shards of three servers ended twenty of them. Requests beside it at those servers lose no more than the
-  time until their first answer; or
-- the node's crash detector suspects its fingerprint, by earlier requests like it or by other nodes.
+- servers of two services were lost while running it, before any server answered it; without this rule, one
+  request to ten shards of three servers crashed twenty servers. Other requests on those servers are delayed
+  by no more than the time until their first answer; or
+- the node's crash detector suspects its fingerprint because of earlier identical requests or reports of other
+  nodes.
 
-A suspected request is sent to one server at a time, as a probe. An answer that clears it releases all that is
-held; a server that ends under a probe is evidence for its quarantine (``quarantine.detector``).
+A suspected request is sent to one server at a time, as a probe. An answer that clears it releases all held
+calls; a server that is lost during a probe is evidence for quarantine (``quarantine.detector``).
 
-The state belongs to one request; ``CrashTracker`` holds what the node knows of all of them.
+This module holds the state of one request; ``CrashTracker`` holds the node's state for all requests.
 """
 
 from collections.abc import Collection
@@ -24,15 +25,16 @@
 from yokesill.gateway.step import Step
 from yokesill.quarantine.detector import Loss, QuarantineStatus
 
-# Lost attempts at one service are an everyday matter, and repeating them at once is worth a caller's time.
-SERVICES_LOST_TO_HOLD = 2
+# Lost attempts at a single service are common, and retrying them at once saves the caller time.
+MIN_LOST_SERVICES_TO_ISOLATE = 2
 
 
 class Isolation:
-    """The held calls of one request, the probe under way, and the evidence of servers lost under it.
+    """The held calls of one request, its current probe, and the server losses attributed to it.
 
-    ``active`` while calls are held; ``held`` are these calls in the order in which they are probed.
-    ``probe_number`` is the attempt that probes now. ``has_unreported`` when some losses are not reported yet.
+    ``active`` is set while the request is isolated; ``held`` are the held calls in the order in which they
+    are probed. ``probe_number`` is the number of the current probe's attempt, if any. ``has_unreported``
+    tells whether some losses have not been reported yet.
     """
 
     __slots__ = (
@@ -55,23 +57,23 @@
 
     @property
     def fingerprint(self) -> str:
-        """The same for each try of the request; computed when it is first needed."""
+        """The request's fingerprint, the same for each try; computed on first use."""
         self._fingerprint = self._fingerprint or fingerprint(self._request)
         return self._fingerprint
 
     # --- holding and probing ---
 
     def update(self, now: float) -> bool:
-        """Return whether calls are held from now on."""
+        """Recompute whether the request is isolated, and return it."""
         detector = self._crashes.detector
-        known = len(detector) > 0
-        self._suspected = known and detector.status(self.fingerprint, now) is QuarantineStatus.SUSPECTED
+        tracks_any = len(detector) > 0
+        self._suspected = tracks_any and detector.status(self.fingerprint, now) is QuarantineStatus.SUSPECTED
         lost = len(self._lost_services)
-        self.active = self._suspected or (lost >= SERVICES_LOST_TO_HOLD and not self._answered)
+        self.active = self._suspected or (lost >= MIN_LOST_SERVICES_TO_ISOLATE and not self._answered)
         return self.active
 
     def attempt_ended(self, number: int, answered: bool, lost_service: str) -> None:
-        """Count an attempt's end; ``lost_service`` is empty unless its server ended under it."""
+        """Record an attempt's end; ``lost_service`` is its service if its server was lost, else empty."""
         if number == self.probe_number:
             self.probe_number = None
         self._answered = self._answered or answered
@@ -79,30 +81,31 @@
             self._lost_services.add(lost_service)
 
     def hold_all(self, calls: list[ServiceCall]) -> None:
-        """Hold all calls, services whose servers ended under such a request first."""
+        """Hold all calls, those of services that already lost servers to this fingerprint first."""
         lost = self._crashes.detector.suspected_services(self.fingerprint)
         self.held = sorted(calls, key=lambda call: call.service not in lost)
 
     def next_to_probe(self, attempts_pending: bool) -> ServiceCall | None:
-        """Return the call to probe now; ``None`` while one is probed or an answer may clear the request.
+        """Return the call to probe now, or ``None`` during a probe or while an answer may clear the request.
 
-        A suspected one doesn't wait for what was sent before the suspicion.
+        If the crash detector suspects the request, probing does not wait for attempts that were sent earlier.
         """
         if not self.held or self.probe_number is not None or (attempts_pending and not self._suspected):
             return None
         return self.held.pop(0)
 
     def release(self) -> list[ServiceCall]:
-        """Return the calls that were held, and hold none any more."""
+        """Return the held calls and stop holding them."""
         held, self.held = self.held, []
         return held
 
     # --- evidence ---
 
     def server_lost(self, attempt: LiveAttempt, only_attempt: bool, step: Step) -> None:
-        """Count that a server ended under an attempt.
+        """Record that a server was lost during an attempt.
 
-        A probe counts as one if it was the ``only_attempt``: no other server had the request at that time.
+        A probe is recorded as such only if it was the ``only_attempt``, so that no other server had the
+        request at that time.
         """
         record = attempt.server.record
         losses = self._evidence(Loss(record.instance, record.service, attempt.probe and only_attempt))
@@ -111,11 +114,11 @@
         self._unreported += losses
 
     def _evidence(self, loss: Loss) -> list[Loss]:
-        """Return which losses speak against the request now that one more server has ended under it.
+        """Return the losses that count as evidence against the request after one more loss.
 
-        Once some server has answered, the end of another is its own fault, unless a second one of the same
-        service ends: a request may crash the servers of one shard only. Otherwise a loss of many servers
-        would slow down every request that was there by one answer's time.
+        Once some server has answered, the loss of another is attributed to that server, unless a second
+        server of the same service is lost: a request may crash the servers of one shard only. Without this
+        rule, an outage of many servers would delay every request on them by the time of one answer.
         """
         if not self._answered:
             return [loss]
@@ -129,11 +132,11 @@
 
     @property
     def has_unreported(self) -> bool:
-        """Whether losses are yet to be reported."""
+        """Whether some losses have not been reported yet."""
         return bool(self._unreported)
 
     def report_losses(self, answered: Collection[str], step: Step) -> None:
-        """Report the losses, now that the request is over, except at services that ``answered`` it."""
+        """Report the losses of a finished request, except those at services that ``answered`` it."""
         losses, self._unreported = self._unreported, []
         for loss in losses:
             if loss.service not in answered:
--- a/src/yokesill/gateway/requests/merge.py
+++ b/src/yokesill/gateway/requests/merge.py
@@ -1,22 +1,22 @@
 """Merges shard replies into one answer.
 
-A reply's body is a sequence of records of a fixed size. The answer holds the greatest of all, compared as
-bytes, greatest first; equal ones are all kept.
+The body of a reply is a sequence of fixed-size records. The answer holds the greatest records of all bodies,
+compared as bytes, in descending order; equal records are all kept.
 """
 
 import heapq
 import struct
 from collections.abc import Iterable
 
-# The size of a record in every shard reply; servers and callers rely on it.
+# Record size in every shard reply; servers and callers depend on it.
 RECORD_BYTES = 16
 _RECORD = struct.Struct(f"{RECORD_BYTES}s")
 
 
 def greatest_records(bodies: Iterable[bytes], count: int) -> bytes:
-    """Return the greatest ``count`` records of all ``bodies``, greatest first.
+    """Return the greatest ``count`` records of all ``bodies``, in descending order.
 
-    What is left over at the end of a body, shorter than a record, is ignored.
+    A trailing incomplete record of a body is ignored.
     """
     whole = b"".join([body[: len(body) - len(body) % RECORD_BYTES] for body in bodies])
     greatest = heapq.nlargest(count, _RECORD.iter_unpack(whole))
--- a/src/yokesill/gateway/requests/probing.py
+++ b/src/yokesill/gateway/requests/probing.py
@@ -1,7 +1,7 @@
-"""Sends an isolated request to one server at a time.
+"""Probes servers with an isolated request, one server at a time.
 
-``isolation`` decides whether a request is isolated; here its calls are held and probed in turn. A probe goes
-out whatever pacing slot its server has, and is never hedged: a second server would be at risk, too.
+``isolation`` decides whether a request is isolated; this module holds its calls and probes them in turn. A
+probe is sent regardless of pacing slots and is never hedged, since a hedge would put a second server at risk.
 """
 
 from yokesill.gateway.requests.fan_out import FanOut
@@ -11,7 +11,7 @@
 
 
 def is_isolated(fan_out: FanOut, step: Step) -> bool:
-    """Whether calls are held at this moment; those that wait for a pacing slot are held with them."""
+    """Return whether the request is isolated now; if so, also hold its calls that wait for a pacing slot."""
     isolated = fan_out.isolation.update(step.now)
     if isolated and fan_out.deferred:
         fan_out.hold_deferred()
@@ -19,7 +19,7 @@
 
 
 def probe_next(fan_out: FanOut, step: Step) -> None:
-    """Probe the next held call unless one is probed already."""
+    """Probe the next held call unless a probe is already under way."""
     isolation = fan_out.isolation
     while (call := isolation.next_to_probe(bool(fan_out.by_number))) is not None:
         isolation.probe_number = _probe(fan_out, call, step)
@@ -27,7 +27,7 @@
 
 
 def _probe(fan_out: FanOut, call: ServiceCall, step: Step) -> int | None:
-    """Send a probe and return its number; close the call if there is no server to send it to."""
+    """Send a probe and return its number, or close the call and return ``None`` if it cannot be sent."""
     choice = select_repeat(fan_out, call, step.now)
     attempt = choice and call.send("trial", choice, fan_out.deadline_at_s, NEVER, step)
     if attempt is None:
--- a/src/yokesill/gateway/requests/request.py
+++ b/src/yokesill/gateway/requests/request.py
@@ -1,17 +1,16 @@
-"""The life cycle of one request, from its arrival to its final answer.
+"""State machine of one request, from its arrival to its final answer.
 
-Receives what concerns the request from the router (its arrival, its attempts' ends, its timers, its turn at
-a slow server, that its caller left) and calls the rules in their order. Each rule stands in a module of its
-own:
+The router passes in the request's events (arrival, end of an attempt, timer, free pacing slot, disconnect of
+the caller), and the machine applies the rules in order. Each rule is in its own module:
 
-- ``deadlines``: when the answer is late, when the request is given up
-- ``first_attempts``, ``deferral``, ``pacing``: who is sent an attempt at once, later, or not at all
+- ``deadlines``: the latency objective and the deadline
+- ``first_attempts``, ``deferral``, ``pacing``: which attempts are sent at once, later, or not at all
 - ``hedging``: when a hedge is sent
-- ``retrying``: when a failed attempt is followed by another one
-- ``isolation``, ``probing``: what happens to a request that may crash servers
+- ``retrying``: when a failed attempt is retried
+- ``isolation``, ``probing``: handling of requests that may crash servers
 - ``conclusion``, ``refusal``: the final answer, its verdict and Retry-After
 
-The request holds its configuration as of its arrival, and gives its final answer at most once.
+A request keeps the configuration that was current at its arrival, and gives at most one final answer.
 """
 
 from yokesill.gateway.context import GatewayContext, LiveAttempt
@@ -34,10 +33,10 @@
 
 
 class RequestMachine:
-    """One request under the configuration that was in force when it arrived.
+    """One request, handled under the configuration that was current when it arrived.
 
-    ``objective_at_s`` is until when a whole answer is waited for, ``deadline_at_s`` when it is given up,
-    both in seconds of the node's clock (see ``deadlines``). ``done`` once it has its final answer.
+    Up to ``objective_at_s`` it waits for a complete answer; at ``deadline_at_s`` it is given up, both in
+    seconds of the node's clock (see ``deadlines``). ``done`` is set once the request has ended.
     """
 
     def __init__(
@@ -58,7 +57,7 @@
 
     @property
     def fingerprint(self) -> str:
-        """The same for each try of the request, by whichever caller."""
+        """The request's fingerprint, the same for each try and any caller."""
         return self._fan_out.isolation.fingerprint
 
     # --- arrival and end ---
@@ -73,13 +72,13 @@
         self._set_hedge_timer(step)
 
     def caller_left(self, step: Step) -> None:
-        """Cancel everything: nobody waits for the answer."""
+        """Cancel all attempts because the caller has disconnected."""
         self.done = True
         self._cancel_attempts(step)
         self._report_losses(step)
 
     def quarantine(self, step: Step) -> None:
-        """Refuse the request at once, and cancel what is under way before it crashes more servers."""
+        """Refuse the request at once and cancel its attempts before it crashes more servers."""
         if self.done:
             return
         self.done = True
@@ -109,21 +108,21 @@
     # --- attempts ---
 
     def answered(self, number: int, reply: ServerReply, step: Step) -> None:
-        """Handle an attempt's whole answer."""
+        """Handle the complete answer of an attempt."""
         fan_out = self._fan_out
         call = fan_out.by_number.pop(number)
         call.answered(number, reply)
         self._attempt_ended(number, step, answered=True, lost_service="")
         if not reply.succeeded:
-            if not self.done and retrying.is_retried(fan_out, reply):
+            if not self.done and retrying.should_retry(fan_out, reply):
                 self._retry(call, step)
             elif not call.live_numbers:
                 call.close_unless_replied()
-        fan_out.count_if_over(call)
+        fan_out.count_if_finished(call)
         self._conclude(step)
 
     def failed(self, number: int, failure: Failure, step: Step) -> None:
-        """Handle an attempt's end without an answer."""
+        """Handle the end of an attempt without an answer."""
         call = self._fan_out.by_number.pop(number, None)
         if call is None:
             return
@@ -136,7 +135,7 @@
         self._conclude(step)
 
     def server_lost(self, attempt: LiveAttempt, step: Step) -> None:
-        """Count that a server ended under an attempt; called before ``failed``."""
+        """Record that a server was lost during an attempt; called before ``failed``."""
         fan_out = self._fan_out
         only_attempt = fan_out.by_number.keys() <= {attempt.number}
         fan_out.isolation.server_lost(attempt, only_attempt, step)
@@ -144,7 +143,7 @@
             self._report_losses(step)
 
     def _attempt_ended(self, number: int, step: Step, answered: bool, lost_service: str) -> None:
-        """Probe the next held call, or send all held ones once the request is isolated no longer."""
+        """Probe the next held call, or send all held calls once the request is no longer isolated."""
         fan_out, isolation = self._fan_out, self._fan_out.isolation
         was_isolated = isolation.active
         isolation.attempt_ended(number, answered, lost_service)
@@ -194,7 +193,7 @@
         late = hedging.late_calls(fan_out, step.now)
         if not hedging.postpone_hedges(fan_out, late, step.now):
             hedging.hedge(fan_out, late, step)
-            # Late calls count no longer towards the answer: deferred ones may be needed in their place.
+            # Late calls no longer count as expected replies, so deferred calls may be needed instead.
             deferral.dispatch_deferred_calls(fan_out, step)
         self._set_hedge_timer(step)
 
@@ -204,11 +203,11 @@
             self._hedge_timer_at_s = due_at_s
             step.actions.append(SetTimer(self.request.key, TimerKind.HEDGE, due_at_s))
 
-    # --- turns at slow servers ---
+    # --- pacing slots of slow servers ---
 
     @property
     def priority(self) -> int:
-        """How urgent its route is; 0 is the most urgent."""
+        """The priority of the request's route; 0 is the most urgent."""
         return self.route.priority
 
     def awaits_slot(self, service: str) -> bool:
@@ -216,7 +215,7 @@
         return not self.done and deferral.awaits_slot(self._fan_out, service)
 
     def dispatch_deferred(self, service: str, step: Step) -> float | None:
-        """Send a service's deferred call; return ``None``, or when a slot is free instead (seconds)."""
+        """Send a service's deferred call, or return when a slot is free (seconds) if none is free now."""
         free_at_s = deferral.dispatch_deferred(self._fan_out, service, step)
         if free_at_s is None:
             self._conclude(step)
--- a/src/yokesill/gateway/requests/retrying.py
+++ b/src/yokesill/gateway/requests/retrying.py
@@ -1,18 +1,18 @@
-"""When an attempt that brought no success is followed by another one, at which server, and when not.
+"""Retries attempts that did not succeed.
 
-An attempt is retried if it failed, or if its server answered a failure (status 500 and above) and the route
-is idempotent. In that order:
+An attempt is retried if it failed without an answer, or if its server returned an error (status 500 and
+above) and the route is idempotent. The rules, in order:
 
-1. While another attempt of the call is under way, nothing is sent: its answer may still come.
-2. Another attempt must be safe and allowed: the route is idempotent (``repeatable``) or the request surely
-   has not run at this service, and the route's ``max_attempts`` is not used up. Only attempts that may have
-   run count towards it (``ServiceCall.may_repeat``, ``has_attempts_left``).
-3. It goes to a server that was not tried yet, at once and without backoff: the caller waits. One that refused
-   the connection may be tried again, since it holds as many as it can and is not failing.
+1. While another attempt of the call is under way, nothing is sent, since its answer may still arrive.
+2. A retry must be safe and allowed: the route is idempotent (``repeatable``) or the request is known not to
+   have run at this service, and the route's ``max_attempts`` is not used up. Only attempts that are under way
+   or may have run count towards it (``ServiceCall.may_repeat``, ``has_attempts_left``).
+3. It goes to a server that was not tried yet, at once and without backoff, because the caller is waiting. A
+   server that refused the connection may be tried again, since it is at its connection limit, not failing.
 4. While the request is isolated, the call is held for a probe instead.
 5. If only slow servers are left, it waits for a pacing slot like a first attempt.
-6. Each attempt after one that may have reached a server costs one of the service's budget of extra attempts.
-7. Otherwise the call is closed with its last failure.
+6. Each attempt after one that may have reached a server takes one extra attempt from the service's budget.
+7. If no retry can be sent, the call is closed with its last failure.
 """
 
 from yokesill.gateway.messages import ServerReply
@@ -27,13 +27,13 @@
 from yokesill.gateway.step import Step
 
 
-def is_retried(fan_out: FanOut, reply: ServerReply) -> bool:
-    """Whether an answer that is no success is followed by another attempt."""
+def should_retry(fan_out: FanOut, reply: ServerReply) -> bool:
+    """Whether an attempt with an unsuccessful answer is retried."""
     return fan_out.route.repeatable and reply.is_server_error
 
 
 def retry(fan_out: FanOut, call: ServiceCall, step: Step) -> None:
-    """Send a call's next attempt, or close it; then send what else this makes necessary."""
+    """Send a call's next attempt or close the call, then send deferred calls that are needed as a result."""
     isolated = is_isolated(fan_out, step)
     idle = call.open and not call.live_numbers
     if isolated and idle and select_repeat(fan_out, call, step.now) is not None:
--- a/src/yokesill/gateway/requests/server_choice.py
+++ b/src/yokesill/gateway/requests/server_choice.py
@@ -1,12 +1,12 @@
-"""Which server a call's next attempt would go to.
+"""Selects the server for a call's next attempt.
 
-``servers.eligibility`` says which servers may get the request at all, ``servers.selection`` ranks them.
-Here each attempt gets the version of the servers' software that a roll-out gives it:
+``servers.eligibility`` determines which servers may get the request, and ``servers.selection`` ranks them.
+This module chooses the version of the servers' software according to the service's rollout:
 
-- a canary's first attempt goes to the new version if that has a sound server, and everything else to the old
-  one;
-- attempts at a service that is switched over go to the new version, and to the old one only if the new one
-  has no server that can be sent an attempt; a hedge then stays at the new one.
+- during a canary, a canary call's first attempt goes to the new version if that has a sound server; all other
+  attempts go to the old version;
+- during the switch-over, attempts go to the new version, and to the old one only if no server of the new
+  version is available; hedges always go to the new version.
 """
 
 from collections.abc import Collection
@@ -18,7 +18,7 @@
 
 
 def select(fan_out: FanOut, call: ServiceCall, now: float, hedging: bool = False) -> Choice | None:
-    """Return the server that an attempt would go to now; ``None`` when there is none."""
+    """Return the server for an attempt that is sent now, or ``None`` if none is available."""
     effective = fan_out.context.rollouts.effective
     state = effective.get(call.service) if effective else None
     if state is RolloutState.SWITCHING:
@@ -31,17 +31,17 @@
 
 
 def select_repeat(fan_out: FanOut, call: ServiceCall, now: float) -> Choice | None:
-    """Return the server of an attempt that may be the call's second one, if it may have another at all."""
+    """Return the server for a possibly repeated attempt, or ``None`` if the call may not have another one."""
     return select(fan_out, call, now) if call.may_repeat and call.has_attempts_left else None
 
 
 def _select_while_switching(fan_out: FanOut, call: ServiceCall, now: float, hedging: bool) -> Choice | None:
-    """Return a server of the new version; one whose entry vanished comes after the old version's."""
+    """Return a server of the new version; one that is leaving is chosen only after the old version's."""
     choice = _choose(fan_out, call, call.tried, now, new=True)
     if hedging or (choice is not None and not choice.server.leaving):
         return choice
-    untried = _choose(fan_out, call, (), now, new=True) if call.tried else choice
-    if untried is not None and not untried.server.leaving:
+    any_new = _choose(fan_out, call, (), now, new=True) if call.tried else choice
+    if any_new is not None and not any_new.server.leaving:
         return None
     return _choose(fan_out, call, call.tried, now) or choice
 
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -1,8 +1,8 @@
 """The attempts of one request at the servers of one service.
 
-Owns what was sent and what came back, and whether the request may have run there: its verdict is a promise
-to the caller. Which server an attempt goes to is decided by ``server_choice``; whether one is sent at all by
-``first_attempts``, ``deferral``, ``hedging``, ``retrying`` and ``probing``.
+Owns the attempts, their results, and the verdict on whether the request may have run at the service, which is
+a guarantee to the caller. ``server_choice`` selects the server of an attempt; ``first_attempts``,
+``deferral``, ``hedging``, ``retrying`` and ``probing`` decide whether one is sent.
 """
 
 from yokesill.gateway.context import GatewayContext, LiveAttempt
@@ -16,24 +16,25 @@
 from yokesill.gateway.step import Step
 from yokesill.verdict import Failure, Reason, Verdict
 
-# An attempt with less time left is not sent: it would cost a server work for an answer that comes too late.
-LEAST_TIME_TO_SEND_S = 0.003
+# With less time left before the deadline, an attempt is not sent: a server would work on an answer that comes
+# too late.
+MIN_TIME_TO_SEND_S = 0.003
 NEVER = float("inf")
-# Failures after which the request surely never reached a server, so that the next attempt is no extra one.
-NEVER_LEFT = frozenset({Reason.OVERLOADED, Reason.CONNECT_FAILED, Reason.CONNECTION_REFUSED})
+# Reasons for which the request never reached a server, so that the next attempt is not an extra attempt.
+NEVER_SENT = frozenset({Reason.OVERLOADED, Reason.CONNECT_FAILED, Reason.CONNECTION_REFUSED})
 
 
 class ServiceCall:
-    """Progress at one service: attempts under way, what came back, and what may have run.
+    """The state of a request at one service: attempts under way, results, and verdict.
 
     Attributes
     ----------
     reply, fallback
-        The answer that counts; a failure that a server answered with, passed on when nothing better comes.
+        The first successful answer; the last error response, passed on if there is no successful answer.
     closed, failure
-        Whether it was given up, and the last failure.
-    counted
-        The fan-out's mark that it counted the call as over.
+        Whether the call was closed without a reply, and the last failure.
+    finish_counted
+        Set by the fan-out when it has counted the call as finished.
     hedge_at_s
         When a hedge is due, in seconds of the node's clock.
     late
@@ -41,13 +42,13 @@
     deferred_cause
         The cause of an attempt that waits for a pacing slot; empty while none waits.
     waited_s
-        How long attempts waited for pacing slots before they were sent, in seconds.
+        Total time that attempts waited for pacing slots, in seconds.
     canary
         Whether the first attempt may go to a new version.
     tried
-        The instances that were sent an attempt; one that refused the connection is taken out again.
+        The instances that an attempt was sent to; one that refused the connection is removed again.
     attempts, extra_attempts
-        How many were sent, and how many of them the budget paid for.
+        Number of attempts sent, and how many of them were taken from the budget.
     """
 
     def __init__(self, service: str, request: GatewayRequest, route: Route, context: GatewayContext) -> None:
@@ -55,7 +56,7 @@
         self.reply: ServerReply | None = None
         self.fallback: ServerReply | None = None
         self.closed = False
-        self.counted = False
+        self.finish_counted = False
         self.failure: Failure | None = None
         self.hedge_at_s = NEVER
         self.deferred_cause = ""
@@ -70,7 +71,7 @@
         self._context = context
         self._live: dict[int, LiveAttempt] = {}
         self._deferred_at_s = 0.0
-        # Another node that had the request before may have sent all attempts but the last.
+        # Another node that had the request before may have used all attempts but the last.
         self._ran = max(1, route.max_attempts - 1) if request.asked_before else 0
         self._may_have_arrived = request.asked_before
         self._verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
@@ -79,7 +80,7 @@
 
     @property
     def open(self) -> bool:
-        """Whether it may still contribute."""
+        """Whether the call may still get a reply."""
         return self.reply is None and not self.closed
 
     @property
@@ -89,12 +90,12 @@
 
     @property
     def live_numbers(self) -> list[int]:
-        """The attempts under way."""
+        """The numbers of the attempts under way."""
         return list(self._live)
 
     @property
     def has_attempts_left(self) -> bool:
-        """Whether another attempt keeps to the route's bound on servers that may run the request."""
+        """Whether another attempt stays within the route's limit on servers that may run the request."""
         return self._ran + len(self._live) < self._route.max_attempts
 
     @property
@@ -103,7 +104,7 @@
         return self._route.repeatable or self._verdict is Verdict.NOT_RUN
 
     def available_at_s(self, now: float) -> float:
-        """Return when a server of the service takes attempts, tried ones too; infinite if unknown."""
+        """Return when any server of the service is available, including tried ones; infinite if unknown."""
         candidates = self._context.eligibility.candidates(self.service, self._route, now)
         return min((each.available_at_s(now) for each in candidates), default=NEVER)
 
@@ -112,13 +113,13 @@
     def send(
         self, cause: str, choice: Choice, deadline_at_s: float, hedge_delay_s: float, step: Step
     ) -> LiveAttempt | None:
-        """Send an attempt; ``None`` if the deadline is too near, or the budget has no extra attempt left.
+        """Send an attempt; return ``None`` if the deadline is too close or the budget is exhausted.
 
-        It is an extra one if an earlier attempt may have reached a server. A hedge is due ``hedge_delay_s``
-        later, at a slow server when its answer is expected.
+        It is an extra attempt if an earlier one may have reached a server. A hedge is due ``hedge_delay_s``
+        later or, at a slow server, at the expected completion time if that is later.
         """
         context, server, now = self._context, choice.server, step.now
-        if deadline_at_s - now < LEAST_TIME_TO_SEND_S:
+        if deadline_at_s - now < MIN_TIME_TO_SEND_S:
             return None
         extra = self._may_have_arrived or bool(self._live)
         if extra and not context.take_extra_attempt(self.service, now):
@@ -165,32 +166,32 @@
     # --- waiting and closing ---
 
     def defer(self, cause: str, now: float) -> None:
-        """Let an attempt wait for a pacing slot."""
+        """Defer an attempt until a pacing slot is free."""
         self.deferred_cause = cause
         self._deferred_at_s = now
         self.hedge_at_s = NEVER
 
     def end_deferral(self, now: float) -> str:
-        """Return the cause of the attempt that has waited until now."""
+        """End the deferral and return the cause of the deferred attempt."""
         cause, self.deferred_cause = self.deferred_cause, ""
         self.waited_s += now - self._deferred_at_s
         return cause
 
     def mark_late(self) -> None:
-        """Count the attempts under way as late; this call is hedged once for them."""
+        """Mark the attempts under way as late; no further hedge is due for them."""
         for attempt in self._live.values():
             attempt.server.stall(attempt.number)
         self.hedge_at_s = NEVER
         self.late = True
 
     def close(self, failure: Failure) -> None:
-        """Give the call up."""
+        """Close the call with a failure."""
         self.closed = True
         self.failure = failure
         self.hedge_at_s = NEVER
 
     def close_unsent(self, now: float) -> None:
-        """Give the call up since no server can be sent an attempt now; an earlier failure remains."""
+        """Close the call because no attempt can be sent now; an earlier failure is kept."""
         if self.failure is not None:
             self.close(self.failure)
             return
@@ -198,11 +199,11 @@
         self.close(refusal.no_server(self.service, listed))
 
     def close_unless_replied(self) -> None:
-        """Close the call, whose fallback is all that it brings, if no reply came."""
+        """Close the call, leaving only its fallback, unless it has a reply."""
         self.closed = self.reply is None
 
     def skip(self) -> None:
-        """Close the call unsent, without a failure: the answer doesn't depend on it."""
+        """Close the call unsent and without a failure: the answer does not depend on it."""
         self.closed = True
 
     def expire(self) -> None:
@@ -210,10 +211,10 @@
         self.closed = True
         self.failure = refusal.timed_out(self.verdict)
 
-    # --- what attempts bring ---
+    # --- results of attempts ---
 
     def answered(self, number: int, reply: ServerReply) -> None:
-        """Count an attempt's answer; the first success is the call's reply."""
+        """Record an attempt's answer; the first successful one is the call's reply."""
         self._live.pop(number, None)
         self._may_have_arrived = True
         self._ran += 1
@@ -224,12 +225,12 @@
             self.fallback = reply
 
     def failed(self, number: int, failure: Failure) -> None:
-        """Count an attempt's end without an answer."""
+        """Record an attempt's end without an answer."""
         attempt = self._live.pop(number, None)
         self.failure = failure
-        never_left = failure.verdict is Verdict.NOT_RUN and failure.reason in NEVER_LEFT
-        self._may_have_arrived = self._may_have_arrived or not never_left
-        if never_left and failure.reason is Reason.CONNECTION_REFUSED and attempt is not None:
+        never_sent = failure.verdict is Verdict.NOT_RUN and failure.reason in NEVER_SENT
+        self._may_have_arrived = self._may_have_arrived or not never_sent
+        if never_sent and failure.reason is Reason.CONNECTION_REFUSED and attempt is not None:
             self.tried.discard(attempt.server.record.instance)
         if failure.verdict is not Verdict.NOT_RUN:
             self._ran += 1
