--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -36,7 +36,7 @@
                 harness.answer(each)
 
 
-def slowed(harness: RouterHarness, services: tuple[str, ...], path: str = "/wide/x") -> RouterHarness:
+def make_slow(harness: RouterHarness, services: tuple[str, ...], path: str = "/wide/x") -> RouterHarness:
     """Let a node learn that all servers of some services are slow."""
     harness.warm_up(path, USUAL)
     for _ in range(8):
@@ -58,7 +58,7 @@
 
 def busy_shard(nodes: int) -> RouterHarness:
     """A node that knows the one server of ``s1`` as slow, and has just sent it something."""
-    harness = slowed(RouterHarness(ALL_NEEDED, servers=servers_with_one_of("s1"), nodes=nodes), ("s1",))
+    harness = make_slow(RouterHarness(ALL_NEEDED, servers=servers_with_one_of("s1"), nodes=nodes), ("s1",))
     for _ in range(2):
         key = harness.arrive(timeout_s=6.0)
         answer_others(harness, key, "s1")
@@ -89,7 +89,7 @@
 
 def test_of_the_slow_shards_only_as_many_are_asked_as_the_answer_needs() -> None:
     ones = tuple(server(name, name) for name in SHARDS)
-    harness = slowed(RouterHarness(gather_route(coverage=0.75), servers=ones, nodes=8), ("s1", "s2"))
+    harness = make_slow(RouterHarness(gather_route(coverage=0.75), servers=ones, nodes=8), ("s1", "s2"))
     keys = [harness.arrive(timeout_s=6.0) for _ in range(4)]
     assert any(asked(harness, key) == {"s3", "s4"} for key in keys)
     play_servers(harness, ("s1", "s2"), 1.4)
@@ -102,7 +102,7 @@
 
 
 def test_a_slow_shard_that_was_left_out_is_asked_after_all_when_another_fails() -> None:
-    harness = slowed(RouterHarness(gather_route(coverage=0.75), nodes=8), ("s1",))
+    harness = make_slow(RouterHarness(gather_route(coverage=0.75), nodes=8), ("s1",))
     for _ in range(4):
         key = harness.arrive(timeout_s=6.0)
         if waits(harness, key):
@@ -143,7 +143,7 @@
 def test_a_more_urgent_request_has_room_before_a_newer_less_urgent_one() -> None:
     lesser = replace(ALL_NEEDED, name="lesser", prefix="/lesser/", priority=ALL_NEEDED.priority + 1)
     harness = RouterHarness(ALL_NEEDED, lesser, servers=servers_with_one_of("s1"), nodes=3)
-    slowed(harness, ("s1",))
+    make_slow(harness, ("s1",))
     for _ in range(2):
         answer_others(harness, harness.arrive(timeout_s=6.0), "s1")
     urgent = harness.arrive(timeout_s=6.0)
@@ -161,7 +161,7 @@
 
 def test_a_waiting_request_that_is_given_up_has_not_run_and_never_will() -> None:
     one = (server("a", "desk"),)
-    harness = slowed(RouterHarness(single_route(), servers=one, nodes=50), ("desk",), path="/one/x")
+    harness = make_slow(RouterHarness(single_route(), servers=one, nodes=50), ("desk",), path="/one/x")
     keys = [harness.arrive("/one/x", 1.2) for _ in range(4)]
     assert all(harness.attempts(key) == [] for key in keys)
     harness.advance(1.3)
@@ -178,7 +178,7 @@
 
 def test_whoever_can_have_room_in_time_waits_for_it_unsent_and_gets_it() -> None:
     one = (server("a", "desk"),)
-    harness = slowed(RouterHarness(single_route(), servers=one, nodes=50), ("desk",), path="/one/x")
+    harness = make_slow(RouterHarness(single_route(), servers=one, nodes=50), ("desk",), path="/one/x")
     play_servers(harness, ("desk",), 6.0)
     harness.arrive("/one/x", 6.0)
     key = harness.arrive("/one/x", 6.0)
@@ -190,7 +190,7 @@
 
 def test_whose_room_would_come_too_late_is_asked_at_once_and_not_held() -> None:
     one = (server("a", "desk"),)
-    harness = slowed(RouterHarness(single_route(), servers=one, nodes=50), ("desk",), path="/one/x")
+    harness = make_slow(RouterHarness(single_route(), servers=one, nodes=50), ("desk",), path="/one/x")
     assert len(harness.attempts(harness.arrive("/one/x", 0.6))) == 1
 
 
@@ -204,7 +204,7 @@
 
 
 def test_a_hedge_does_not_take_the_room_that_somebody_waits_for() -> None:
-    harness = slowed(RouterHarness(ALL_NEEDED, nodes=8), ("s1",))
+    harness = make_slow(RouterHarness(ALL_NEEDED, nodes=8), ("s1",))
     keys = [harness.arrive(timeout_s=6.0) for _ in range(6)]
     assert any(waits(harness, key) for key in keys)
     for _ in range(100):
@@ -230,7 +230,7 @@
 
 
 def test_a_sound_shard_is_asked_at_once_whatever_the_others_are() -> None:
-    harness = slowed(RouterHarness(gather_route(coverage=1.0), nodes=8), ("s1", "s2"))
+    harness = make_slow(RouterHarness(gather_route(coverage=1.0), nodes=8), ("s1", "s2"))
     harness.arrive(timeout_s=6.0)
     key = harness.arrive(timeout_s=6.0)
     assert asked(harness, key) >= {"s3", "s4"}
--- a/tests/gateway/test_rollout_versions.py
+++ b/tests/gateway/test_rollout_versions.py
@@ -16,7 +16,7 @@
     order_for,
     servers_of,
 )
-from test_pacing import slowed
+from test_pacing import make_slow
 
 from yokesill.gateway import events as ev
 from yokesill.registry.snapshots import decode_snapshot, encode_snapshot
@@ -54,7 +54,7 @@
     """A node at which requests wait for room at the old version's servers, which are slow."""
     harness = RolledOut(ordered=ordered)
     harness.feed(ev.NodesCounted(50))
-    slowed(harness, ("s1",))
+    make_slow(harness, ("s1",))
     keys = [harness.arrive(timeout_s=6.0) for _ in range(8)]
     waiting = [key for key in keys if not harness.attempts(key)]
     assert waiting
