--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -1,4 +1,4 @@
-"""Drives a GatewayRouter by hand: its timers fire in order while time is moved on."""
+"""Test harness that drives a GatewayRouter with a simulated clock; timers fire in order as time advances."""
 
 import heapq
 import itertools
@@ -58,7 +58,7 @@
 
 
 class RouterHarness:
-    """One router, its clock, and everything that it asked for; ``now`` in seconds."""
+    """One router with a simulated clock (``now``, in seconds) and a record of all actions it returned."""
 
     def __init__(
         self,
@@ -93,23 +93,23 @@
                     self.sent.append(attempt)
                 case ev.CancelAttempt(number):
                     self.cancelled.append(number)
-                case ev.SetTimer(key, kind, at):
-                    entry = (at, next(self._numbers), ev.TimerFired(key, kind))
+                case ev.SetTimer(key, kind, at_s):
+                    entry = (at_s, next(self._numbers), ev.TimerFired(key, kind))
                     heapq.heappush(self._timers, entry)
                 case ev.LogEvent():
                     self.logged.append(action)
                 case ev.ServerObserved():
                     self.observed.append(action)
                 case ev.PassOn(key) | ev.Gathered(key) | ev.Refuse(key):
-                    assert key not in self.finals, "a second final answer"
+                    assert key not in self.finals, f"request {key} got a second final answer"
                     self.finals[key] = action
         return actions
 
     def advance(self, seconds: float) -> None:
         end = self.now + seconds
         while self._timers and self._timers[0][0] <= end:
-            at, _, event = heapq.heappop(self._timers)
-            self.now = max(self.now, at)
+            at_s, _, event = heapq.heappop(self._timers)
+            self.now = max(self.now, at_s)
             self.feed(event)
         self.now = end
 
@@ -147,11 +147,11 @@
     ) -> None:
         self.feed(ev.AttemptAnswered(attempt.number, answer or reply(), connected_in))
 
-    def fail(self, attempt: Attempt, why: Failure | None = None) -> None:
-        self.feed(ev.AttemptFailed(attempt.number, why or failure()))
+    def fail(self, attempt: Attempt, reason: Failure | None = None) -> None:
+        self.feed(ev.AttemptFailed(attempt.number, reason or failure()))
 
     def warm_up(self, path: str = "/wide/x", latency: float = 0.02, requests: int = 12) -> None:
-        """Answer some requests in the usual time, so that the route's typical latency is known."""
+        """Answer some requests after ``latency`` seconds to establish the route's typical latency."""
         for _ in range(requests):
             key = self.arrive(path)
             self.advance(latency)
@@ -167,6 +167,6 @@
 
 
 def default_servers(routes: tuple[Route, ...]) -> tuple[ServerRecord, ...]:
-    """Two servers in two zones for each service."""
+    """Return two servers for each service, one per zone."""
     names = {service for route in routes for service in route.services}
     return tuple(server(f"{name}-{zone}", name, zone) for name in sorted(names) for zone in ("z1", "z2"))
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""One node: a request under which servers end is asked about, one server at a time, and then refused."""
+"""Isolation on one node: a request that crashes servers is probed at one server at a time, then refused."""
 
 from dataclasses import replace
 
@@ -23,25 +23,25 @@
 
 
 def crash_all(harness: RouterHarness, key: str) -> int:
-    """Let each server end that the request is sent to; return how many that were."""
-    ended = 0
+    """Crash every server that the request is sent to; return the number of crashed servers."""
+    crashed = 0
     for _ in range(50):
         harness.advance(0.02)
-        unended = harness.attempts(key)[ended:]
-        if not unended:
+        running = harness.attempts(key)[crashed:]
+        if not running:
             break
-        for attempt in unended:
-            ended += 1
+        for attempt in running:
+            crashed += 1
             harness.fail(attempt)
-    return ended
+    return crashed
 
 
-def test_a_request_under_which_servers_end_is_not_repeated_at_all_the_others() -> None:
+def test_crashing_request_is_not_retried_at_all_servers() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     assert crash_all(harness, harness.arrive("/wide/deadly")) <= len(SHARDS) + 2
 
 
-def test_a_request_under_which_servers_ended_is_refused_when_it_comes_again() -> None:
+def test_crashing_request_is_refused_when_repeated() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     crash_all(harness, harness.arrive("/wide/deadly"))
     harness.advance(10.0)
@@ -52,35 +52,35 @@
     assert final.failure.verdict is Verdict.NOT_RUN
 
 
-def lose(harness: RouterHarness, key: str, *shards: str) -> None:
-    """Let the servers of some shards end under a request's first attempts."""
+def lose_servers(harness: RouterHarness, key: str, *shards: str) -> None:
+    """Fail a request's attempts at some shards as if their servers had crashed."""
     for attempt in [each for each in harness.attempts(key) if each.server.service in shards]:
         harness.fail(attempt)
 
 
-def test_what_another_server_answered_is_repeated_at_once() -> None:
+def test_lost_attempts_are_retried_at_once_after_an_answer() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     key = harness.arrive()
     harness.answer(harness.attempts(key)[3])
-    lose(harness, key, "s1", "s2")
+    lose_servers(harness, key, "s1", "s2")
     assert [each.server.service for each in harness.attempts(key)[4:]] == ["s1", "s2"]
 
 
-def test_what_is_lost_before_any_answer_is_held_until_the_first_one() -> None:
+def test_lost_attempts_are_held_until_first_answer() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     key = harness.arrive()
-    lose(harness, key, "s1", "s2")
+    lose_servers(harness, key, "s1", "s2")
     assert [each.server.service for each in harness.attempts(key)[4:]] == ["s1"]
     harness.answer(harness.attempts(key)[3])
     assert [each.server.service for each in harness.attempts(key)[4:]] == ["s1", "s2"]
 
 
-def test_a_request_beside_it_is_cleared_by_its_first_trial_and_answered() -> None:
+def test_suspected_request_is_cleared_by_first_answered_probe() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     key = harness.arrive("/wide/beside")
-    lose(harness, key, *SHARDS)
-    suspected = [each for each in harness.logged if each.name == "request_judged"]
-    assert [each.details["standing"] for each in suspected] == ["suspected"]
+    lose_servers(harness, key, *SHARDS)
+    judgements = [each for each in harness.logged if each.name == "request_judged"]
+    assert [each.details["standing"] for each in judgements] == ["suspected"]
     for _ in range(8):
         for attempt in harness.attempts(key)[4:]:
             harness.answer(attempt)
@@ -89,7 +89,7 @@
     assert len(harness.attempts(again)) == len(SHARDS)
 
 
-def test_a_suspected_request_is_at_one_server_at_a_time_and_never_hedged() -> None:
+def test_suspected_request_is_sent_to_one_server_at_a_time_and_not_hedged() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     harness.warm_up()
     harness.feed(ev.QuarantineStatusReceived(fingerprint_of("/wide/deadly"), QuarantineStatus.SUSPECTED))
@@ -104,7 +104,7 @@
     assert isinstance(harness.finals[key], ev.Refuse)
 
 
-def test_what_is_under_way_is_broken_off_when_others_find_it_out() -> None:
+def test_attempts_are_cancelled_when_other_nodes_quarantine_request() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     key = harness.arrive("/wide/deadly")
     other = harness.arrive("/wide/other")
@@ -116,7 +116,7 @@
     assert other not in harness.finals
 
 
-def test_a_request_to_one_server_is_found_out_over_several_tries() -> None:
+def test_crashing_single_request_is_quarantined_after_several_tries() -> None:
     desk = tuple(server(f"desk-{number}", "desk") for number in range(8))
     harness = RouterHarness(single_route(attempts=3), servers=desk)
     assert crash_all(harness, harness.arrive("/one/deadly")) == 3
@@ -124,14 +124,14 @@
     assert crash_all(harness, harness.arrive("/one/deadly")) == 0
 
 
-def test_what_must_not_run_twice_is_found_out_too_and_each_try_runs_once() -> None:
+def test_non_idempotent_crashing_request_runs_once_per_try_until_quarantined() -> None:
     desk = tuple(server(f"desk-{number}", "desk") for number in range(8))
     harness = RouterHarness(single_route(repeatable=False), servers=desk)
     tries = [crash_all(harness, harness.arrive("/one/deadly")) for _ in range(7)]
     assert tries == [1, 1, 1, 1, 1, 0, 0]
 
 
-def test_what_another_node_may_have_sent_is_not_called_not_run() -> None:
+def test_quarantined_request_sent_by_another_node_is_refused_as_may_have_run() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     harness.feed(ev.RequestQuarantined(fingerprint_of("/wide/deadly")))
     key = harness.arrive("/wide/deadly", asked_before=True)
@@ -140,7 +140,7 @@
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_an_operator_who_takes_it_off_the_record_lets_it_run_again() -> None:
+def test_request_runs_again_after_quarantine_is_lifted() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     name = fingerprint_of("/wide/mended")
     harness.feed(ev.QuarantineReplaced(frozenset({name})))
@@ -149,7 +149,7 @@
     assert len(harness.attempts(harness.arrive("/wide/mended"))) == len(SHARDS)
 
 
-def test_methods_hosts_paths_and_bodies_tell_requests_apart_and_their_names_do_not() -> None:
+def test_fingerprint_depends_on_method_host_target_and_body_only() -> None:
     first = request_of("/wide/x")
     assert fingerprint(replace(first, request_id="again", headers=((b"a", b"b"),))) == fingerprint(first)
     others = [
@@ -162,32 +162,32 @@
     assert len({fingerprint(each) for each in (first, *others)}) == len(others) + 1
 
 
-def test_where_others_answered_only_a_second_end_at_one_shard_counts() -> None:
+def test_loss_after_answer_counts_only_with_second_loss_at_same_shard() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     name = fingerprint_of("/wide/x")
     key = harness.arrive()
     harness.answer(harness.attempts(key)[0])
-    lose(harness, key, "s2", "s3", "s4")
+    lose_servers(harness, key, "s2", "s3", "s4")
     assert len(harness.router.quarantine.detector) == 0
-    lose(harness, key, "s3")
+    lose_servers(harness, key, "s3")
     assert harness.router.quarantine.detector.suspected_services(name) == {"s3"}
 
 
-def test_others_are_told_of_what_failed_only() -> None:
+def test_losses_are_reported_only_for_unanswered_requests() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
-    told: list[ev.Action] = []
+    actions: list[ev.Action] = []
     key = harness.arrive()
     for attempt in harness.attempts(key)[:2]:
-        told += harness.feed(ev.AttemptFailed(attempt.number, failure()))
+        actions += harness.feed(ev.AttemptFailed(attempt.number, failure()))
     for _ in range(3):
         for attempt in harness.attempts(key)[2:]:
-            told += harness.feed(ev.AttemptAnswered(attempt.number, reply()))
+            actions += harness.feed(ev.AttemptAnswered(attempt.number, reply()))
     assert isinstance(harness.finals[key], ev.Gathered)
-    assert not [each for each in told if isinstance(each, ev.LossObserved | ev.RequestJudged)]
+    assert not [each for each in actions if isinstance(each, ev.LossObserved | ev.RequestJudged)]
     key = harness.arrive("/wide/deadly")
     for _ in range(4):
         for attempt in harness.attempts(key):
-            told += harness.feed(ev.AttemptFailed(attempt.number, failure()))
-    losses = [each for each in told if isinstance(each, ev.LossObserved)]
+            actions += harness.feed(ev.AttemptFailed(attempt.number, failure()))
+    losses = [each for each in actions if isinstance(each, ev.LossObserved)]
     assert len(losses) >= len(SHARDS)
     assert {each.fingerprint for each in losses} == {fingerprint_of("/wide/deadly")}
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -1,4 +1,4 @@
-"""Wide requests: what is answered, when, and under which version."""
+"""Requests that gather from many services: their answers, timing, and configuration version."""
 
 import pytest
 from harness import RouterHarness, configuration, failure, gather_route, reply, server
@@ -11,12 +11,12 @@
     return value.to_bytes(16, "big")
 
 
-def test_the_greatest_records_of_all_parts_falling_with_equal_ones_kept() -> None:
+def test_gather_returns_greatest_records_in_descending_order_with_duplicates() -> None:
     harness = RouterHarness(gather_route())
     key = harness.arrive()
-    parts = [record(5) + record(9), record(9), record(1) + b"short", b""]
-    for number, (attempt, part) in enumerate(zip(harness.attempts(key), parts, strict=True)):
-        harness.answer(attempt, reply(part, signature=b"sig-%d" % number))
+    bodies = [record(5) + record(9), record(9), record(1) + b"short", b""]
+    for number, (attempt, body) in enumerate(zip(harness.attempts(key), bodies, strict=True)):
+        harness.answer(attempt, reply(body, signature=b"sig-%d" % number))
     final = harness.finals[key]
     assert isinstance(final, ev.Gathered)
     assert final.records == record(9) + record(9) + record(5)
@@ -24,7 +24,7 @@
     assert final.missing == 0
 
 
-def test_at_the_soft_deadline_what_is_in_is_answered_when_it_covers_enough() -> None:
+def test_partial_answer_is_given_at_objective_when_coverage_is_sufficient() -> None:
     harness = RouterHarness(gather_route(coverage=0.75))
     key = harness.arrive()
     for attempt in harness.attempts(key)[:3]:
@@ -38,7 +38,7 @@
     assert final.summary.missing == ("s4",)
 
 
-def test_too_little_coverage_waits_on_and_is_answered_as_soon_as_it_is_enough() -> None:
+def test_insufficient_coverage_at_objective_waits_until_sufficient() -> None:
     harness = RouterHarness(gather_route(coverage=0.75))
     key = harness.arrive()
     first = harness.attempts(key)
@@ -50,7 +50,7 @@
     assert isinstance(harness.finals[key], ev.Gathered)
 
 
-def test_too_little_coverage_at_the_hard_deadline_is_refused_as_may_have_run() -> None:
+def test_insufficient_coverage_at_deadline_is_refused_as_may_have_run() -> None:
     harness = RouterHarness(gather_route())
     key = harness.arrive(timeout_s=1.0)
     harness.answer(harness.attempts(key)[0])
@@ -60,7 +60,7 @@
     assert final.failure.verdict is not Verdict.NOT_RUN
 
 
-def test_a_later_try_of_the_caller_is_answered_by_what_is_left_of_the_target() -> None:
+def test_retry_of_caller_gets_remainder_of_latency_objective() -> None:
     harness = RouterHarness(gather_route())
     harness.warm_up()
     key = harness.arrive(timeout_s=1.45)
@@ -70,13 +70,13 @@
     assert isinstance(harness.finals[key], ev.Gathered)
 
 
-def test_a_query_keeps_the_shards_that_it_started_with() -> None:
+def test_request_keeps_its_shards_when_configuration_changes() -> None:
     harness = RouterHarness(gather_route(), servers=tuple(server(f"a{n}", f"s{n}") for n in range(1, 5)))
     key = harness.arrive()
-    after = gather_route(services=("t1", "t2"))
+    changed_route = gather_route(services=("t1", "t2"))
     harness.feed(ev.ServerListed(server("b1", "t1")))
     harness.feed(ev.ServerListed(server("b2", "t2")))
-    harness.feed(ev.ConfigurationLearnt(configuration(2, after)))
+    harness.feed(ev.ConfigurationLearnt(configuration(2, changed_route)))
     for attempt in harness.attempts(key):
         harness.answer(attempt)
     final = harness.finals[key]
@@ -86,7 +86,7 @@
     assert {each.server.service for each in harness.attempts(newer)} == {"t1", "t2"}
 
 
-def test_an_older_version_never_replaces_a_newer_one() -> None:
+def test_older_configuration_does_not_replace_newer_one() -> None:
     harness = RouterHarness(gather_route())
     harness.feed(ev.ConfigurationLearnt(configuration(5, gather_route(services=("t1",)))))
     harness.feed(ev.ConfigurationLearnt(configuration(4, gather_route())))
@@ -94,7 +94,7 @@
     assert harness.router.configuration.version == 5
 
 
-def test_all_shards_without_servers_are_refused_at_once_as_not_run() -> None:
+def test_request_is_refused_as_not_run_when_no_shard_has_servers() -> None:
     harness = RouterHarness(gather_route(), servers=(server("x", "other"),))
     key = harness.arrive()
     final = harness.finals[key]
@@ -103,7 +103,7 @@
     assert final.failure.retry_after_ms > 0
 
 
-def test_a_stalled_shard_is_asked_at_another_server_and_the_loser_may_finish() -> None:
+def test_stalled_shard_is_hedged_and_slower_attempt_is_not_cancelled() -> None:
     harness = RouterHarness(gather_route())
     harness.warm_up()
     key = harness.arrive()
@@ -121,7 +121,7 @@
     harness.answer(first[0])
 
 
-def test_a_shard_runs_on_no_more_servers_than_its_route_allows() -> None:
+def test_attempts_per_shard_are_limited_by_max_attempts() -> None:
     three = tuple(server(f"a{n}", "s1", f"z{n}") for n in range(1, 4))
     harness = RouterHarness(gather_route(services=("s1",), attempts=2), servers=three)
     key = harness.arrive()
@@ -129,7 +129,7 @@
     assert len(harness.attempts(key)) == 2
 
 
-def test_a_caller_that_leaves_has_its_attempts_broken_off() -> None:
+def test_attempts_are_cancelled_when_caller_disconnects() -> None:
     harness = RouterHarness(gather_route())
     key = harness.arrive()
     harness.feed(ev.CallerLeft(key))
@@ -141,7 +141,7 @@
 
 
 @pytest.mark.parametrize("answers", [0, 2])
-def test_a_shard_whose_servers_all_fail_does_not_hold_the_others_up(answers: int) -> None:
+def test_failed_shard_does_not_delay_answer_of_other_shards(answers: int) -> None:
     harness = RouterHarness(gather_route())
     key = harness.arrive()
     lost = harness.attempts(key)[0]
@@ -154,7 +154,7 @@
     assert final.missing == 1
 
 
-def test_a_caller_on_a_kept_connection_gets_more_of_its_target() -> None:
+def test_kept_connection_gets_later_objective_than_fresh_connection() -> None:
     for fresh, answered in ((True, True), (False, False)):
         harness = RouterHarness(gather_route())
         key = harness.arrive(fresh=fresh)
@@ -166,7 +166,7 @@
         assert key in harness.finals
 
 
-def test_a_node_whose_timers_come_late_answers_earlier() -> None:
+def test_objective_is_earlier_when_timers_of_node_are_late() -> None:
     harness = RouterHarness(gather_route())
     for _ in range(10):
         key = harness.arrive()
@@ -182,7 +182,7 @@
     assert key in harness.finals
 
 
-def test_one_very_patient_caller_does_not_make_all_others_late() -> None:
+def test_long_timeout_of_one_caller_does_not_affect_other_callers() -> None:
     harness = RouterHarness(gather_route())
     harness.arrive(timeout_s=60.0)
     key = harness.arrive(timeout_s=1.5)
@@ -192,7 +192,7 @@
     assert key in harness.finals
 
 
-def test_when_most_shards_are_late_at_once_this_node_is_and_hedging_waits_once() -> None:
+def test_hedges_are_postponed_once_when_most_shards_are_late() -> None:
     shards = tuple(f"s{number}" for number in range(10))
     harness = RouterHarness(gather_route(services=shards))
     harness.warm_up(latency=0.010)
@@ -206,7 +206,7 @@
     assert len(harness.attempts(key)) == 12
 
 
-def test_an_open_connection_a_little_further_away_goes_before_a_new_one() -> None:
+def test_open_connection_in_other_zone_is_preferred_to_new_connection() -> None:
     near, far = server("near", "s1", "z1"), server("far", "s1", "z2")
     harness = RouterHarness(gather_route(services=("s1",)), servers=(near, far))
     harness.feed(ev.ConnectionsChanged("near", 1))
@@ -218,7 +218,7 @@
     assert harness.attempts(harness.arrive())[0].server.instance == "far"
 
 
-def test_a_far_region_does_not_make_connecting_dear_everywhere() -> None:
+def test_connect_time_of_distant_server_does_not_affect_near_server() -> None:
     near, far = server("near", "s1", "z1"), server("far", "s1", "z2")
     harness = RouterHarness(gather_route(services=("s1",)), servers=(near, far))
     harness.feed(ev.ConnectionsChanged("near", 1))
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -1,4 +1,4 @@
-"""What surely can't be served is refused before it is sent anywhere, with a true time to come back."""
+"""Requests that cannot be served are refused before they are sent, with an accurate Retry-After."""
 
 from harness import SHARDS, RouterHarness, failure, gather_route, reply, server, single_route
 
@@ -8,7 +8,7 @@
 from yokesill.gateway.servers.ejection import FAILING_EJECTION_S
 from yokesill.verdict import Reason, Verdict
 
-PATIENCE_S = 1.5
+CALLER_TIMEOUT_S = 1.5
 
 
 def servers_of(*services: str) -> tuple[ServerRecord, ...]:
@@ -22,11 +22,11 @@
 
 
 def fail_all(harness: RouterHarness, service: str) -> None:
-    """Let every server of a service fail, and answer the rest."""
+    """Fail one request's attempts at every server of a service, and answer its other attempts."""
     key = harness.arrive()
     answered: set[int] = set()
-    while open_ones := [each for each in harness.attempts(key) if each.number not in answered]:
-        for each in open_ones:
+    while pending := [each for each in harness.attempts(key) if each.number not in answered]:
+        for each in pending:
             answered.add(each.number)
             if each.server.service == service:
                 harness.fail(each, failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN))
@@ -34,7 +34,7 @@
                 harness.answer(each)
 
 
-def test_a_request_that_cannot_reach_its_coverage_is_sent_nowhere() -> None:
+def test_request_is_not_sent_when_coverage_is_unreachable() -> None:
     harness = RouterHarness(gather_route(coverage=0.75), servers=servers_of("s1", "s2"))
     key = harness.arrive()
     assert harness.attempts(key) == []
@@ -44,7 +44,7 @@
     assert final.failure.retry_after_ms == SHED_RETRY_AFTER_MS
 
 
-def test_a_request_that_can_reach_its_coverage_is_sent_as_before() -> None:
+def test_request_is_sent_when_coverage_is_reachable() -> None:
     harness = RouterHarness(gather_route(coverage=0.75), servers=servers_of("s1", "s2", "s3"))
     key = harness.arrive()
     assert {each.server.service for each in harness.attempts(key)} == {"s1", "s2", "s3"}
@@ -53,7 +53,7 @@
     assert isinstance(harness.finals[key], ev.Gathered)
 
 
-def test_what_is_sent_nowhere_earns_no_budget_since_another_node_may_run_it() -> None:
+def test_unsent_request_is_not_counted_towards_budget() -> None:
     harness = RouterHarness(gather_route(coverage=0.75), servers=servers_of("s1", "s2"))
     before = harness.router._context.budget("s1").left(1, harness.now)
     for _ in range(100):
@@ -61,7 +61,7 @@
     assert harness.router._context.budget("s1").left(1, harness.now) == before
 
 
-def test_what_another_node_may_have_sent_is_refused_as_such() -> None:
+def test_request_sent_by_another_node_is_refused_as_may_have_run() -> None:
     harness = RouterHarness(gather_route(coverage=1.0, attempts=1), servers=servers_of(*SHARDS))
     request = ev.GatewayRequest(
         "k", "id-k", b"GET", "shop.example", "/wide/x", b"/wide/x", (), b"", harness.now, 1.5, True, True
@@ -70,24 +70,28 @@
     assert refusal(harness, "k").failure.verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_a_caller_comes_back_once_the_ejections_in_its_way_are_over() -> None:
+def test_retry_after_lasts_until_blocking_ejections_end() -> None:
     harness = RouterHarness(gather_route(coverage=1.0), servers=servers_of(*SHARDS))
     fail_all(harness, "s1")
-    told = [refusal(harness, harness.arrive(timeout_s=PATIENCE_S)).failure.retry_after_ms for _ in range(20)]
-    assert all(FAILING_EJECTION_S * 1000 <= each <= FAILING_EJECTION_S * 1000 * 1.3 for each in told)
-    assert len(set(told)) > 10
-    harness.advance(max(told) / 1000)
+    retry_after_ms = [
+        refusal(harness, harness.arrive(timeout_s=CALLER_TIMEOUT_S)).failure.retry_after_ms for _ in range(20)
+    ]
+    assert all(
+        FAILING_EJECTION_S * 1000 <= each <= FAILING_EJECTION_S * 1000 * 1.3 for each in retry_after_ms
+    )
+    assert len(set(retry_after_ms)) > 10
+    harness.advance(max(retry_after_ms) / 1000)
     assert harness.attempts(harness.arrive()) != []
 
 
-def test_ejections_that_outlast_the_caller_name_the_usual_time() -> None:
+def test_retry_after_is_default_when_ejections_outlast_caller() -> None:
     harness = RouterHarness(gather_route(coverage=1.0), servers=servers_of(*SHARDS))
     fail_all(harness, "s1")
     final = refusal(harness, harness.arrive(timeout_s=0.3))
     assert final.failure.retry_after_ms == SHED_RETRY_AFTER_MS
 
 
-def test_only_as_many_ejections_count_as_the_answer_needs() -> None:
+def test_retry_after_counts_only_ejections_that_block_coverage() -> None:
     harness = RouterHarness(gather_route(coverage=0.75), servers=servers_of(*SHARDS))
     fail_all(harness, "s1")
     harness.advance(0.3)
@@ -96,14 +100,14 @@
     assert 200 <= final.failure.retry_after_ms <= 260
 
 
-def test_a_caller_whose_server_is_full_comes_back_when_it_takes_work_again() -> None:
+def test_retry_after_lasts_until_full_server_accepts_work_again() -> None:
     harness = RouterHarness(single_route(), servers=(server("d", "desk"),))
     key = harness.arrive("/one/x")
     harness.fail(harness.attempts(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
     assert 50 <= refusal(harness, key).failure.retry_after_ms <= 65
 
 
-def test_a_request_that_falls_short_later_is_refused_at_once() -> None:
+def test_request_is_refused_at_once_when_coverage_becomes_unreachable() -> None:
     harness = RouterHarness(gather_route(coverage=1.0, attempts=1))
     key = harness.arrive()
     first, *others = harness.attempts(key)
@@ -113,7 +117,7 @@
     assert final.failure.verdict is not Verdict.NOT_RUN
 
 
-def test_a_refusal_tells_a_service_without_servers_from_one_whose_servers_are_ejected() -> None:
+def test_refusal_reason_distinguishes_missing_from_ejected_servers() -> None:
     harness = RouterHarness(gather_route(coverage=1.0), servers=servers_of(*SHARDS))
     fail_all(harness, "s1")
     assert refusal(harness, harness.arrive()).failure.reason is Reason.REPLICAS_EJECTED
--- a/tests/gateway/test_single.py
+++ b/tests/gateway/test_single.py
@@ -1,4 +1,4 @@
-"""Requests to one server: what may be repeated, what a refusal promises, and what is passed on."""
+"""Requests to a single service: retries, the verdicts of refusals, and answers that are passed on."""
 
 from harness import RouterHarness, configuration, failure, reply, server, single_route
 
@@ -9,7 +9,7 @@
 SHED = failure(Reason.SHED, Verdict.NOT_RUN)
 
 
-def test_a_servers_answer_is_passed_on_unchanged() -> None:
+def test_answer_of_server_is_passed_on_unchanged() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
     answer = reply(b"body", status=404)
@@ -19,7 +19,7 @@
     assert final.reply is answer
 
 
-def test_what_must_not_run_twice_is_never_hedged_nor_repeated_after_doubt() -> None:
+def test_non_idempotent_request_is_neither_hedged_nor_retried_after_it_may_have_run() -> None:
     harness = RouterHarness(single_route(repeatable=False))
     key = harness.arrive("/one/x", 6.0)
     harness.advance(3.0)
@@ -31,7 +31,7 @@
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_what_must_not_run_twice_is_sent_again_after_a_promise_that_it_did_not_run() -> None:
+def test_non_idempotent_request_is_retried_when_it_did_not_run() -> None:
     harness = RouterHarness(single_route(repeatable=False))
     key = harness.arrive("/one/x", 6.0)
     harness.fail(harness.attempts(key)[0], SHED)
@@ -40,7 +40,7 @@
     assert isinstance(harness.finals[key], ev.PassOn)
 
 
-def test_a_request_that_every_server_rejected_is_refused_at_once_as_not_run() -> None:
+def test_request_rejected_by_all_servers_is_refused_as_not_run() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
     harness.fail(harness.attempts(key)[0], SHED)
@@ -51,7 +51,7 @@
     assert final.failure.retry_after_ms > 0
 
 
-def test_a_rejection_beside_a_run_is_not_called_not_run() -> None:
+def test_rejection_after_possible_run_is_refused_as_may_have_run() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
     harness.fail(harness.attempts(key)[0])
@@ -61,7 +61,7 @@
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_a_servers_own_failure_is_tried_elsewhere_and_passed_on_when_nothing_better_comes() -> None:
+def test_server_error_is_retried_and_passed_on_when_retry_fails() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
     first = reply(status=500)
@@ -73,7 +73,7 @@
     assert final.reply is first
 
 
-def test_at_its_time_out_a_request_is_given_up_at_once() -> None:
+def test_request_is_refused_at_timeout_of_route() -> None:
     harness = RouterHarness(single_route(), servers=(server("a", "desk"),))
     key = harness.arrive("/one/x", 30.0)
     harness.advance(6.0)
@@ -82,7 +82,7 @@
     assert final.failure.reason is Reason.TIMED_OUT
 
 
-def test_an_unknown_path_is_refused_by_the_newest_configuration_only() -> None:
+def test_request_without_matching_route_is_refused() -> None:
     harness = RouterHarness(single_route())
     for path, host in (("/none/x", "shop.example"), ("/one/x", "other.example")):
         final = harness.finals[harness.arrive(path, host=host)]
@@ -90,21 +90,21 @@
         assert final.failure.reason is Reason.UNKNOWN_SERVICE
 
 
-def test_a_request_without_time_left_is_told_so() -> None:
+def test_request_without_time_left_is_refused_as_deadline_exceeded() -> None:
     harness = RouterHarness(single_route())
     final = harness.finals[harness.arrive("/one/x", 0.015)]
     assert isinstance(final, ev.Refuse)
     assert (final.failure.reason, final.failure.verdict) == (Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN)
 
 
-def test_before_any_configuration_a_request_may_come_back() -> None:
+def test_request_before_first_configuration_is_refused_as_not_ready() -> None:
     harness = RouterHarness()
     final = harness.finals[harness.arrive()]
     assert isinstance(final, ev.Refuse)
     assert (final.failure.reason, final.failure.verdict) == (Reason.NOT_READY, Verdict.NOT_RUN)
 
 
-def test_the_longest_prefix_of_the_host_decides() -> None:
+def test_route_with_longest_matching_prefix_is_chosen() -> None:
     short = single_route()
     longer = single_route(split=Split((WeightedService("deep", 1.0),)))
     longer = type(longer)(**{**_fields(longer), "name": "deep", "prefix": "/one/deep/"})
@@ -118,7 +118,7 @@
     return {name: getattr(route, name) for name in route.__slots__}  # type: ignore[attr-defined]
 
 
-def test_a_split_keeps_its_shares_over_any_hundred_requests() -> None:
+def test_split_keeps_its_shares_over_any_hundred_requests() -> None:
     split = Split((WeightedService("a", 7), WeightedService("b", 2), WeightedService("c", 1)))
     harness = RouterHarness(single_route(split=split))
     services = []
--- a/tests/gateway/test_splits.py
+++ b/tests/gateway/test_splits.py
@@ -1,4 +1,4 @@
-"""Weights hold over all nodes together, however few requests each of them meets."""
+"""The weights of a split hold over all nodes together, even if each node gets few requests."""
 
 import random
 
@@ -11,34 +11,36 @@
 from yokesill.verdict import Reason, Verdict
 
 NODES = 90
-# Over 300 requests the pages allow a tenth.
-MOST_OFF = 0.1
+# The specification allows a deviation of 0.1 over 300 requests.
+MAX_DEVIATION = 0.1
 
 
 def split_of(weights: tuple[float, ...]) -> Split:
     return Split(tuple(WeightedService(f"s{index}", weight) for index, weight in enumerate(weights)))
 
 
-def shares(weights: tuple[float, ...], each: int, seed: int) -> list[float]:
+def shares(weights: tuple[float, ...], requests_per_node: int, seed: int) -> list[float]:
     source = random.Random(seed)
     counts = [0] * len(weights)
     for _ in range(NODES):
         cursor = SplitCursor(split_of(weights), source.random())
-        for _ in range(each):
+        for _ in range(requests_per_node):
             counts[int(cursor.next()[1:])] += 1
     return [count / sum(counts) for count in counts]
 
 
 @pytest.mark.parametrize("weights", [(3.0, 1.0), (9.0, 1.0), (1.0, 1.0), (5.0, 3.0, 2.0), (1.0, 0.0)])
-@pytest.mark.parametrize("each", [2, 3, 4, 10])
-def test_shares_hold_over_many_nodes_with_a_few_requests_each(weights: tuple[float, ...], each: int) -> None:
+@pytest.mark.parametrize("requests_per_node", [2, 3, 4, 10])
+def test_shares_hold_over_many_nodes_with_a_few_requests_each(
+    weights: tuple[float, ...], requests_per_node: int
+) -> None:
     for seed in range(20):
-        for share, weight in zip(shares(weights, each, seed), weights, strict=True):
-            assert abs(share - weight / sum(weights)) <= MOST_OFF
+        for share, weight in zip(shares(weights, requests_per_node, seed), weights, strict=True):
+            assert abs(share - weight / sum(weights)) <= MAX_DEVIATION
 
 
 @pytest.mark.parametrize("count", [50, 300])
-def test_shares_hold_over_a_run_at_one_node(count: int) -> None:
+def test_shares_hold_over_sequence_at_one_node(count: int) -> None:
     cursor = SplitCursor(split_of((3.0, 1.0)), 0.3)
     chosen = [cursor.next() for _ in range(count)]
     assert abs(chosen.count("s0") / count - 0.75) < 0.03
@@ -51,15 +53,15 @@
         for service in ("s0", "s1"):
             harness.feed(ev.ServerListed(server(service, service)))
     for version, weights in enumerate([(3.0, 1.0), (1.0, 3.0), (1.0, 1.0)], start=1):
-        asked = []
+        services = []
         for harness in harnesses:
             route = single_route(split=split_of(weights))
             harness.feed(ev.ConfigurationLearnt(configuration(version, route)))
-            asked += [harness.attempts(harness.arrive("/one/x"))[0].server.service for _ in range(3)]
-        assert abs(asked.count("s0") / len(asked) - weights[0] / sum(weights)) <= MOST_OFF
+            services += [harness.attempts(harness.arrive("/one/x"))[0].server.service for _ in range(3)]
+        assert abs(services.count("s0") / len(services) - weights[0] / sum(weights)) <= MAX_DEVIATION
 
 
-def test_what_a_part_without_room_rejects_goes_to_no_other_part() -> None:
+def test_request_rejected_by_one_service_of_split_is_not_sent_to_another() -> None:
     harness = RouterHarness(
         single_route(split=split_of((1.0, 1.0))), servers=(server("a", "s0"), server("b", "s1"))
     )
