--- a/src/yokesill/gateway/limits/budget.py
+++ b/src/yokesill/gateway/limits/budget.py
@@ -1,9 +1,9 @@
 """Per-service budget of extra attempts (retries and hedges), shared by all nodes.
 
 For each service and any window, the contract bounds the attempts beyond the first of each request: ``ratio``
-times the number of requests, plus a fixed allowance. There is no central coordinator: each node limits itself
-to the ratio of its own requests and to its share of the allowance (`NodeShares.active_nodes`), so that the
-sum over all nodes stays within the bound.
+times the number of requests, plus a fixed allowance. No node manages the budget: each limits itself to the
+ratio of its own requests and to its share of the allowance (`NodeShares.active_nodes`), so that the sum over
+all nodes stays within the bound.
 
 Inputs: this node's requests and extra attempts, the number of nodes that share the budget, and the node's
 clock in seconds. Callers must call ``take`` before each extra attempt and send nothing if it returns
--- a/src/yokesill/gateway/requests/isolation.py
+++ b/src/yokesill/gateway/requests/isolation.py
@@ -64,7 +64,7 @@
     # --- holding and probing ---
 
     def update(self, now: float) -> bool:
-        """Recompute whether the request is isolated, and return it."""
+        """Update and return whether the request is isolated."""
         detector = self._crashes.detector
         tracks_any = len(detector) > 0
         self._suspected = tracks_any and detector.status(self.fingerprint, now) is QuarantineStatus.SUSPECTED
--- a/src/yokesill/gateway/requests/probing.py
+++ b/src/yokesill/gateway/requests/probing.py
@@ -11,7 +11,7 @@
 
 
 def is_isolated(fan_out: FanOut, step: Step) -> bool:
-    """Return whether the request is isolated now; if so, also hold its calls that wait for a pacing slot."""
+    """Return whether the request is isolated now; if so, hold also its calls that wait for a pacing slot."""
     isolated = fan_out.isolation.update(step.now)
     if isolated and fan_out.deferred:
         fan_out.hold_deferred()
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -101,7 +101,7 @@
                 case ev.ServerObserved():
                     self.observed.append(action)
                 case ev.PassOn(key) | ev.Gathered(key) | ev.Refuse(key):
-                    assert key not in self.finals, f"request {key} got a second final answer"
+                    assert key not in self.finals, "a request got a second final answer"
                     self.finals[key] = action
         return actions
 
--- a/tests/gateway/test_pacing.py
+++ b/tests/gateway/test_pacing.py
@@ -274,7 +274,7 @@
     harness.answer(again)
     assert harness.finals[key].summary is not None
     assert harness.finals[key].summary.extra_attempts == 0  # type: ignore[union-attr]
-    assert not any(note.details.get("state") == "ejected" for note in harness.logged)
+    assert not any(event.details.get("state") == "ejected" for event in harness.logged)
 
 
 def test_request_waits_briefly_when_all_servers_refuse_connections() -> None:
@@ -321,5 +321,5 @@
     first = harness.attempts(key)[0]
     harness.fail(first, failure(Reason.CONNECTION_FORGOTTEN))
     harness.answer(harness.attempts(key)[1], reply())
-    assert not any(note.details.get("state") == "ejected" for note in harness.logged)
+    assert not any(event.details.get("state") == "ejected" for event in harness.logged)
     assert harness.attempts(harness.arrive())[0].server.instance == first.server.instance
--- a/tests/gateway/test_shedding.py
+++ b/tests/gateway/test_shedding.py
@@ -100,5 +100,5 @@
     simulation.run(6.0)
     before = len(simulation.harness.sent)
     simulation.run(4.0)
-    asked = {attempt.server.instance for attempt in simulation.harness.sent[before:]}
-    assert len(asked & recovered) > 0.8 * len(recovered)
+    instances = {attempt.server.instance for attempt in simulation.harness.sent[before:]}
+    assert len(instances & recovered) > 0.8 * len(recovered)
