--- a/src/yokesill/gateway/requests/first_attempts.py
+++ b/src/yokesill/gateway/requests/first_attempts.py
@@ -91,9 +91,9 @@
 
 
 def _choose_canaries(fan_out: FanOut, now: float) -> None:
-    """Mark calls as canaries: at least one, and no more than the answer can do without.
+    """Mark calls as canaries: as many as the answer can do without, but at least one.
 
-    A bad new version then spoils no answer.
+    A bad new version then does not spoil the answer.
     """
     max_canaries = max(1, len(fan_out.calls) - fan_out.required)
     rollouts = fan_out.context.rollouts
--- a/src/yokesill/gateway/requests/pacing_queue.py
+++ b/src/yokesill/gateway/requests/pacing_queue.py
@@ -6,7 +6,7 @@
 
 The order, for each service:
 
-1. requests close to their deadline, since no answer is worse than a late one;
+1. requests close to their deadline, since a missing answer is worse than a late one;
 2. the newest request whose objective has not passed; first in, first out would serve each one just too late;
 3. the request that has waited longest.
 
