--- a/bench/gateway_subrequest.py
+++ b/bench/gateway_subrequest.py
@@ -73,7 +73,7 @@
     queries = max(10, SUB_REQUESTS // fan_out)
     async with anyio.create_task_group() as task_group:
         await task_group.start(driver.run)
-        driver.feed(ev.ConfigurationLearnt(Configuration(1, (route,), limits)))
+        driver.feed(ev.ConfigurationReceived(Configuration(1, (route,), limits)))
         for number, name in enumerate(services):
             record = ServerRecord(f"i-{number}", name, HOST, FIRST_PORT + number, "z1", 4)
             driver.feed(ev.ServerListed(record))
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -318,8 +318,8 @@
         services = {name: ServiceLimits(CONNECTIONS) for route in routes for name in route.services}
         self.nodes = [Node(self, f"n{number}", options) for number in range(NODES)]
         for node in self.nodes:
-            node.feed(ev.NodesCounted(scenario.counted))
-            node.feed(ev.ConfigurationLearnt(Configuration(1, routes, services)))
+            node.feed(ev.NodeCountUpdated(scenario.counted))
+            node.feed(ev.ConfigurationReceived(Configuration(1, routes, services)))
             for record in records:
                 node.feed(ev.ServerListed(record))
 
--- a/src/yokesill/cli/gateway.py
+++ b/src/yokesill/cli/gateway.py
@@ -10,7 +10,7 @@
 from yokesill import logs
 from yokesill.cli.base import BaseCommand, ExitCode
 from yokesill.cli.gateway_file import GatewayFile, read_gateway_file
-from yokesill.gateway.events import ConfigurationLearnt, Event, ServersReplaced
+from yokesill.gateway.events import ConfigurationReceived, Event, ServersReplaced
 from yokesill.positions import Position
 from yokesill.registry.feeds import Batch, Feed, NodeContact, NodeDirectory, NodeEntry
 from yokesill.serving.dependencies import Dependencies
@@ -69,7 +69,7 @@
 
     def __init__(self, described: GatewayFile, output: logs.LogOutput) -> None:
         settings = described.settings()
-        self._configuration = FileFeed("configuration", ConfigurationLearnt(described.configuration()))
+        self._configuration = FileFeed("configuration", ConfigurationReceived(described.configuration()))
         self._servers = FileFeed("servers", ServersReplaced(described.records()))
         around = Dependencies(
             self._configuration, self._servers, OneNode(settings.node), HeaderNames(), READY_PATH
@@ -78,7 +78,7 @@
 
     def reload(self, described: GatewayFile) -> None:
         """Take a changed file; the node's own addresses stay as they are."""
-        self._configuration.publish(ConfigurationLearnt(described.configuration()))
+        self._configuration.publish(ConfigurationReceived(described.configuration()))
         self._servers.publish(ServersReplaced(described.records()))
 
 
--- a/src/yokesill/coordinators/forwarding.py
+++ b/src/yokesill/coordinators/forwarding.py
@@ -99,7 +99,7 @@
             if isinstance(outcome, HttpAnswer):
                 return outcome
             request = self._fall_back(target, request, outcome, isinstance(reply, GatheredAnswer))
-            if request.asked_before or outcome.reason is Reason.DEADLINE_EXCEEDED:
+            if request.possibly_sent or outcome.reason is Reason.DEADLINE_EXCEEDED:
                 return request
         return request
 
@@ -144,7 +144,7 @@
         if isinstance(reply, Failure):
             return reply
         now = anyio.current_time()
-        target.choice.took(now - sent_at_s - reply.gathering_s, target.node)
+        target.choice.record_hop(now - sent_at_s - reply.gathering_s, target.node)
         answer = reply.answer
         verdict = fallback_verdict(answer, route, _deadline_at_s(request, route) - now)
         if verdict is not None:
@@ -177,7 +177,7 @@
             "detail": failure.detail,
         }
         self._observer.log_event(LogEvent("coordinator_missed", details))
-        return request if failure.verdict is Verdict.NOT_RUN else replace(request, asked_before=True)
+        return request if failure.verdict is Verdict.NOT_RUN else replace(request, possibly_sent=True)
 
 
 def _caller_timeout_s(request: GatewayRequest, route: Route) -> float:
--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -19,7 +19,7 @@
 # dead one costs a request ``client.CONNECT_TIMEOUT_S``.
 RETRY_PAUSE_S = 2.0
 # What the hop to another zone is assumed to take until it has been measured.
-FIRST_HOP_S = 0.012
+INITIAL_HOP_S = 0.012
 # Share of the latency objective that the hop may use: the rest must be enough to gather. Where it is more,
 # one request in each interval measures it again.
 HOP_SHARE_LIMIT = 0.35
@@ -30,7 +30,7 @@
     """Chooses among the strong nodes of the zones that have the servers."""
 
     def __init__(self, options: GatewayOptions, servers: ServerTable) -> None:
-        self.choice = CoordinatorChoice(options.node, FIRST_HOP_S)
+        self.choice = CoordinatorChoice(options.node, INITIAL_HOP_S)
         self._options = options
         self._servers = servers
         self._server_zones = ServerZones(options, servers)
@@ -72,9 +72,9 @@
         """Return who may gather a wide request near its servers; empty where that is no better."""
         if not self._options.switches.gathers_near_servers or not self._hop_is_short(route, now):
             return {}
-        heard_at_s = now - RETRY_PAUSE_S
+        reported_at_s = now - RETRY_PAUSE_S
         return {
-            each.node: Coordinator(each.peers, heard_at_s, zone)
+            each.node: Coordinator(each.peers, reported_at_s, zone)
             for zone in self._server_zones.zones(route, now)
             for each in self._strong.get(zone, ())
         }
--- a/src/yokesill/gateway/attempt_outcomes.py
+++ b/src/yokesill/gateway/attempt_outcomes.py
@@ -63,7 +63,7 @@
         """Count an answer for its server and route; return the server's new state if it changed."""
         if reply.is_server_error:
             return attempt.server.failed(attempt.sent_at_s, now)
-        typical, late_s = self._context.typical(route), self._context.lateness_s
+        typical, late_s = self._context.typical_latency(route), self._context.lateness_s
         state = attempt.server.answered(attempt.sent_at_s, typical.median, reply.load, now, late_s)
         typical.record(now - attempt.sent_at_s)
         return state
--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -108,14 +108,14 @@
                 self._budgets[service] = ExtraAttemptBudget(limits, self.started_at)
         self._budget_limits = limits
 
-    def typical(self, route: Route) -> TypicalLatency:
+    def typical_latency(self, route: Route) -> TypicalLatency:
         """Return what the route's attempts usually take."""
         typical = self._typical.get(route.name)
         if typical is None:
             typical = self._typical[route.name] = TypicalLatency(route.objective_s)
         return typical
 
-    def known_typical(self, route: Route) -> TypicalLatency | None:
+    def find_typical_latency(self, route: Route) -> TypicalLatency | None:
         """Return what is known of the route, which may be gone; see ``typical``."""
         return self._typical.get(route.name)
 
@@ -145,7 +145,7 @@
         self._budgets = {name: kept for name, kept in self._budgets.items() if name in services}
         self.servers.versions.keep(services)
 
-    def kept_estimates(self) -> int:
+    def estimate_count(self) -> int:
         """How many routes and services something learned is kept."""
         return len(self._typical) + len(self._longest_timeout_s) + len(self._budgets)
 
--- a/src/yokesill/gateway/crash_events.py
+++ b/src/yokesill/gateway/crash_events.py
@@ -69,7 +69,7 @@
     trial: bool
 
 
-class RequestJudged(NamedTuple):
+class QuarantineStatusDecided(NamedTuple):
     """This node found that a request is to be suspected or quarantined: report it to all nodes."""
 
     fingerprint: str
--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -41,7 +41,7 @@
         if status is not None:
             self._changed(name, status, "found", actions)
         if status is QuarantineStatus.QUARANTINED:
-            actions.append(ev.RequestJudged(name, status))
+            actions.append(ev.QuarantineStatusDecided(name, status))
 
     def report_loss(self, name: str, loss: Loss, actions: list[ev.Action]) -> None:
         """Report a loss of a failed request to its owners."""
@@ -65,7 +65,7 @@
         self.detector.share(event.fingerprint)
         if status is not None:
             self._changed(event.fingerprint, status, "found", actions)
-            actions.append(ev.RequestJudged(event.fingerprint, status))
+            actions.append(ev.QuarantineStatusDecided(event.fingerprint, status))
 
     def status_received(
         self, event: ev.QuarantineStatusReceived, now: float, actions: list[ev.Action]
--- a/src/yokesill/gateway/events.py
+++ b/src/yokesill/gateway/events.py
@@ -15,8 +15,8 @@
     LossReported as LossReported,
     QuarantineLifted as QuarantineLifted,
     QuarantineReplaced as QuarantineReplaced,
+    QuarantineStatusDecided as QuarantineStatusDecided,
     QuarantineStatusReceived as QuarantineStatusReceived,
-    RequestJudged as RequestJudged,
     RequestQuarantined as RequestQuarantined,
 )
 from yokesill.gateway.documents import Configuration, ServerRecord
@@ -87,7 +87,7 @@
 # --- events: state updates from the registry and from other nodes ---
 
 
-class ConfigurationLearnt(NamedTuple):
+class ConfigurationReceived(NamedTuple):
     """A version of the configuration was read from any source; older ones are ignored."""
 
     configuration: Configuration
@@ -172,13 +172,13 @@
     for_s: float
 
 
-class NodesCounted(NamedTuple):
+class NodeCountUpdated(NamedTuple):
     """How many nodes share the budgets and the servers' connections."""
 
     nodes: int
 
 
-class NodesMet(NamedTuple):
+class NodesUpdated(NamedTuple):
     """All live nodes, and those of them that are coordinators: they gather wide requests for their zone."""
 
     names: frozenset[str]
@@ -192,7 +192,7 @@
     | ConnectionsChanged
     | TimerFired
     | CallerLeft
-    | ConfigurationLearnt
+    | ConfigurationReceived
     | ServerListed
     | ServerRemoved
     | ServersReplaced
@@ -212,8 +212,8 @@
     | RequestQuarantined
     | QuarantineLifted
     | QuarantineReplaced
-    | NodesCounted
-    | NodesMet
+    | NodeCountUpdated
+    | NodesUpdated
 )
 
 
@@ -300,7 +300,7 @@
     | ServerObserved
     | LossObserved
     | AnswerObserved
-    | RequestJudged
+    | QuarantineStatusDecided
     | LogEvent
 )
 FinalAnswer = PassOn | Gathered | Refuse
--- a/src/yokesill/gateway/forwarding.py
+++ b/src/yokesill/gateway/forwarding.py
@@ -18,7 +18,7 @@
 
 # Routes with fewer services are gathered here. Sending to so many over open connections (0.1 ms each, as
 # much to read) takes half a core as long as the hop to a coordinator and back.
-LEAST_SERVICES = 16
+MIN_WIDE_SERVICES = 16
 # A coordinator that refused is busy or stopping: others get the requests for so long.
 REFUSED_PAUSE_S = 0.5
 # After a coordinator of another zone is lost, its whole zone is passed over for so long: it may be
@@ -31,7 +31,7 @@
 MAX_DOUBLINGS = 8
 # The hop to a coordinator and back until it was measured. Measured since: 2.2 ms in the middle, 4.3 ms at the
 # 0.9 quantile (``docs/design/shifted-work.md``).
-FIRST_HOP_S = 0.005
+INITIAL_HOP_S = 0.005
 # The weight of the newest hop in its mean, and how many mean deviations are added to it: a coordinator that
 # counts the hop too short answers every request just too late.
 HOP_WEIGHT, HOP_DEVIATIONS = 0.15, 1.5
@@ -41,7 +41,7 @@
     """A coordinator's address (``HOST:PORT``), when it last reported, and its zone if it is another one."""
 
     address: str
-    heard_at_s: float
+    reported_at_s: float
     zone: str = ""
 
 
@@ -56,7 +56,7 @@
         What the hop takes until it was measured.
     """
 
-    def __init__(self, own: str, first_hop_s: float = FIRST_HOP_S) -> None:
+    def __init__(self, own: str, first_hop_s: float = INITIAL_HOP_S) -> None:
         self._own = name_hash(own)
         self._zone_lost_at: dict[str, float] = {}
         self._avoided_until: dict[str, float] = {}
@@ -82,7 +82,7 @@
         if coordinator.zone and now - zone_lost_at < ZONE_LOST_PAUSE_S:
             return False
         lost_at = self._lost_at.get(node, float("-inf"))
-        return coordinator.heard_at_s > lost_at and self._avoided_until.get(node, 0.0) <= now
+        return coordinator.reported_at_s > lost_at and self._avoided_until.get(node, 0.0) <= now
 
     def refused(self, node: str, now: float) -> None:
         """Pass a coordinator over for a while: it refused a request."""
@@ -99,7 +99,7 @@
             pause_s = FIRST_LOST_PAUSE_S * 2.0 ** min(losses - 1, MAX_DOUBLINGS)
             self._avoided_until[node] = now + min(pause_s, LONGEST_LOST_PAUSE_S)
 
-    def took(self, hop_s: float, node: str = "") -> None:
+    def record_hop(self, hop_s: float, node: str = "") -> None:
         """Count what forwarding added to gathering in one answer, in seconds."""
         self._losses.pop(node, None)
         error = max(0.0, hop_s) - self._hop_s
@@ -110,4 +110,4 @@
 def is_wide(route: Route) -> bool:
     """Whether a route's requests are worth forwarding."""
     gathers = isinstance(route.destination, Gather) and route.repeatable
-    return gathers and len(route.services) >= LEAST_SERVICES
+    return gathers and len(route.services) >= MIN_WIDE_SERVICES
--- a/src/yokesill/gateway/messages.py
+++ b/src/yokesill/gateway/messages.py
@@ -19,7 +19,7 @@
     ``key`` names it within this node; ``request_id`` is the caller's own name for it.
     ``arrived_at_s`` is in seconds of the node's clock; ``caller_timeout_s`` is how long the caller will wait
     from then on, in seconds (``None``: it did not say). ``fresh_connection``: it connected for this
-    request, which took time before it arrived. ``asked_before``: another node may have sent it to servers
+    request, which took time before it arrived. ``possibly_sent``: another node may have sent it to servers
     already, and whatever is sent now may be a second time.
     """
 
@@ -34,7 +34,7 @@
     arrived_at_s: float
     caller_timeout_s: float | None
     fresh_connection: bool = True
-    asked_before: bool = False
+    possibly_sent: bool = False
 
 
 class Load(NamedTuple):
--- a/src/yokesill/gateway/options.py
+++ b/src/yokesill/gateway/options.py
@@ -63,7 +63,7 @@
         This node's zone and name, and the region of each zone.
     budget, cold_starts, rollouts
         Limits that the settings name. Without ``rollouts`` servers' versions don't count.
-    fresh_margin_s, kept_margin_s
+    fresh_margin_s, reused_margin_s
         What of a caller's latency this node can't see, on a new and on an open connection: connecting, the
         request's way here and the answer's way back. Taken off the objective. 8.5 ms on an open connection
         was too short in a run: more answers were late.
@@ -94,7 +94,7 @@
     cold_starts: ColdStartLimits = ColdStartLimits()  # noqa: RUF009 (immutable)
     rollouts: RolloutLimits | None = None
     fresh_margin_s: float = 0.0145
-    kept_margin_s: float = 0.0115
+    reused_margin_s: float = 0.0115
     gather_hedge_factor: float = 2.0
     single_hedge_factor: float = 2.5
     minimum_hedge_delay_s: float = 0.004
--- a/src/yokesill/gateway/partition.py
+++ b/src/yokesill/gateway/partition.py
@@ -20,10 +20,10 @@
 # Nobody answers for so long: two further looks at three places each, more than a lost packet or a dead node
 # explains. Readiness is probed each second and lost after two misses: a partition of some seconds is over
 # before a slower decision helps, and a wrong one is taken back before the second miss.
-SILENCE_S = 0.5
+UNREACHABLE_S = 0.5
 # The node is not ready for so long at most, then ready for as long: the places that are looked at may be
 # unreachable for another reason while servers can be reached.
-LONGEST_S = 20.0
+MAX_NOT_READY_S = 20.0
 # Where no route is wide, a node depends on others if more than this share of the services has servers
 # elsewhere only.
 MOST_ELSEWHERE_SHARE = 0.5
@@ -35,44 +35,44 @@
     """One node's decision; ``cut`` while it is taken to be partitioned from other zones."""
 
     def __init__(self) -> None:
-        self.cut = False
+        self.partitioned = False
         self._silent_since_s: float | None = None
         self._since_s = float("-inf")
         self._back_at_s = float("-inf")
 
     @property
-    def doubtful(self) -> bool:
+    def last_check_failed(self) -> bool:
         """Whether the last look reached nobody."""
         return self._silent_since_s is not None
 
     @property
     def interval_s(self) -> float:
         """How long until the next look, in seconds."""
-        return DOUBTFUL_INTERVAL_S if self.doubtful else CALM_INTERVAL_S
+        return DOUBTFUL_INTERVAL_S if self.last_check_failed else CALM_INTERVAL_S
 
-    def reached(self, now: float) -> None:
+    def record_reachable(self, now: float) -> None:
         """Count a look that reached a server or node of another zone, or found that none is needed."""
         self._silent_since_s = None
         self._return(now)
 
-    def reached_nobody(self, now: float) -> None:
+    def record_unreachable(self, now: float) -> None:
         """Count a look that reached neither servers nor nodes of other zones."""
         if self._silent_since_s is None:
             self._silent_since_s = now
-        if self.cut and now - self._since_s >= LONGEST_S:
+        if self.partitioned and now - self._since_s >= MAX_NOT_READY_S:
             self._return(now)
-        elif not self.cut and now - max(self._silent_since_s, self._rested_at_s) >= SILENCE_S:
-            self.cut, self._since_s = True, now
+        elif not self.partitioned and now - max(self._silent_since_s, self._rested_at_s) >= UNREACHABLE_S:
+            self.partitioned, self._since_s = True, now
 
     @property
     def _rested_at_s(self) -> float:
-        """When a node that was not ready for ``LONGEST_S`` may be so again."""
-        was_longest = self._back_at_s - self._since_s >= LONGEST_S
-        return self._back_at_s + LONGEST_S if was_longest else float("-inf")
+        """When a node that was not ready for ``MAX_NOT_READY_S`` may be so again."""
+        was_longest = self._back_at_s - self._since_s >= MAX_NOT_READY_S
+        return self._back_at_s + MAX_NOT_READY_S if was_longest else float("-inf")
 
     def _return(self, now: float) -> None:
-        if self.cut:
-            self.cut, self._back_at_s = False, now
+        if self.partitioned:
+            self.partitioned, self._back_at_s = False, now
 
 
 def depends_on_others(
--- a/src/yokesill/gateway/requests/admission.py
+++ b/src/yokesill/gateway/requests/admission.py
@@ -23,6 +23,6 @@
     if route is None:
         return refusal.unknown_service(request.host, request.path, configuration.version)
     if context.crashes.status(request, now) is QuarantineStatus.QUARANTINED:
-        verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
+        verdict = Verdict.MAY_HAVE_RUN if request.possibly_sent else Verdict.NOT_RUN
         return refusal.quarantined(fingerprint(request), verdict)
     return route
--- a/src/yokesill/gateway/requests/deadlines.py
+++ b/src/yokesill/gateway/requests/deadlines.py
@@ -5,7 +5,7 @@
   It is the route's latency objective less what the caller spent on an earlier try of the same request.
 
 Both lie earlier by a margin for what this node can't see of the caller's latency: connecting, the ways here
-and back (``fresh_margin_s``, ``kept_margin_s`` of the options) and how late this node's own timers come.
+and back (``fresh_margin_s``, ``reused_margin_s`` of the options) and how late this node's own timers come.
 """
 
 from typing import NamedTuple
@@ -26,7 +26,7 @@
 def request_times(request: GatewayRequest, route: Route, context: GatewayContext) -> RequestTimes:
     """Return when a request that has just arrived is late and when it is given up."""
     options = context.options
-    margin_s = options.fresh_margin_s if request.fresh_connection else options.kept_margin_s
+    margin_s = options.fresh_margin_s if request.fresh_connection else options.reused_margin_s
     margin_s += context.lateness_s
     caller_timeout_s = route.timeout_s if request.caller_timeout_s is None else request.caller_timeout_s
     deadline_at_s = request.arrived_at_s + min(route.timeout_s, caller_timeout_s - margin_s)
--- a/src/yokesill/gateway/requests/hedging.py
+++ b/src/yokesill/gateway/requests/hedging.py
@@ -43,7 +43,7 @@
     """Return how long after it is sent an attempt is late."""
     context = fan_out.context
     options = context.options
-    typical_s = context.typical(fan_out.route).median
+    typical_s = context.typical_latency(fan_out.route).median
     delay_s = typical_s * (options.gather_hedge_factor if fan_out.gathers else options.single_hedge_factor)
     latest_s = fan_out.objective_at_s - now - LATEST_HEDGE_FACTOR * typical_s
     if typical_s < latest_s < delay_s:
--- a/src/yokesill/gateway/requests/server_choice.py
+++ b/src/yokesill/gateway/requests/server_choice.py
@@ -25,7 +25,7 @@
         return _select_while_switching(fan_out, call, now, hedging)
     if call.canary and not call.attempts and state is RolloutState.CANARY:
         choice = _choose(fan_out, call, call.tried, now, new=True)
-        if choice is not None and choice.sound and not choice.server.leaving:
+        if choice is not None and choice.healthy and not choice.server.leaving:
             return choice
     return _choose(fan_out, call, call.tried, now)
 
@@ -53,7 +53,7 @@
     criteria = SelectionCriteria(
         tried=tried,
         subset=context.eligibility.subset(service, now, new),
-        typical_s=context.typical(route).median,
+        typical_s=context.typical_latency(route).median,
         removed_grace_s=context.options.removed_grace_s,
         connection_limit=context.eligibility.connection_limit(service),
         last_resort=len(route.services) == 1,
--- a/src/yokesill/gateway/rollouts.py
+++ b/src/yokesill/gateway/rollouts.py
@@ -46,7 +46,7 @@
         only where no other request could be, since its failure can't be hidden from its caller. Of the calls
         of a wide request those come first that the least share would choose.
         """
-        if request.asked_before:
+        if request.possibly_sent:
             return []
         canary, request_id = self.orders.canary, request.request_id
         ranked = []
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -104,9 +104,9 @@
         """Return each open order's effective state and what was sent and seen; samples are reported once."""
         return self._context.rollouts.report(self.servers.of_service)
 
-    def kept_estimates(self) -> int:
+    def estimate_count(self) -> int:
         """How many routes and services something learned is kept."""
-        return self._context.kept_estimates()
+        return self._context.estimate_count()
 
     def set_budget(self, limits: BudgetLimits) -> None:
         """Keep to other limits from now on; what was spent still counts."""
--- a/src/yokesill/gateway/servers/evidence.py
+++ b/src/yokesill/gateway/servers/evidence.py
@@ -37,7 +37,7 @@
             return False
         if failure.reason is not Reason.TIMED_OUT:
             return True
-        typical_s = attempt.server.round_trip + self._context.typical(route).median
+        typical_s = attempt.server.round_trip + self._context.typical_latency(route).median
         return now - attempt.sent_at_s >= TIMEOUT_FACTOR * typical_s
 
     def report(self, attempt: LiveAttempt, now: float, actions: list[Action]) -> None:
@@ -54,7 +54,7 @@
         self._silence_checked_at = now
         for number, attempt in self._context.live.items():
             route = route_of(number)
-            typical = None if route is None else self._context.known_typical(route)
+            typical = None if route is None else self._context.find_typical_latency(route)
             if attempt.silence_reported or typical is None:
                 continue
             if now - attempt.sent_at_s >= max(SILENCE_TO_REPORT_S, SILENCE_TO_REPORT_FACTOR * typical.median):
--- a/src/yokesill/gateway/servers/selection.py
+++ b/src/yokesill/gateway/servers/selection.py
@@ -87,7 +87,7 @@
 
     server: ServerState
     expected_s: float
-    sound: bool
+    healthy: bool
     slot_at_s: float = 0.0
     pace_s: float = 0.0
 
--- a/src/yokesill/gateway/state_updates.py
+++ b/src/yokesill/gateway/state_updates.py
@@ -110,17 +110,17 @@
 
 
 @apply_update.register
-def _(event: ev.ConfigurationLearnt, updates: StateUpdates, now: float, actions: Actions) -> None:
+def _(event: ev.ConfigurationReceived, updates: StateUpdates, now: float, actions: Actions) -> None:
     updates.configuration(event.configuration, actions)
 
 
 @apply_update.register
-def _(event: ev.NodesCounted, updates: StateUpdates, now: float, actions: Actions) -> None:
+def _(event: ev.NodeCountUpdated, updates: StateUpdates, now: float, actions: Actions) -> None:
     updates.context.node_shares.nodes = max(1, event.nodes)
 
 
 @apply_update.register
-def _(event: ev.NodesMet, updates: StateUpdates, now: float, actions: Actions) -> None:
+def _(event: ev.NodesUpdated, updates: StateUpdates, now: float, actions: Actions) -> None:
     updates.nodes(event.names, event.coordinators)
 
 
--- a/src/yokesill/platform/feeds.py
+++ b/src/yokesill/platform/feeds.py
@@ -145,7 +145,7 @@
     if not newest:
         return Batch(view.at, ())
     try:
-        return Batch(view.at, (ev.ConfigurationLearnt(read_configuration(newest[-1].spec)),))
+        return Batch(view.at, (ev.ConfigurationReceived(read_configuration(newest[-1].spec)),))
     except ObjectError as error:
         return Batch(view.at, (), (Problem(f"{CONFIGURATION_KIND}/{CONFIGURATION_NAME}", str(error)),))
 
--- a/src/yokesill/registry/feed_states.py
+++ b/src/yokesill/registry/feed_states.py
@@ -12,7 +12,7 @@
 import cbor2
 
 from yokesill.gateway.events import (
-    ConfigurationLearnt,
+    ConfigurationReceived,
     EvacuationsReplaced,
     Event,
     QuarantineLifted,
@@ -48,7 +48,7 @@
 QUARANTINED, LIFTED = "quarantined", "lifted"
 
 WholeFeed = (
-    ConfigurationLearnt | ServersReplaced | EvacuationsReplaced | RolloutsReplaced | QuarantineReplaced
+    ConfigurationReceived | ServersReplaced | EvacuationsReplaced | RolloutsReplaced | QuarantineReplaced
 )
 
 
@@ -146,7 +146,7 @@
 
 
 @_whole_to_wire.register
-def _(event: ConfigurationLearnt, _timeline: int) -> tuple[str, Any]:
+def _(event: ConfigurationReceived, _timeline: int) -> tuple[str, Any]:
     return CONFIGURATION, configuration_to_wire(event.configuration)
 
 
@@ -186,7 +186,7 @@
         timeline = 0 if extension is None else count(extension)
         event: Event
         if feed == CONFIGURATION:
-            event = ConfigurationLearnt(configuration_from_wire(content))
+            event = ConfigurationReceived(configuration_from_wire(content))
         elif feed == SERVERS:
             event = ServersReplaced(tuple(server_from_wire(each) for each in content))
         elif feed == EVACUATIONS:
--- a/src/yokesill/registry/snapshots.py
+++ b/src/yokesill/registry/snapshots.py
@@ -21,7 +21,7 @@
     WeightedService,
 )
 from yokesill.gateway.events import (
-    ConfigurationLearnt,
+    ConfigurationReceived,
     EvacuationsReplaced,
     Event,
     QuarantineReplaced,
@@ -80,7 +80,7 @@
     # Limits on what may be sent come before the servers to send to.
     rollouts = (VersionsEstablished(established), RolloutsReplaced(orders), QuarantineReplaced(quarantined))
     whole = (ServersReplaced(records), EvacuationsReplaced(evacuated))
-    return (ConfigurationLearnt(configuration), *rollouts, *whole)
+    return (ConfigurationReceived(configuration), *rollouts, *whole)
 
 
 def configuration_to_wire(configuration: Configuration) -> dict[str, Any]:
--- a/src/yokesill/registry/view_check.py
+++ b/src/yokesill/registry/view_check.py
@@ -12,7 +12,7 @@
 from typing import Any
 
 from yokesill.gateway.events import (
-    ConfigurationLearnt,
+    ConfigurationReceived,
     EvacuationsReplaced,
     QuarantineReplaced,
     RolloutsReplaced,
@@ -94,7 +94,7 @@
 
     def _without_servers(self) -> list[str]:
         configuration, servers = self._whole(CONFIGURATION), self._whole(SERVERS)
-        if not isinstance(configuration, ConfigurationLearnt) or not isinstance(servers, ServersReplaced):
+        if not isinstance(configuration, ConfigurationReceived) or not isinstance(servers, ServersReplaced):
             return []
         listed = {each.service for each in servers.records}
         named = {name for route in configuration.configuration.routes for name in route.services}
@@ -108,7 +108,7 @@
 
 
 @_digest.register
-def _(whole: ConfigurationLearnt) -> int:
+def _(whole: ConfigurationReceived) -> int:
     # Its version, of which the highest counts: a registry that came back from an older copy tells a starting
     # node an older one than the others know.
     return whole.configuration.version
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -12,7 +12,7 @@
 from yokesill.callers.application import GatewayApplication
 from yokesill.callers.listener import Listener
 from yokesill.coordinators.coordinator import CoordinatorApplication
-from yokesill.gateway.events import ConfigurationLearnt, Event, NodesCounted
+from yokesill.gateway.events import ConfigurationReceived, Event, NodeCountUpdated
 from yokesill.gateway.router import GatewayRouter
 from yokesill.logs import LogOutput
 from yokesill.registry.following import RegistryFollowing
@@ -135,7 +135,7 @@
     presence = NodePresence(
         core.dependencies.nodes,
         contact,
-        lambda count: driver.feed(NodesCounted(count)),
+        lambda count: driver.feed(NodeCountUpdated(count)),
         source,
         peer_changes.peers_changed,
     )
@@ -158,7 +158,7 @@
 
 
 def _apply_connection_limits(listener: Listener, router: GatewayRouter, event: Event) -> None:
-    if isinstance(event, ConfigurationLearnt) and router.configuration is not None:
+    if isinstance(event, ConfigurationReceived) and router.configuration is not None:
         limits = router.configuration.limits
         listener.set_limits(limits.header_timeout_s, limits.idle_timeout_s)
 
--- a/src/yokesill/serving/driver.py
+++ b/src/yokesill/serving/driver.py
@@ -17,7 +17,7 @@
 from yokesill.supervision import Supervisor
 from yokesill.timers import Timers
 
-CrashFinding = ev.LossObserved | ev.AnswerObserved | ev.RequestJudged
+CrashFinding = ev.LossObserved | ev.AnswerObserved | ev.QuarantineStatusDecided
 
 
 class Client(Protocol):
@@ -116,7 +116,7 @@
                 self.forgotten(instance)
             case ev.ServerObserved():
                 self.observed(action)
-            case ev.LossObserved() | ev.AnswerObserved() | ev.RequestJudged():
+            case ev.LossObserved() | ev.AnswerObserved() | ev.QuarantineStatusDecided():
                 self.crashed(action)
             case ev.PassOn(key) | ev.Gathered(key) | ev.Refuse(key):
                 self._finish(key, action)
--- a/src/yokesill/serving/peer_changes.py
+++ b/src/yokesill/serving/peer_changes.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 
 from yokesill.coordinators.remote_coordinators import RemoteCoordinators
-from yokesill.gateway.events import NodesMet
+from yokesill.gateway.events import NodesUpdated
 from yokesill.registry.feeds import NodeContact
 from yokesill.registry.following import RegistryFollowing
 from yokesill.serving.driver import GatewayDriver
@@ -46,5 +46,5 @@
         self._reachability.set_nodes(contacts)
         self._remote_coordinators.set_nodes(contacts)
         coordinators = self._remote_coordinators.gathering(contacts)
-        self._driver.feed(NodesMet(frozenset(each.node for each in contacts), coordinators))
+        self._driver.feed(NodesUpdated(frozenset(each.node for each in contacts), coordinators))
         self._findings.set_nodes(contacts)
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -100,7 +100,7 @@
                 self._exchange.report_loss(LossReport(fingerprint, loss))
             case ev.AnswerObserved(fingerprint, service, trial):
                 self._exchange.report_answer(AnswerReport(fingerprint, service, trial))
-            case ev.RequestJudged(fingerprint, status):
+            case ev.QuarantineStatusDecided(fingerprint, status):
                 self._exchange.announce(QuarantineFinding(fingerprint, status))
                 self._record_soon(fingerprint, status)
         self._wake()
--- a/src/yokesill/serving/reachability.py
+++ b/src/yokesill/serving/reachability.py
@@ -72,15 +72,15 @@
         """Check until cancelled."""
         while True:
             await anyio.sleep(self.detector.interval_s * (0.9 + 0.2 * self._random.random()))
-            before = self.detector.cut
+            before = self.detector.partitioned
             reached = await self._reaches_anything()
             now = anyio.current_time()
             if reached:
-                self.detector.reached(now)
+                self.detector.record_reachable(now)
             else:
-                self.detector.reached_nobody(now)
-            if self.detector.cut != before:
-                self._changed(self.detector.cut)
+                self.detector.record_unreachable(now)
+            if self.detector.partitioned != before:
+                self._changed(self.detector.partitioned)
 
     async def _reaches_anything(self) -> bool:
         """Whether a server elsewhere answered since the last check, or a place accepts a connection.
@@ -93,8 +93,8 @@
         records = self._router.servers.records()
         if not depends_on_others(self._zone, self._router.configuration, records):
             return True
-        places = self._some(self._nodes, NODES_TRIED if self.detector.doubtful else 1)
-        if self.detector.doubtful:
+        places = self._some(self._nodes, NODES_TRIED if self.detector.last_check_failed else 1)
+        if self.detector.last_check_failed:
             far = [each for each in records if each.zone != self._zone]
             places += [Address(each.host, each.port) for each in self._some(far, SERVERS_TRIED)]
         return await self._connects_to_any(places)
--- a/src/yokesill/serving/state_snapshot.py
+++ b/src/yokesill/serving/state_snapshot.py
@@ -5,7 +5,7 @@
 """
 
 from yokesill.gateway.events import (
-    ConfigurationLearnt,
+    ConfigurationReceived,
     EvacuationsReplaced,
     QuarantineReplaced,
     RolloutsReplaced,
@@ -41,7 +41,7 @@
     if feed == QUARANTINE:
         return QuarantineReplaced(router.quarantine.detector.recorded)
     configuration = router.configuration
-    return ConfigurationLearnt(configuration) if configuration is not None else None
+    return ConfigurationReceived(configuration) if configuration is not None else None
 
 
 def configuration_version(router: GatewayRouter) -> int:
--- a/tests/gateway/harness.py
+++ b/tests/gateway/harness.py
@@ -79,9 +79,9 @@
         self.finals: dict[str, ev.FinalAnswer] = {}
         self._timers: list[tuple[float, int, ev.TimerFired]] = []
         self._numbers = itertools.count(1)
-        self.feed(ev.NodesCounted(nodes))
+        self.feed(ev.NodeCountUpdated(nodes))
         if routes:
-            self.feed(ev.ConfigurationLearnt(configuration(1, *routes)))
+            self.feed(ev.ConfigurationReceived(configuration(1, *routes)))
         for record in servers or default_servers(routes):
             self.feed(ev.ServerListed(record))
 
@@ -119,7 +119,7 @@
         patience: float | None = 1.5,
         host: str = HOST,
         fresh: bool = True,
-        asked_before: bool = False,
+        possibly_sent: bool = False,
     ) -> str:
         key = f"k{next(self._numbers)}"
         request = GatewayRequest(
@@ -134,7 +134,7 @@
             self.now,
             patience,
             fresh,
-            asked_before,
+            possibly_sent,
         )
         self.feed(ev.RequestArrived(request))
         return key
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -25,8 +25,8 @@
     records = {"cold": COLD, "warm": WARM}
     harness = RouterHarness(servers=tuple(records[each] for each in servers), options=options)
     services = {"s1": ServiceLimits(100, bears_per_s)}
-    harness.feed(ev.ConfigurationLearnt(Configuration(1, (ROUTE,), services)))
-    harness.feed(ev.NodesMet(names))
+    harness.feed(ev.ConfigurationReceived(Configuration(1, (ROUTE,), services)))
+    harness.feed(ev.NodesUpdated(names))
     return harness
 
 
--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -8,8 +8,8 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Route
 from yokesill.gateway.forwarding import (
-    FIRST_HOP_S,
-    LEAST_SERVICES,
+    INITIAL_HOP_S,
+    MIN_WIDE_SERVICES,
     REFUSED_PAUSE_S,
     Coordinator,
     CoordinatorChoice,
@@ -18,12 +18,12 @@
 from yokesill.peers.capacity_rank import gathering_nodes, strong_nodes
 from yokesill.verdict import Verdict
 
-WIDE = gather_route(services=tuple(f"s{number}" for number in range(LEAST_SERVICES)))
+WIDE = gather_route(services=tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES)))
 NOW = 1000.0
 
 
-def coordinators(heard_at_s: float = NOW) -> dict[str, Coordinator]:
-    return {node: Coordinator(f"{node}:80", heard_at_s) for node in ("n1", "n2")}
+def coordinators(reported_at_s: float = NOW) -> dict[str, Coordinator]:
+    return {node: Coordinator(f"{node}:80", reported_at_s) for node in ("n1", "n2")}
 
 
 def test_a_node_hands_its_wide_requests_to_the_same_coordinator_and_nodes_spread_over_them() -> None:
@@ -65,12 +65,12 @@
 
 def test_the_hop_is_learnt_and_counted_rather_too_long_than_too_short() -> None:
     choice = CoordinatorChoice("w")
-    assert choice.hop_s == FIRST_HOP_S
+    assert choice.hop_s == INITIAL_HOP_S
     for _ in range(60):
-        choice.took(0.012)
+        choice.record_hop(0.012)
     assert 0.012 <= choice.hop_s < 0.013
     for number in range(60):
-        choice.took(0.002 if number % 2 else 0.010)
+        choice.record_hop(0.002 if number % 2 else 0.010)
     assert 0.008 < choice.hop_s < 0.014
 
 
@@ -91,7 +91,7 @@
     assert strong_nodes(named) == {f"n{number}" for number in strong}
 
 
-def asked_before(harness: RouterHarness) -> str:
+def possibly_sent(harness: RouterHarness) -> str:
     """A request that a lost coordinator may have sent to servers already."""
     request = GatewayRequest(
         "k",
@@ -104,7 +104,7 @@
         b"",
         harness.now,
         1.5,
-        asked_before=True,
+        possibly_sent=True,
     )
     harness.feed(ev.RequestArrived(request))
     return "k"
@@ -112,7 +112,7 @@
 
 def test_what_a_lost_coordinator_may_have_sent_is_paid_for_as_a_second_time() -> None:
     harness = RouterHarness(gather_route(attempts=2))
-    key = asked_before(harness)
+    key = possibly_sent(harness)
     for attempt in harness.of(key):
         harness.answer(attempt, reply())
     final = harness.finals[key]
@@ -122,7 +122,7 @@
 
 def test_after_a_lost_coordinator_no_shard_is_asked_more_often_than_its_route_allows() -> None:
     harness = RouterHarness(gather_route(attempts=2))
-    key = asked_before(harness)
+    key = possibly_sent(harness)
     for attempt in list(harness.of(key)):
         harness.fail(attempt)
     harness.advance(2.0)
@@ -130,7 +130,7 @@
 
     # The one that was lost may have hedged or repeated: all but the last attempt are taken as used.
     thrice = RouterHarness(gather_route(attempts=3))
-    key = asked_before(thrice)
+    key = possibly_sent(thrice)
     for _ in range(3):
         for attempt in list(thrice.of(key)):
             thrice.fail(attempt)
@@ -138,7 +138,7 @@
     assert len(thrice.of(key)) == 4
 
     once = RouterHarness(gather_route(attempts=1))
-    key = asked_before(once)
+    key = possibly_sent(once)
     assert once.of(key) == []
     assert isinstance(once.finals[key], ev.Refuse)
 
@@ -146,7 +146,7 @@
 def test_what_a_lost_coordinator_may_have_sent_is_never_said_not_to_have_run() -> None:
     route: Route = replace(gather_route(attempts=1), name="wide")
     harness = RouterHarness(route)
-    key = asked_before(harness)
+    key = possibly_sent(harness)
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -134,7 +134,7 @@
 def test_what_another_node_may_have_sent_is_not_called_not_run() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     harness.feed(ev.RequestQuarantined(fingerprint_of("/wide/deadly")))
-    key = harness.arrive("/wide/deadly", asked_before=True)
+    key = harness.arrive("/wide/deadly", possibly_sent=True)
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
@@ -183,7 +183,7 @@
         for attempt in harness.of(key)[2:]:
             told += harness.feed(ev.AttemptAnswered(attempt.number, reply()))
     assert isinstance(harness.finals[key], ev.Gathered)
-    assert not [each for each in told if isinstance(each, ev.LossObserved | ev.RequestJudged)]
+    assert not [each for each in told if isinstance(each, ev.LossObserved | ev.QuarantineStatusDecided)]
     key = harness.arrive("/wide/deadly")
     for _ in range(4):
         for attempt in harness.of(key):
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -103,7 +103,7 @@
 def test_a_route_with_regions_reaches_no_other(regions: tuple[str, ...], zones: set[str]) -> None:
     options = GatewayOptions("z1", regions={"z1": "r1", "z2": "r2"}, budget=TERMS)
     harness = RouterHarness(servers=(server("a", "s1", "z1"), server("b", "s1", "z2")), options=options)
-    harness.feed(ev.ConfigurationLearnt(configuration(1, replace(ONE_SHARD, regions=regions))))
+    harness.feed(ev.ConfigurationReceived(configuration(1, replace(ONE_SHARD, regions=regions))))
     for _ in range(3):
         key = harness.arrive()
         harness.advance(1.0)
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -76,7 +76,7 @@
     after = gather_route(services=("t1", "t2"))
     harness.feed(ev.ServerListed(server("b1", "t1")))
     harness.feed(ev.ServerListed(server("b2", "t2")))
-    harness.feed(ev.ConfigurationLearnt(configuration(2, after)))
+    harness.feed(ev.ConfigurationReceived(configuration(2, after)))
     for attempt in harness.of(key):
         harness.answer(attempt)
     final = harness.finals[key]
@@ -88,8 +88,8 @@
 
 def test_an_older_version_never_replaces_a_newer_one() -> None:
     harness = RouterHarness(gather_route())
-    harness.feed(ev.ConfigurationLearnt(configuration(5, gather_route(services=("t1",)))))
-    harness.feed(ev.ConfigurationLearnt(configuration(4, gather_route())))
+    harness.feed(ev.ConfigurationReceived(configuration(5, gather_route(services=("t1",)))))
+    harness.feed(ev.ConfigurationReceived(configuration(4, gather_route())))
     assert harness.router.configuration is not None
     assert harness.router.configuration.version == 5
 
--- a/tests/gateway/test_partition.py
+++ b/tests/gateway/test_partition.py
@@ -4,7 +4,7 @@
 from harness import configuration, gather_route, server, single_route
 
 from yokesill.gateway.documents import ServerRecord
-from yokesill.gateway.partition import LONGEST_S, SILENCE_S, PartitionDetector, depends_on_others
+from yokesill.gateway.partition import MAX_NOT_READY_S, UNREACHABLE_S, PartitionDetector, depends_on_others
 
 KNOWN = configuration(1, gather_route(), single_route())
 NAMES = ("s1", "s2", "s3", "s4", "desk")
@@ -15,9 +15,9 @@
     now = start
     while now < start + seconds:
         if reached:
-            judgement.reached(now)
+            judgement.record_reachable(now)
         else:
-            judgement.reached_nobody(now)
+            judgement.record_unreachable(now)
         now += judgement.interval_s
     return now
 
@@ -25,30 +25,30 @@
 def test_a_node_that_reaches_nobody_for_a_while_is_cut_off_and_back_at_the_first_answer() -> None:
     judgement = PartitionDetector()
     now = look(judgement, 5.0, 0.0, reached=True)
-    now = look(judgement, SILENCE_S - 0.1, now)
-    assert not judgement.cut
+    now = look(judgement, UNREACHABLE_S - 0.1, now)
+    assert not judgement.partitioned
     now = look(judgement, 0.6, now)
-    assert judgement.cut
-    judgement.reached(now)
-    assert not judgement.cut
+    assert judgement.partitioned
+    judgement.record_reachable(now)
+    assert not judgement.partitioned
 
 
 def test_a_single_answer_in_time_begins_the_silence_anew() -> None:
     judgement = PartitionDetector()
     now = 0.0
     for _ in range(20):
-        now = look(judgement, SILENCE_S - 0.1, now)
-        assert not judgement.cut
-        judgement.reached(now)
+        now = look(judgement, UNREACHABLE_S - 0.1, now)
+        assert not judgement.partitioned
+        judgement.record_reachable(now)
 
 
 def test_a_node_that_seems_cut_off_for_good_is_ready_half_of_the_time() -> None:
     judgement = PartitionDetector()
     cut = []
     now = 0.0
-    while now < 20 * LONGEST_S:
-        judgement.reached_nobody(now)
-        cut.append(judgement.cut)
+    while now < 20 * MAX_NOT_READY_S:
+        judgement.record_unreachable(now)
+        cut.append(judgement.partitioned)
         now += judgement.interval_s
     assert 0.35 < sum(cut) / len(cut) < 0.52
 
--- a/tests/gateway/test_placement.py
+++ b/tests/gateway/test_placement.py
@@ -6,13 +6,13 @@
 from harness import gather_route, server
 
 from yokesill.gateway.documents import ServerRecord
-from yokesill.gateway.forwarding import LEAST_SERVICES, ZONE_LOST_PAUSE_S, Coordinator, CoordinatorChoice
+from yokesill.gateway.forwarding import MIN_WIDE_SERVICES, ZONE_LOST_PAUSE_S, Coordinator, CoordinatorChoice
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.gateway.servers.server_zones import REFRESH_S, ServerZones
 
 NOW = 1000.0
-NAMES = tuple(f"s{number}" for number in range(LEAST_SERVICES))
+NAMES = tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES))
 WIDE = gather_route(services=NAMES)
 REGIONS = {"a": "r1", "b": "r1", "c": "r1", "d": "r1", "x": "r2"}
 
@@ -82,13 +82,13 @@
     first = choice.choose(WIDE, reached, NOW)
     assert first is not None
     choice.lost(first, NOW, reached[first].zone)
-    soon = {node: each._replace(heard_at_s=NOW + 0.1) for node, each in reached.items()}
+    soon = {node: each._replace(reported_at_s=NOW + 0.1) for node, each in reached.items()}
     then = choice.choose(WIDE, soon, NOW + 0.1)
     assert then is not None and reached[then].zone != reached[first].zone
     choice.lost(then, NOW, reached[then].zone)
     assert choice.choose(WIDE, soon, NOW + 0.1) is None
     later = NOW + ZONE_LOST_PAUSE_S
-    alive = {node: each._replace(heard_at_s=later) for node, each in reached.items()}
+    alive = {node: each._replace(reported_at_s=later) for node, each in reached.items()}
     assert choice.choose(WIDE, alive, later) == first
 
 
@@ -103,6 +103,6 @@
             choice.lost("far", now, "z9")
         now += 0.5
     assert 4 <= len(tries) <= 6
-    choice.took(0.01, "far")
+    choice.record_hop(0.01, "far")
     choice.lost("far", 300.0, "z9")
     assert choice.choose(WIDE, {"far": Coordinator("10.0.0.1:1", 300.5, "z9")}, 302.6) == "far"
--- a/tests/gateway/test_rollout_canaries.py
+++ b/tests/gateway/test_rollout_canaries.py
@@ -115,7 +115,7 @@
 def test_cold_servers_of_the_new_version_bear_no_more_than_their_part(state: RolloutState) -> None:
     harness = RolledOut(servers=(*servers_of("s1", "v1"), *cold_servers()))
     limits = {"s1": ServiceLimits(100, cold_requests_per_s=1.0)}
-    harness.feed(ev.ConfigurationLearnt(Configuration(2, (ONE_SHARD,), limits)))
+    harness.feed(ev.ConfigurationReceived(Configuration(2, (ONE_SHARD,), limits)))
     harness.hear(state)
     assert harness.ask() == {"v1"}
 
--- a/tests/gateway/test_rollout_versions.py
+++ b/tests/gateway/test_rollout_versions.py
@@ -53,7 +53,7 @@
 def waiting_for_room(ordered: bool) -> tuple[RolledOut, list[str]]:
     """A node at which requests wait for room at the old version's servers, which are slow."""
     harness = RolledOut(ordered=ordered)
-    harness.feed(ev.NodesCounted(50))
+    harness.feed(ev.NodeCountUpdated(50))
     slowed(harness, ("s1",))
     keys = [harness.arrive(patience=6.0) for _ in range(8)]
     waiting = [key for key in keys if not harness.of(key)]
@@ -113,7 +113,7 @@
     harness = RolledOut()
     harness.hear(CANARY)
     key = harness.arrive()
-    handed_over = replace(harness.of(key)[0].request, key="again", asked_before=True)
+    handed_over = replace(harness.of(key)[0].request, key="again", possibly_sent=True)
     harness.feed(ev.RequestArrived(handed_over))
     assert (harness.versions(key), harness.versions("again")) == (["v2"], ["v1"])
 
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -267,11 +267,11 @@
     harness = RouterHarness(gather_route())
     for version in range(2, 60):
         route = replace(gather_route(services=(f"s{version}",)), name=f"r{version}")
-        harness.feed(ev.ConfigurationLearnt(configuration(version, route)))
+        harness.feed(ev.ConfigurationReceived(configuration(version, route)))
         harness.feed(ev.ServerListed(server(f"i{version}", f"s{version}")))
         harness.arrive()
         harness.advance(0.1)
-    assert harness.router.kept_estimates() <= 8
+    assert harness.router.estimate_count() <= 8
 
 
 def test_a_caller_without_patience_does_not_get_sound_servers_ejected() -> None:
@@ -386,7 +386,7 @@
     for number in range(nodes):
         options = GatewayOptions(zone="z1", node=f"node-{number}", budget=TERMS)
         harness = RouterHarness(route, servers=records, options=options, nodes=nodes)
-        harness.feed(ev.ConfigurationLearnt(configuration(2, route, connections=connections)))
+        harness.feed(ev.ConfigurationReceived(configuration(2, route, connections=connections)))
         used = set()
         for _ in range(20):
             key = harness.arrive()
--- a/tests/gateway/test_splits.py
+++ b/tests/gateway/test_splits.py
@@ -54,7 +54,7 @@
         asked = []
         for harness in harnesses:
             route = single_route(split=split_of(weights))
-            harness.feed(ev.ConfigurationLearnt(configuration(version, route)))
+            harness.feed(ev.ConfigurationReceived(configuration(version, route)))
             asked += [harness.of(harness.arrive("/one/x"))[0].server.service for _ in range(3)]
         assert abs(asked.count("s0") / len(asked) - weights[0] / sum(weights)) <= MOST_OFF
 
--- a/tests/platform/test_following_the_store.py
+++ b/tests/platform/test_following_the_store.py
@@ -73,7 +73,7 @@
 
     def versions(self) -> list[int]:
         return [
-            each.configuration.version for each in self.events if isinstance(each, ev.ConfigurationLearnt)
+            each.configuration.version for each in self.events if isinstance(each, ev.ConfigurationReceived)
         ]
 
 
@@ -319,7 +319,7 @@
         before = len(followed.events)
         standin.mode = "up"
         await anyio.sleep(3.0)
-        told = [each for each in followed.events[before:] if not isinstance(each, ev.ConfigurationLearnt)]
+        told = [each for each in followed.events[before:] if not isinstance(each, ev.ConfigurationReceived)]
         assert isinstance(told[0], ev.ServersRestored)
         assert {record.instance for record in told[0].records} >= {"i-hidden", "i-told"}
 
--- a/tests/serving/fleet_of_nodes.py
+++ b/tests/serving/fleet_of_nodes.py
@@ -207,8 +207,8 @@
     def welcome(self, node: FleetNode) -> None:
         """Tell a node what it needs to serve."""
         node.link.set_nodes(each.contact for each in self.nodes)
-        node.learn(ev.NodesCounted(len(self.nodes)))
-        node.learn(ev.ConfigurationLearnt(configuration(1, *self.routes)))
+        node.learn(ev.NodeCountUpdated(len(self.nodes)))
+        node.learn(ev.ConfigurationReceived(configuration(1, *self.routes)))
         node.learn(ev.RolloutsReplaced(()))
         node.learn(ev.ServersReplaced(tuple(self.servers(OLD))))
 
--- a/tests/serving/test_application.py
+++ b/tests/serving/test_application.py
@@ -77,7 +77,7 @@
             self.learn(known)
 
     def learn(self, known: Configuration) -> None:
-        self.driver.feed(ev.ConfigurationLearnt(known))
+        self.driver.feed(ev.ConfigurationReceived(known))
         self.driver.feed(ev.ServerListed(server("i-1", "desk")))
         self.application.synchronised.set()
 
--- a/tests/serving/test_coordinator.py
+++ b/tests/serving/test_coordinator.py
@@ -24,14 +24,14 @@
     encode_forwarded,
 )
 from yokesill.gateway.events import LogEvent
-from yokesill.gateway.forwarding import LEAST_SERVICES, Coordinator, CoordinatorChoice
+from yokesill.gateway.forwarding import MIN_WIDE_SERVICES, Coordinator, CoordinatorChoice
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.telemetry.observer import CoordinatedEnding
 from yokesill.upstreams.wires import dial_streams
 from yokesill.verdict import Failure, Verdict
 
 ADDRESS = "10.0.0.7:80"
-ROUTE = gather_route(services=tuple(f"s{number}" for number in range(LEAST_SERVICES)))
+ROUTE = gather_route(services=tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES)))
 ANSWER = HttpAnswer(200, ((b"parts", b"a, b"), (b"missing", b"1")), b"records", "partial")
 GATHERED = GatheredAnswer(ANSWER, 0.25)
 ACKNOWLEDGE_S = 0.04
@@ -277,7 +277,7 @@
             known = configuration(7, ROUTE)
             hand = Forwarder(choice, client, lambda: reached, lambda: known, Notes())  # type: ignore[arg-type]
             result = await hand(replace(a_request(anyio.current_time()), caller_timeout_s=0.001))
-            assert isinstance(result, GatewayRequest) and not result.asked_before
+            assert isinstance(result, GatewayRequest) and not result.possibly_sent
             chosen.append(choice.choose(ROUTE, reached, anyio.current_time()))
             tasks.cancel_scope.cancel()
         return chosen
@@ -306,13 +306,13 @@
 
     result, opened = run_virtual(run)
     assert isinstance(result, GatewayRequest)
-    assert (result.asked_before, opened) == (False, 0)
+    assert (result.possibly_sent, opened) == (False, 0)
 
 
 def test_a_request_that_no_coordinator_took_is_run_here_as_if_new() -> None:
     result, notes = hand_over(refusing)
     assert isinstance(result, GatewayRequest)
-    assert not result.asked_before
+    assert not result.possibly_sent
     assert [note.name for note in notes.notes] == ["coordinator_missed"]
 
 
@@ -320,7 +320,7 @@
 def test_a_request_that_a_coordinator_may_have_run_is_marked(script: Script) -> None:
     result, _ = hand_over(script)
     assert isinstance(result, GatewayRequest)
-    assert result.asked_before
+    assert result.possibly_sent
 
 
 WANTING = HttpAnswer(503, (), b"no server", "no_replica")
@@ -381,7 +381,7 @@
 def test_what_a_coordinator_without_servers_may_have_run_is_gathered_here_as_asked_before() -> None:
     result, _, _ = hand_over_to_two(HttpAnswer(502, (), b"", "no_replica"))
     assert isinstance(result, GatewayRequest)
-    assert result.asked_before
+    assert result.possibly_sent
 
 
 @pytest.mark.parametrize(
@@ -403,7 +403,7 @@
 def test_a_coordinator_that_took_long_to_refuse_is_followed_by_no_other() -> None:
     result, _, _ = hand_over_to_two(WANTING, took_s=0.05)
     assert isinstance(result, GatewayRequest)
-    assert not result.asked_before
+    assert not result.possibly_sent
 
 
 # --- the coordinator's side ---
--- a/tests/serving/test_gathering_elsewhere.py
+++ b/tests/serving/test_gathering_elsewhere.py
@@ -10,8 +10,8 @@
 from test_process import DOWN, GOOD_HEAD, LOOPBACK, Backend, FixedFeed, free_ports
 
 from yokesill.gateway.documents import ServerRecord
-from yokesill.gateway.events import ConfigurationLearnt, ServersReplaced
-from yokesill.gateway.forwarding import LEAST_SERVICES
+from yokesill.gateway.events import ConfigurationReceived, ServersReplaced
+from yokesill.gateway.forwarding import MIN_WIDE_SERVICES
 from yokesill.logs import LogOutput
 from yokesill.registry.feeds import NodeContact, NodeDirectory, NodeEntry
 from yokesill.serving.header_names import HeaderNames
@@ -19,7 +19,7 @@
 from yokesill.serving.settings import Address, GatewaySettings
 from yokesill.verdict import Failure
 
-NAMES = tuple(f"s{number}" for number in range(LEAST_SERVICES))
+NAMES = tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES))
 REQUEST = f"GET /wide/x HTTP/1.1\r\n{GOOD_HEAD}\r\n".encode()
 
 
@@ -52,7 +52,7 @@
         stop_grace_s=1.6,
     )
     records = tuple(ServerRecord(f"i-{each}", each, LOOPBACK, servers_port, "a", 2) for each in NAMES)
-    known = FixedFeed("configuration", ConfigurationLearnt(configuration(1, gather_route(services=NAMES))))
+    known = FixedFeed("configuration", ConfigurationReceived(configuration(1, gather_route(services=NAMES))))
     around = Dependencies(
         known, FixedFeed("servers", ServersReplaced(records)), directory, HeaderNames(), "/ready"
     )
--- a/tests/serving/test_process.py
+++ b/tests/serving/test_process.py
@@ -13,7 +13,7 @@
 
 from yokesill.gateway.documents import RequestLimits, ServerRecord
 from yokesill.gateway.events import (
-    ConfigurationLearnt,
+    ConfigurationReceived,
     Event,
     QuarantineReplaced,
     RolloutsReplaced,
@@ -109,7 +109,7 @@
         )
         record = ServerRecord("i-1", "desk", LOOPBACK, backend_port, "z1", 2)
         routes = replace(configuration(1, single_route()), limits=RequestLimits(header_timeout_s=0.3))
-        self.configuration = FixedFeed("configuration", ConfigurationLearnt(routes))
+        self.configuration = FixedFeed("configuration", ConfigurationReceived(routes))
         if not known:
             self.configuration.events = None
         servers = FixedFeed("servers", ServersReplaced((record,)))
--- a/tests/serving/test_reachability.py
+++ b/tests/serving/test_reachability.py
@@ -56,7 +56,7 @@
     async def run() -> tuple[list[tuple[float, bool]], int]:
         router = GatewayRouter(GatewayOptions(zone=own_zone), random.Random(1), 0.0)
         started = anyio.current_time()
-        router.on_event(ev.ConfigurationLearnt(configuration(1, ROUTE)), started)
+        router.on_event(ev.ConfigurationReceived(configuration(1, ROUTE)), started)
         router.on_event(ev.ServersReplaced(SERVERS), started)
         if near is not None:
             router.on_event(
--- a/tests/serving/test_remote_coordinators.py
+++ b/tests/serving/test_remote_coordinators.py
@@ -20,14 +20,14 @@
     RETRY_PAUSE_S,
     RemoteCoordinators,
 )
-from yokesill.gateway.forwarding import LEAST_SERVICES, Coordinator, CoordinatorChoice
+from yokesill.gateway.forwarding import MIN_WIDE_SERVICES, Coordinator, CoordinatorChoice
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.registry.feeds import NodeContact
 from yokesill.upstreams.wires import dial_streams
 
-NAMES = tuple(f"s{number}" for number in range(LEAST_SERVICES))
+NAMES = tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES))
 ROUTE = replace(gather_route(services=NAMES), objective_s=0.3)
 REGIONS = {"a": "r1", "b": "r1", "d": "r1", "x": "r2"}
 OPTIONS = GatewayOptions(zone="d", node="d9", regions=REGIONS)
@@ -76,7 +76,7 @@
 def test_a_hop_that_takes_too_much_of_the_aim_is_only_measured_now_and_then() -> None:
     near = near_servers()
     for _ in range(60):
-        near.choice.took(0.2)
+        near.choice.record_hop(0.2)
     assert near.coordinators(ROUTE, 10.0) != {}
     assert near.coordinators(ROUTE, 10.1) == {}
     assert near.coordinators(ROUTE, 10.0 + HOP_MEASURE_INTERVAL_S) != {}
@@ -139,7 +139,7 @@
 
             def reports() -> dict[str, Coordinator]:
                 return {
-                    name: each._replace(heard_at_s=anyio.current_time()) for name, each in at_home.items()
+                    name: each._replace(reported_at_s=anyio.current_time()) for name, each in at_home.items()
                 }
 
             hand = Forwarder(
@@ -185,13 +185,13 @@
 def test_without_any_coordinator_the_request_is_run_here_as_if_new(fault: str) -> None:
     (ending,) = hand_over({"a": fault, "b": fault}, home=False)
     assert isinstance(ending.result, GatewayRequest)
-    assert not ending.result.asked_before
+    assert not ending.result.possibly_sent
 
 
 def test_a_coordinator_elsewhere_that_falls_silent_may_have_run_it() -> None:
     (ending,) = hand_over({"a": "mute", "b": "mute"})
     assert isinstance(ending.result, GatewayRequest)
-    assert ending.result.asked_before
+    assert ending.result.possibly_sent
 
 
 def test_one_lost_coordinator_costs_one_request_and_the_next_goes_to_another_zone() -> None:
--- a/tests/serving/test_rollout_fleet.py
+++ b/tests/serving/test_rollout_fleet.py
@@ -210,7 +210,7 @@
         router = GatewayRouter(GatewayOptions("z1", rollouts=ROLLOUT_TERMS), random.Random(1), 0.0)
         driver = GatewayDriver(router, NoClient(), lambda _note: None)
         assert RouterPort(driver).services() is None
-        driver.feed(ev.ConfigurationLearnt(configuration(1, single_route())))
+        driver.feed(ev.ConfigurationReceived(configuration(1, single_route())))
         assert set(RouterPort(driver).services() or ()) == {"desk"}
 
     run_virtual(main)
--- a/tests/serving/test_snapshots.py
+++ b/tests/serving/test_snapshots.py
@@ -34,7 +34,7 @@
 
 def test_a_snapshot_comes_back_as_it_was() -> None:
     learnt, established, orders, quarantined, replaced, evacuated = decode_snapshot(SNAPSHOT)
-    assert learnt == ev.ConfigurationLearnt(STATE)
+    assert learnt == ev.ConfigurationReceived(STATE)
     assert established == ev.VersionsEstablished(ESTABLISHED)
     assert orders == ev.RolloutsReplaced(ORDERS)
     assert quarantined == ev.QuarantineReplaced(QUARANTINED)
@@ -78,7 +78,7 @@
 
 def test_without_the_registry_the_state_comes_from_a_peer_once() -> None:
     assert [type(each) for each in learn_from(SNAPSHOT)] == [
-        ev.ConfigurationLearnt,
+        ev.ConfigurationReceived,
         ev.VersionsEstablished,
         ev.RolloutsReplaced,
         ev.QuarantineReplaced,
