--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -1,7 +1,8 @@
-"""What the requests of one node share: servers, attempts under way, budgets, what was learned of routes.
+"""State that all requests of one node share: servers, attempts in flight, budgets and learned latencies.
 
-Owns the node's state behind the router; the rules of ``requests`` and ``servers`` read and change it. Which
-servers a request may go to is decided in ``servers.eligibility``, what an extra attempt costs in ``limits``.
+Owns the node's state behind the router; the rules in ``requests`` and ``servers`` read and change it. Which
+servers a request may be sent to is decided in ``servers.eligibility``, what an extra attempt costs in
+``limits``.
 """
 
 import itertools
@@ -22,19 +23,19 @@
 from yokesill.gateway.servers.server_state import ServerState
 from yokesill.gateway.servers.server_table import ServerTable
 
-# The weight of the newest timer in the node's lateness: it follows a node that turns busy within some five
-# timers.
+# The weight of the newest timer in the smoothed lateness, which follows a node that becomes busy within about
+# five timers.
 LATENESS_WEIGHT = 0.2
-# More than this is a pause rather than a busy node, and counts as this much.
-LATENESS_CEILING_S = 0.05
+# A longer delay is a pause rather than a busy node, and counts as this much.
+MAX_LATENESS_S = 0.05
 
 
 @dataclass(slots=True)
 class LiveAttempt:
-    """An attempt under way; ``extra`` when the budget paid for it.
+    """An attempt in flight; ``extra`` if it was charged to the budget of extra attempts.
 
-    ``silence_reported`` once the other nodes know that its server is silent. ``probe`` when its request is
-    suspected of crashing servers and was sent to this one alone.
+    ``silence_reported`` is set once its server was reported to the other nodes as silent. ``probe`` is set if
+    its request is suspected of crashing servers and was sent to this server alone.
     """
 
     number: int
@@ -48,10 +49,10 @@
 
 @dataclass(slots=True)
 class GatewayContext:
-    """Servers, budgets and estimates of a node; ``live`` are all attempts under way, by number.
+    """Servers, budgets and estimates of a node; ``live`` are all attempts in flight, by number.
 
-    ``numbers`` names attempts. ``lateness_s`` is how late this node's own timers come, in seconds: a machine
-    that is slow or busy must begin to answer earlier.
+    ``numbers`` yields the numbers of attempts. ``lateness_s`` is the smoothed delay of this node's own
+    timers, in seconds: a machine that is slow or busy must start to answer earlier.
     """
 
     options: GatewayOptions
@@ -69,18 +70,18 @@
     rollouts: Rollouts = field(init=False)
     _budget_limits: BudgetLimits | None = None
     _budgets: dict[str, ExtraAttemptBudget] = field(default_factory=dict)
-    _typical: dict[str, TypicalLatency] = field(default_factory=dict)
+    _typical_latencies: dict[str, TypicalLatency] = field(default_factory=dict)
     _longest_timeout_s: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Start without configuration, servers and other nodes."""
+        """Start without configuration, servers or other nodes."""
         self.node_shares = NodeShares(self.options.node, self.options.assumed_nodes)
         self.rollouts = Rollouts(self.servers.versions)
         self.eligibility = Eligibility(self.options, self.servers, self.node_shares)
 
     @property
     def configuration_version(self) -> int:
-        """The configuration's version; 0 before there is one."""
+        """The configuration's version; 0 if there is no configuration."""
         return self.configuration.version if self.configuration is not None else 0
 
     def budget(self, service: str) -> ExtraAttemptBudget:
@@ -96,11 +97,11 @@
         return self.budget(service).left(self.node_shares.active_nodes(service), now)
 
     def take_extra_attempt(self, service: str, now: float) -> bool:
-        """Pay for one extra attempt; ``False`` when the budget does not allow it."""
+        """Charge one extra attempt to the budget; return ``False`` if the budget does not allow it."""
         return self.budget(service).take(self.node_shares.active_nodes(service), now)
 
     def set_budget(self, limits: BudgetLimits) -> None:
-        """Keep every service to other limits; windows of another length are counted anew."""
+        """Apply other limits to every service; a window of another length starts with empty counts."""
         for service, budget in list(self._budgets.items()):
             if budget.limits.window_s == limits.window_s:
                 budget.limits = limits
@@ -109,36 +110,38 @@
         self._budget_limits = limits
 
     def typical_latency(self, route: Route) -> TypicalLatency:
-        """Return what the route's attempts usually take."""
-        typical = self._typical.get(route.name)
-        if typical is None:
-            typical = self._typical[route.name] = TypicalLatency(route.objective_s)
-        return typical
+        """Return the typical latency of the route's attempts."""
+        latency = self._typical_latencies.get(route.name)
+        if latency is None:
+            latency = self._typical_latencies[route.name] = TypicalLatency(route.objective_s)
+        return latency
 
     def find_typical_latency(self, route: Route) -> TypicalLatency | None:
-        """Return what is known of the route, which may be gone; see ``typical``."""
-        return self._typical.get(route.name)
+        """Return the route's typical latency if one is kept; the route itself may have been removed."""
+        return self._typical_latencies.get(route.name)
 
     def earlier_wait_s(self, route: Route, caller_timeout_s: float) -> float:
-        """Return how long the caller has waited on an earlier try of its request, in seconds.
+        """Return how long the caller has waited for an earlier try of its request, in seconds.
 
-        Callers of one route have the same timeout; one that names less than the longest seen has spent the
-        difference on an earlier try.
+        Callers of one route have the same timeout. A caller that sends less than the longest one seen has
+        spent the difference on an earlier try.
         """
         longest_s = max(caller_timeout_s, self._longest_timeout_s.get(route.name, 0.0))
         self._longest_timeout_s[route.name] = longest_s
         return longest_s - caller_timeout_s
 
-    def forget_unused(self, before: Configuration | None) -> None:
-        """Drop what was learned of routes and services that neither this nor the last version names.
+    def forget_unused(self, previous: Configuration | None) -> None:
+        """Drop estimates of routes and services that neither the current nor the previous version contains.
 
-        Requests that began under the last version may still be under way.
+        Requests that started under the previous version may still be in progress.
         """
-        versions = [each for each in (before, self.configuration) if each is not None]
+        versions = [each for each in (previous, self.configuration) if each is not None]
         routes = {route.name for each in versions for route in each.routes}
-        named = {name for each in versions for route in each.routes for name in route.services}
-        services = named.union(*(each.services for each in versions))
-        self._typical = {name: kept for name, kept in self._typical.items() if name in routes}
+        service_names = {name for each in versions for route in each.routes for name in route.services}
+        services = service_names.union(*(each.services for each in versions))
+        self._typical_latencies = {
+            name: kept for name, kept in self._typical_latencies.items() if name in routes
+        }
         self._longest_timeout_s = {
             name: kept for name, kept in self._longest_timeout_s.items() if name in routes
         }
@@ -146,21 +149,21 @@
         self.servers.versions.keep(services)
 
     def estimate_count(self) -> int:
-        """How many routes and services something learned is kept."""
-        return len(self._typical) + len(self._longest_timeout_s) + len(self._budgets)
+        """Return the number of estimates and budgets that are kept for routes and services."""
+        return len(self._typical_latencies) + len(self._longest_timeout_s) + len(self._budgets)
 
     def observe_lateness(self, late_s: float) -> None:
-        """Count how late one timer came, in seconds."""
-        self.lateness_s += LATENESS_WEIGHT * (min(late_s, LATENESS_CEILING_S) - self.lateness_s)
+        """Record the delay with which one timer fired, in seconds."""
+        self.lateness_s += LATENESS_WEIGHT * (min(late_s, MAX_LATENESS_S) - self.lateness_s)
 
     def sent(self, server: ServerState, now: float) -> None:
-        """Count a request that is sent to a server, which may be cold or of a new version."""
+        """Count a request that is sent to a server, for cold-start limits and roll-outs."""
         if self.rollouts.effective:
-            self.rollouts.sent(server)
+            self.rollouts.record_sent(server)
         self.eligibility.count_sent(server, now)
 
     def release(self, number: int) -> LiveAttempt | None:
-        """Take an attempt off its server; ``None`` when it has ended before."""
+        """Remove an attempt from its server and return it; ``None`` if it has already ended."""
         attempt = self.live.pop(number, None)
         if attempt is not None:
             attempt.server.end(number)
--- a/src/yokesill/gateway/crash_events.py
+++ b/src/yokesill/gateway/crash_events.py
@@ -1,7 +1,7 @@
-"""Events and actions about requests under which servers ended; part of ``gateway.events``.
+"""Events and actions about requests during which servers were lost; part of ``gateway.events``.
 
-``fingerprint`` is that of the request (``requests.fingerprints``); ``trial`` says that no other server had
-the request at that time. What the nodes exchange of it is in ``quarantine``.
+``fingerprint`` identifies the request (``requests.fingerprints``); ``trial`` says that no other server had
+the request at that time. The messages that nodes exchange about such requests are in ``quarantine``.
 """
 
 from typing import NamedTuple
@@ -12,14 +12,14 @@
 
 
 class LossReported(NamedTuple):
-    """Another node reported that a server ended under a request."""
+    """Another node reported that a server was lost while it had a request."""
 
     fingerprint: str
     loss: Loss
 
 
 class AnswerReported(NamedTuple):
-    """Another node reported that a server answered a request under which servers had ended."""
+    """Another node reported that a server answered a request during which servers had been lost."""
 
     fingerprint: str
     service: str
@@ -27,7 +27,7 @@
 
 
 class QuarantineStatusReceived(NamedTuple):
-    """Another node found that a request is to be suspected or quarantined."""
+    """Another node decided that a request is suspected or quarantined."""
 
     fingerprint: str
     status: QuarantineStatus
@@ -40,7 +40,7 @@
 
 
 class QuarantineLifted(NamedTuple):
-    """The registry records a request no longer as quarantined."""
+    """The registry no longer records a request as quarantined."""
 
     fingerprint: str
 
@@ -55,14 +55,14 @@
 
 
 class LossObserved(NamedTuple):
-    """A server ended under a request: report it to the request's owners."""
+    """A server was lost while it had a request: report it to the request's owners."""
 
     fingerprint: str
     loss: Loss
 
 
 class AnswerObserved(NamedTuple):
-    """A server answered a request under which servers had ended: report it to the request's owners."""
+    """A server answered a request during which servers had been lost: report it to its owners."""
 
     fingerprint: str
     service: str
@@ -70,7 +70,7 @@
 
 
 class QuarantineStatusDecided(NamedTuple):
-    """This node found that a request is to be suspected or quarantined: report it to all nodes."""
+    """This node decided that a request is suspected or quarantined: report it to all nodes."""
 
     fingerprint: str
     status: QuarantineStatus
--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -1,7 +1,7 @@
-"""What a node knows of requests under which servers ended, and what it reports of them.
+"""Tracks requests during which servers were lost, and reports the findings.
 
-Owns the node's ``CrashDetector``; turns its findings into actions: a log event for each change of a request's
-status, and reports to a request's owners, the two nodes that detect for all.
+Owns the node's ``CrashDetector`` and turns its findings into actions: a log event for each change of a
+request's status, and reports to the request's owners, the two nodes that detect for all.
 """
 
 from yokesill.gateway import events as ev
@@ -13,9 +13,9 @@
 class CrashTracker:
     """One node's detector of requests that crash servers, and the actions that follow from its findings.
 
-    ``list_known`` once the registry or a peer has sent the list of quarantined requests.
-    ``newly_quarantined`` are those of which attempts may still be under way here. While nothing is known of
-    any request, no fingerprint is computed.
+    ``list_known`` is set once the registry or a peer has sent the list of quarantined requests.
+    ``newly_quarantined`` are those that may still have attempts in flight here. While the detector holds no
+    requests, no fingerprint is computed.
     """
 
     def __init__(self) -> None:
@@ -29,38 +29,39 @@
             self.detector.status(fingerprint(request), now) if len(self.detector) else QuarantineStatus.CLEAR
         )
 
-    # --- what this node saw ---
+    # --- observations of this node ---
 
-    def lost(self, name: str, loss: Loss, now: float, actions: list[ev.Action]) -> None:
-        """Count that a server ended under the request with the fingerprint ``name``.
+    def lost(self, request_fingerprint: str, loss: Loss, now: float, actions: list[ev.Action]) -> None:
+        """Record that a server was lost while it had the request with this fingerprint.
 
-        A suspicion stays here: the request may be answered yet. Its owners get its losses once it has failed,
-        so a loss of many servers at once makes no messages for every request there.
+        A suspicion is not reported, since the request may still be answered. Its owners get its losses once
+        it has failed, so that the loss of many servers at once does not cause messages for every request
+        there.
         """
-        status = self.detector.lost(name, loss, now)
+        status = self.detector.lost(request_fingerprint, loss, now)
         if status is not None:
-            self._changed(name, status, "found", actions)
+            self._changed(request_fingerprint, status, "found", actions)
         if status is QuarantineStatus.QUARANTINED:
-            actions.append(ev.QuarantineStatusDecided(name, status))
+            actions.append(ev.QuarantineStatusDecided(request_fingerprint, status))
 
-    def report_loss(self, name: str, loss: Loss, actions: list[ev.Action]) -> None:
-        """Report a loss of a failed request to its owners."""
-        self.detector.share(name)
-        actions.append(ev.LossObserved(name, loss))
+    def report_loss(self, request_fingerprint: str, loss: Loss, actions: list[ev.Action]) -> None:
+        """Report a loss during a failed request to the request's owners."""
+        self.detector.share(request_fingerprint)
+        actions.append(ev.LossObserved(request_fingerprint, loss))
 
-    def answered(self, name: str, service: str, probe: bool, actions: list[ev.Action]) -> None:
-        """Count that a server answered the request, which may clear it."""
-        shared = self.detector.shared(name)
-        if self.detector.answered(name, service, probe):
+    def answered(self, request_fingerprint: str, service: str, probe: bool, actions: list[ev.Action]) -> None:
+        """Record that a server answered the request, which may clear it."""
+        shared = self.detector.shared(request_fingerprint)
+        if self.detector.answered(request_fingerprint, service, probe):
             if shared:
-                actions.append(ev.AnswerObserved(name, service, probe))
+                actions.append(ev.AnswerObserved(request_fingerprint, service, probe))
             if probe:
-                self._changed(name, QuarantineStatus.CLEAR, "answered", actions)
+                self._changed(request_fingerprint, QuarantineStatus.CLEAR, "answered", actions)
 
-    # --- what other nodes and the registry report ---
+    # --- reports from other nodes and the registry ---
 
     def loss_reported(self, event: ev.LossReported, now: float, actions: list[ev.Action]) -> None:
-        """Count what another node saw; all nodes get what follows from it."""
+        """Record a loss that another node saw; report the resulting status to all nodes."""
         status = self.detector.lost(event.fingerprint, event.loss, now)
         self.detector.share(event.fingerprint)
         if status is not None:
@@ -70,12 +71,12 @@
     def status_received(
         self, event: ev.QuarantineStatusReceived, now: float, actions: list[ev.Action]
     ) -> None:
-        """Adopt what another node found."""
+        """Adopt the status that another node decided."""
         if self.detector.receive_status(event.fingerprint, event.status, now):
             self._changed(event.fingerprint, event.status, "told", actions)
 
     def record(self, fingerprints: frozenset[str], actions: list[ev.Action]) -> None:
-        """Adopt the registry's list of quarantined requests."""
+        """Adopt the registry's list of quarantined requests, and log what changed."""
         before, self.list_known = self.detector.recorded, True
         self.detector.record(fingerprints)
         for each in sorted(fingerprints - before):
@@ -88,8 +89,14 @@
         taken, self.newly_quarantined = frozenset(self.newly_quarantined), set()
         return taken
 
-    def _changed(self, name: str, status: QuarantineStatus, why: str, actions: list[ev.Action]) -> None:
+    def _changed(
+        self, request_fingerprint: str, status: QuarantineStatus, why: str, actions: list[ev.Action]
+    ) -> None:
         if status is QuarantineStatus.QUARANTINED:
-            self.newly_quarantined.add(name)
-        details: dict[str, object] = {"fingerprint": name, "standing": status.name.lower(), "why": why}
+            self.newly_quarantined.add(request_fingerprint)
+        details: dict[str, object] = {
+            "fingerprint": request_fingerprint,
+            "standing": status.name.lower(),
+            "why": why,
+        }
         actions.append(ev.LogEvent("request_judged", details))
--- a/src/yokesill/gateway/documents.py
+++ b/src/yokesill/gateway/documents.py
@@ -1,7 +1,7 @@
-"""What operators configure for the gateway, and servers as the registry lists them.
+"""Configuration of the gateway by operators, and server records as the registry lists them.
 
-Routes, services and limits are versioned as a whole: a request keeps to the version of its arrival. Immutable
-values; where they come from is the business of ``registry`` and of the platform's adapter.
+Routes, services and limits are versioned as a whole: a request keeps the version of its arrival. All values
+are immutable; ``registry`` and the platform's adapter produce them.
 """
 
 import bisect
@@ -12,8 +12,8 @@
 class Gather(NamedTuple):
     """A route to one server of each of ``services``; their records are merged.
 
-    The answer holds the greatest ``greatest`` records; it needs the share ``minimum_coverage``
-    (0 to 1) of the services at least.
+    The answer holds the ``greatest`` highest records. It needs at least the share ``minimum_coverage``
+    (0 to 1) of the services.
     """
 
     services: tuple[str, ...]
@@ -38,9 +38,9 @@
 class Route:
     """How one class of requests is answered.
 
-    Only servers in ``regions`` may get its requests; any may when there are none. ``repeatable``: its
-    requests are idempotent and may run more than once. ``timeout_s`` is the longest that a request is held
-    and ``objective_s`` its latency objective, both in seconds. ``max_attempts`` bounds the servers that one
+    Only servers in ``regions`` may get its requests; without regions, any server may. ``repeatable`` requests
+    are idempotent and may run more than once. ``timeout_s`` is the longest time that a request is held and
+    ``objective_s`` its latency objective, both in seconds. ``max_attempts`` limits the servers that one
     request may run on (for each service of a gather). ``priority`` 0 is the most urgent.
     """
 
@@ -64,7 +64,7 @@
 
 
 class RequestLimits(NamedTuple):
-    """What a caller may send: sizes in bytes, times in seconds."""
+    """Limits on what a caller may send: sizes in bytes, times in seconds."""
 
     header_bytes: int = 16_384
     body_bytes: int = 1_048_576
@@ -73,9 +73,10 @@
 
 
 class ServiceLimits(NamedTuple):
-    """How much each server of one service can take from all nodes together.
+    """How much load each server of one service accepts from all nodes together.
 
-    ``connections`` at a time, and while a server is cold ``cold_requests_per_s``; 0 is no bound.
+    ``connections`` limits the open connections, ``cold_requests_per_s`` the requests while a server is cold;
+    0 means no limit.
     """
 
     connections: int
@@ -83,9 +84,9 @@
 
 
 class HostRoutes(NamedTuple):
-    """One host's routes by prefix, and the ``lengths`` of these prefixes, rising.
+    """One host's routes by prefix, and the ``lengths`` of these prefixes in ascending order.
 
-    There are few lengths, however many routes: a path is looked up once for each.
+    There are few distinct lengths even with many routes, and a lookup takes one step per length.
     """
 
     lengths: list[int]
@@ -94,7 +95,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of everything that operators configure, compiled whole and swapped whole."""
+    """One version of the operators' whole configuration; it is only ever replaced as a whole."""
 
     version: int
     routes: tuple[Route, ...]
@@ -103,7 +104,7 @@
     _by_host: dict[str, HostRoutes] = field(init=False, repr=False, compare=False, default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Index the routes by host and prefix; of two with the same ones the first counts."""
+        """Index the routes by host and prefix; the first of two routes with the same host and prefix wins."""
         for route in self.routes:
             routes = self._by_host.get(route.host)
             if routes is None:
@@ -113,7 +114,7 @@
             routes.by_prefix.setdefault(route.prefix, route)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix of ``path``."""
+        """Return the host's route with the longest prefix that matches ``path``; ``None`` if none does."""
         routes = self._by_host.get(host)
         if routes is None:
             return None
@@ -129,8 +130,8 @@
 class ServerRecord:
     """One incarnation of a server, as the registry lists it.
 
-    ``warmup_left_s`` is how much longer it is slow after its start, in seconds. ``version`` is that of its
-    software; empty where it doesn't say.
+    ``warmup_left_s`` is how much longer it is slow after its start, in seconds. ``version`` is its software
+    version; empty if it does not state one.
     """
 
     instance: str
--- a/src/yokesill/gateway/events.py
+++ b/src/yokesill/gateway/events.py
@@ -1,7 +1,8 @@
-"""Typed events into the gateway's router and typed actions out of it.
+"""Typed events for the gateway's router and the typed actions that it returns.
 
-Values only. Whatever drives a router feeds events in the order in which they happen and carries the actions
-out in theirs (``serving.driver``). Moments are in seconds of the node's clock.
+Values only. The driver of a router feeds events in the order in which they happen and carries out the actions
+in the order in which they are returned (``serving.driver``). Points in time are in seconds of the node's
+clock.
 """
 
 import enum
@@ -27,7 +28,7 @@
 
 
 class TimerKind(enum.IntEnum):
-    """The decision points of a request; ``PACING`` is a service's, whose name is the timer's key."""
+    """The timers of a request; ``PACING`` belongs to a service, whose name is the timer's key."""
 
     HEDGE = 1
     OBJECTIVE = 2
@@ -39,16 +40,17 @@
 
 
 class RequestArrived(NamedTuple):
-    """A caller's request was read whole."""
+    """A caller's request was read completely."""
 
     request: GatewayRequest
 
 
 class AttemptAnswered(NamedTuple):
-    """A server's whole answer came in.
+    """A server's complete answer arrived.
 
-    ``connected_in_s`` is how long connecting took (s), if it did; ``sent_at_s`` when the request went
-    out to the server, in seconds of the node's clock, if that was later than the decision.
+    ``connected_in_s`` is how long opening a connection took, in seconds, if one was opened. ``sent_at_s`` is
+    when the request was sent to the server, in seconds of the node's clock, if that was later than the
+    decision.
     """
 
     number: int
@@ -65,21 +67,21 @@
 
 
 class ConnectionsChanged(NamedTuple):
-    """How many connections this node now holds open to a server, in use or idle."""
+    """The number of connections that this node holds open to a server changed, in use or idle."""
 
     instance: str
     open_connections: int
 
 
 class TimerFired(NamedTuple):
-    """A timer that the router set is due."""
+    """A timer that the router set has expired."""
 
     key: str
     kind: TimerKind
 
 
 class CallerLeft(NamedTuple):
-    """The caller went away before its answer."""
+    """The caller disconnected before its answer."""
 
     key: str
 
@@ -88,7 +90,7 @@
 
 
 class ConfigurationReceived(NamedTuple):
-    """A version of the configuration was read from any source; older ones are ignored."""
+    """A version of the configuration arrived from any source; versions that aren't newer are ignored."""
 
     configuration: Configuration
 
@@ -100,86 +102,86 @@
 
 
 class ServerRemoved(NamedTuple):
-    """A server's entry is gone: no new work for it."""
+    """A server's entry is gone: it gets no new requests."""
 
     instance: str
 
 
 class ServersReplaced(NamedTuple):
-    """All servers as of one moment."""
+    """All servers at one point in time."""
 
     records: tuple[ServerRecord, ...]
 
 
 class ServersRestored(NamedTuple):
-    """All servers of a registry that came back from an older copy: some entries may be older than known."""
+    """All servers of a registry restored from an older copy; entries may be older than what is known."""
 
     records: tuple[ServerRecord, ...]
 
 
 class ZoneEvacuated(NamedTuple):
-    """Operators evacuate a zone: nothing new goes to its servers."""
+    """Operators evacuate a zone: its servers get no new requests."""
 
     zone: str
 
 
 class ZoneReopened(NamedTuple):
-    """A zone's evacuation was taken back."""
+    """A zone's evacuation was revoked."""
 
     zone: str
 
 
 class EvacuationsReplaced(NamedTuple):
-    """All zones that are evacuated as of one moment."""
+    """All evacuated zones at one point in time."""
 
     zones: frozenset[str]
 
 
 class RolloutOrdered(NamedTuple):
-    """A roll-out's order is new, or its record has changed."""
+    """A roll-out order is new, or its record has changed."""
 
     order: RolloutOrder
 
 
 class RolloutWithdrawn(NamedTuple):
-    """A service's order is gone."""
+    """The roll-out order of a service was removed."""
 
     service: str
 
 
 class RolloutsReplaced(NamedTuple):
-    """All orders as of one moment."""
+    """All roll-out orders at one point in time."""
 
     orders: tuple[RolloutOrder, ...]
 
 
 class RolloutDecisionsReceived(NamedTuple):
-    """A decider sent its decisions on some orders."""
+    """A decider sent its decisions on some roll-out orders."""
 
     decisions: RolloutDecisions
 
 
 class VersionsEstablished(NamedTuple):
-    """Another node sent which versions of each service served before any order that still stands."""
+    """Another node sent the versions of each service that were in service before any current order."""
 
     versions: Mapping[str, tuple[str, ...]]
 
 
 class ServerSuspected(NamedTuple):
-    """The nodes together found that a server is slow or failing; avoid it for ``for_s`` seconds."""
+    """The nodes together detected that a server is slow or failing; avoid it for ``for_s`` seconds."""
 
     instance: str
     for_s: float
 
 
 class NodeCountUpdated(NamedTuple):
-    """How many nodes share the budgets and the servers' connections."""
+    """The number of nodes that share the budgets and the servers' connections."""
 
     nodes: int
 
 
 class NodesUpdated(NamedTuple):
-    """All live nodes, and those of them that are coordinators: they gather wide requests for their zone."""
+    """All live nodes, and the coordinators among them, which gather wide requests for their zone."""
 
     names: frozenset[str]
     coordinators: frozenset[str] = frozenset()
@@ -227,13 +229,13 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Cancel an attempt; whatever it still brings is ignored."""
+    """Cancel an attempt; its outcome is ignored."""
 
     number: int
 
 
 class SetTimer(NamedTuple):
-    """Feed ``TimerFired`` back at ``at_s`` (seconds); timers of ended requests are ignored."""
+    """Feed ``TimerFired`` back at ``at_s`` (seconds); timers of finished requests are ignored."""
 
     key: str
     kind: TimerKind
@@ -241,7 +243,7 @@
 
 
 class PassOn(NamedTuple):
-    """The final answer: one server's, unchanged."""
+    """The final answer: one server's answer, unchanged."""
 
     key: str
     reply: ServerReply
@@ -249,7 +251,7 @@
 
 
 class Gathered(NamedTuple):
-    """The final answer: the greatest records of the shard replies that came, greatest first."""
+    """The final answer: the highest records of the shard replies that arrived, in descending order."""
 
     key: str
     records: bytes
@@ -259,7 +261,7 @@
 
 
 class Refuse(NamedTuple):
-    """The final refusal, with its verdict and Retry-After."""
+    """The final answer: a refusal, with its verdict and Retry-After."""
 
     key: str
     failure: Failure
@@ -267,15 +269,15 @@
 
 
 class ForgetServer(NamedTuple):
-    """A server is long gone: drop what is kept for it."""
+    """A server was removed long ago: drop all state that is kept for it."""
 
     instance: str
 
 
 class ServerObserved(NamedTuple):
-    """A server was late, failed, or has been silent for long: report it to the other nodes.
+    """A server was late, failed, or has been silent for too long: report it to the other nodes.
 
-    ``good_answers`` came from it in the last second or so and were not reported yet.
+    ``good_answers`` is the number of its good answers in about the last second that were not reported yet.
     """
 
     instance: str
@@ -283,7 +285,7 @@
 
 
 class LogEvent(NamedTuple):
-    """A decision worth a line in the log: its name and its inputs."""
+    """A decision to log: its name and its inputs."""
 
     name: str
     details: dict[str, object]
--- a/src/yokesill/gateway/forwarding.py
+++ b/src/yokesill/gateway/forwarding.py
@@ -1,13 +1,13 @@
-"""When a wide request is forwarded to a coordinator, and to which.
+"""Decides when a wide request is forwarded to a coordinator, and to which one.
 
-Sending to a hundred servers costs a node's processor some ten milliseconds, and many times that where no
-connections are open, so a weak node that gets a wide request now and then is late before it has sent
+Sending to a hundred servers costs a node about ten milliseconds of processor time, and many times that where
+no connections are open. A weak node that gets a wide request only now and then is late before it has sent
 everything. It forwards the whole request to a coordinator of its zone: a node with at least twice the
-processor of most (``peers/capacity_rank``), which gets many and holds open connections.
+processor of most (``peers/capacity_rank``), which gets many such requests and keeps connections open.
 
-Inputs: the route, the coordinators that are known, what came of earlier requests; seconds of the node's
-clock. `ServerZones` chooses zones elsewhere for a node whose zone has no servers; ``coordinators/`` does
-the sending. Measured in ``docs/design/hand-over.md``.
+Inputs: the route, the known coordinators, the outcomes of earlier requests. Times are in seconds of the
+node's clock. `ServerZones` selects zones elsewhere for a node whose own zone has no servers;
+``coordinators/`` does the sending. Measurements: ``docs/design/hand-over.md``.
 """
 
 from collections.abc import Mapping
@@ -16,29 +16,29 @@
 from yokesill.gateway.documents import Gather, Route
 from yokesill.rendezvous import name_hash, weight
 
-# Routes with fewer services are gathered here. Sending to so many over open connections (0.1 ms each, as
-# much to read) takes half a core as long as the hop to a coordinator and back.
+# Routes with fewer services are gathered locally. On half a core, sending to this many over open connections
+# (0.1 ms each, and as much to read) takes as long as the hop to a coordinator and back.
 MIN_WIDE_SERVICES = 16
-# A coordinator that refused is busy or stopping: others get the requests for so long.
+# How long a coordinator is skipped after it refused a request, since it is busy or stopping.
 REFUSED_PAUSE_S = 0.5
-# After a coordinator of another zone is lost, its whole zone is passed over for so long: it may be
-# partitioned from here.
+# How long another zone is skipped after one of its coordinators was lost: there may be a partition between
+# that zone and this one.
 ZONE_LOST_PAUSE_S = 2.0
-# A lost coordinator of another zone is tried again after so long, twice as long each further time: each try
-# of a dead one costs a request 40 ms, and the directory lists the dead for minutes.
-FIRST_LOST_PAUSE_S, LONGEST_LOST_PAUSE_S = 2.0, 60.0
-# Keeps the doubling finite; the ceiling is reached before.
+# Exponential backoff before a lost coordinator of another zone is tried again: each try of a dead one costs a
+# request 40 ms, and the directory lists dead ones for minutes.
+INITIAL_LOST_PAUSE_S, MAX_LOST_PAUSE_S = 2.0, 60.0
+# Keeps the power of two finite; MAX_LOST_PAUSE_S is reached earlier.
 MAX_DOUBLINGS = 8
-# The hop to a coordinator and back until it was measured. Measured since: 2.2 ms in the middle, 4.3 ms at the
-# 0.9 quantile (``docs/design/shifted-work.md``).
+# The assumed time of the hop to a coordinator and back until a node has measured it. Measured in runs: median
+# 2.2 ms, 0.9 quantile 4.3 ms (``docs/design/shifted-work.md``).
 INITIAL_HOP_S = 0.005
-# The weight of the newest hop in its mean, and how many mean deviations are added to it: a coordinator that
-# counts the hop too short answers every request just too late.
+# The weight of the newest hop in the moving average, and how many mean deviations are added to it. If the hop
+# is estimated too short, the coordinator answers every request slightly too late.
 HOP_WEIGHT, HOP_DEVIATIONS = 0.15, 1.5
 
 
 class Coordinator(NamedTuple):
-    """A coordinator's address (``HOST:PORT``), when it last reported, and its zone if it is another one."""
+    """A coordinator's address (``HOST:PORT``), when it last reported, and its zone if it is not this one."""
 
     address: str
     reported_at_s: float
@@ -46,32 +46,32 @@
 
 
 class CoordinatorChoice:
-    """One node's choice among the coordinators of one kind: of its own zone, or of zones elsewhere.
+    """One node's choice among coordinators, either those of its own zone or those of other zones.
 
     Parameters
     ----------
     own
-        This node's name, by which the nodes of a zone spread over its coordinators.
-    first_hop_s
-        What the hop takes until it was measured.
+        This node's name. Its hash spreads the nodes of a zone over the coordinators.
+    initial_hop_s
+        The assumed time of the hop until it has been measured, in seconds.
     """
 
-    def __init__(self, own: str, first_hop_s: float = INITIAL_HOP_S) -> None:
+    def __init__(self, own: str, initial_hop_s: float = INITIAL_HOP_S) -> None:
         self._own = name_hash(own)
         self._zone_lost_at: dict[str, float] = {}
         self._avoided_until: dict[str, float] = {}
         self._lost_at: dict[str, float] = {}
         self._losses: dict[str, int] = {}
-        self._hop_s = first_hop_s
+        self._hop_s = initial_hop_s
         self._hop_deviation_s = 0.0
 
     @property
     def hop_s(self) -> float:
-        """What forwarding adds to gathering, there and back, in seconds; rather too long than too short."""
+        """The time that forwarding adds to gathering, both ways, in seconds; errs on the long side."""
         return self._hop_s + HOP_DEVIATIONS * self._hop_deviation_s
 
     def choose(self, route: Route, coordinators: Mapping[str, Coordinator], now: float) -> str | None:
-        """Return the coordinator to forward a route's request to; ``None`` to gather it here."""
+        """Return the coordinator to forward a route's request to; ``None`` to gather it locally."""
         if not coordinators or not is_wide(route):
             return None
         eligible = [node for node, each in coordinators.items() if self._eligible(node, each, now)]
@@ -85,22 +85,23 @@
         return coordinator.reported_at_s > lost_at and self._avoided_until.get(node, 0.0) <= now
 
     def refused(self, node: str, now: float) -> None:
-        """Pass a coordinator over for a while: it refused a request."""
+        """Skip a coordinator for ``REFUSED_PAUSE_S`` because it refused a request."""
         self._avoided_until[node] = now + REFUSED_PAUSE_S
 
     def lost(self, node: str, now: float, zone: str = "") -> None:
-        """Pass a coordinator over until it reports again: it did not answer, or broke off.
+        """Skip a coordinator until it reports again because it did not answer, or broke off its answer.
 
-        One in another ``zone`` sends no reports here: it is tried again, after a longer pause each time.
+        A coordinator in another ``zone`` sends no reports here, so it is tried again after a pause that
+        doubles each time.
         """
         self._lost_at[node] = self._zone_lost_at[zone] = now
         if zone:
             losses = self._losses[node] = self._losses.get(node, 0) + 1
-            pause_s = FIRST_LOST_PAUSE_S * 2.0 ** min(losses - 1, MAX_DOUBLINGS)
-            self._avoided_until[node] = now + min(pause_s, LONGEST_LOST_PAUSE_S)
+            pause_s = INITIAL_LOST_PAUSE_S * 2.0 ** min(losses - 1, MAX_DOUBLINGS)
+            self._avoided_until[node] = now + min(pause_s, MAX_LOST_PAUSE_S)
 
     def record_hop(self, hop_s: float, node: str = "") -> None:
-        """Count what forwarding added to gathering in one answer, in seconds."""
+        """Record the time that forwarding added to gathering in one answer, in seconds."""
         self._losses.pop(node, None)
         error = max(0.0, hop_s) - self._hop_s
         self._hop_s += HOP_WEIGHT * error
--- a/src/yokesill/gateway/log_events.py
+++ b/src/yokesill/gateway/log_events.py
@@ -1,6 +1,6 @@
-"""The router's decisions as log events; ``docs/OPERATIONS.md`` says what each means.
+"""Builds the log events of the router's decisions; ``docs/OPERATIONS.md`` describes each.
 
-Names and fields are relied on by operators' tools and metrics: they don't change.
+Names and fields are a stable interface for operators' tools and metrics.
 """
 
 from yokesill.gateway.context import LiveAttempt
@@ -12,7 +12,7 @@
 
 
 def attempt_failed(attempt: LiveAttempt, request: GatewayRequest, failure: Failure, now: float) -> LogEvent:
-    """Return the event of an attempt without a usable answer; a lost one names its request's fingerprint."""
+    """Return the event of a failed attempt; for a lost connection it contains the request's fingerprint."""
     details: dict[str, object] = {
         "request": attempt.request_id,
         "instance": attempt.server.record.instance,
@@ -27,7 +27,7 @@
 
 
 def server_state(attempt: LiveAttempt, state: str, why: object, now: float) -> LogEvent:
-    """Return the event of a server's new state, with the attempt that showed it."""
+    """Return the event of a server's new state, with the attempt that caused it."""
     details: dict[str, object] = {
         "instance": attempt.server.record.instance,
         "service": attempt.server.record.service,
@@ -39,18 +39,18 @@
 
 
 def server_suspected(instance: str, for_s: float) -> LogEvent:
-    """Return the event of a server that the nodes together found slow or failing."""
+    """Return the event of a server that the nodes together detected as slow or failing."""
     details: dict[str, object] = {"instance": instance, "state": "suspected", "why": "peers", "for_s": for_s}
     return LogEvent("server_state", details)
 
 
 def server_entry(instance: str, change: str) -> LogEvent:
-    """Return the event of a changed entry in the registry."""
+    """Return the event of a server whose entry has changed."""
     return LogEvent("server_entry", {"instance": instance, "change": change})
 
 
 def rollout(change: OrderChange) -> LogEvent:
-    """Return the event of an order whose record, or effective state at this node, has changed."""
+    """Return the event of a roll-out order whose record, or effective state at this node, has changed."""
     details: dict[str, object] = {
         "service": change.order.service,
         "target": change.order.target,
--- a/src/yokesill/gateway/messages.py
+++ b/src/yokesill/gateway/messages.py
@@ -1,6 +1,6 @@
-"""What passes between the gateway's decisions and its I/O: requests, attempts, replies.
+"""Values exchanged between the gateway's decisions and its I/O: requests, attempts, replies.
 
-Values only, without behaviour. Times are in seconds of the node's clock where they are moments.
+Values only, without behaviour. Points in time are in seconds of the node's clock.
 """
 
 from dataclasses import dataclass, field
@@ -14,13 +14,13 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewayRequest:
-    """A caller's request, read whole.
+    """A caller's request, read completely.
 
-    ``key`` names it within this node; ``request_id`` is the caller's own name for it.
-    ``arrived_at_s`` is in seconds of the node's clock; ``caller_timeout_s`` is how long the caller will wait
-    from then on, in seconds (``None``: it did not say). ``fresh_connection``: it connected for this
-    request, which took time before it arrived. ``possibly_sent``: another node may have sent it to servers
-    already, and whatever is sent now may be a second time.
+    ``key`` identifies it within this node; ``request_id`` is the caller's own identifier.
+    ``arrived_at_s`` is in seconds of the node's clock; ``caller_timeout_s`` is how long the caller waits from
+    then on, in seconds (``None`` if it did not say). ``fresh_connection`` is set if the caller connected for
+    this request, which took time before it arrived. ``possibly_sent`` is set if another node may have sent it
+    to servers already, so that sending it now may repeat it.
     """
 
     key: str
@@ -38,9 +38,9 @@
 
 
 class Load(NamedTuple):
-    """What a server reported of itself: requests running and waiting, and its slots.
+    """A server's own load report: requests running and waiting, and its slots.
 
-    ``work_percent`` is how long work takes there at this moment; 100 is as usual.
+    ``work_percent`` is how long work takes there now, in percent of the usual time.
     """
 
     running: int
@@ -50,7 +50,7 @@
 
 
 class ServerReply(NamedTuple):
-    """A server's whole answer, its headers as they came.
+    """A server's complete answer, with its headers as received.
 
     ``signature`` is the server's proof that it ran the request.
     """
@@ -63,17 +63,17 @@
 
     @property
     def succeeded(self) -> bool:
-        """Whether it is a signed success."""
+        """Whether the answer is a signed success."""
         return 200 <= self.status < 300 and self.signature is not None
 
     @property
     def is_server_error(self) -> bool:
-        """Whether the server failed; with lower statuses it did what the request asked for."""
+        """Whether the server failed; with lower statuses it handled the request."""
         return self.status >= 500
 
 
 class Attempt(NamedTuple):
-    """One sending of a request to one server; ``deadline_at_s`` in seconds of the node's clock.
+    """One attempt of a request at one server; ``deadline_at_s`` is in seconds of the node's clock.
 
     ``repeatable`` requests may run more than once.
     """
@@ -87,11 +87,11 @@
 
 
 class RequestSummary(NamedTuple):
-    """How a request went, for logs and metrics; times in seconds.
+    """The outcome of a request, for logs and metrics; times in seconds.
 
-    ``covered`` of its ``asked`` services replied. ``waited_s`` is the longest that one of its calls waited
-    for pacing slots; ``left_out`` are services that were sent nothing since the answer could do without
-    them. ``late``: its answer came after its latency objective.
+    ``covered`` of its ``asked`` services replied. ``waited_s`` is the longest time that one of its calls
+    waited for pacing slots. ``left_out`` are the services that no attempt was sent to because the answer did
+    not need them. ``late`` is set if its answer came after its latency objective.
     """
 
     route: str
--- a/src/yokesill/gateway/options.py
+++ b/src/yokesill/gateway/options.py
@@ -1,8 +1,8 @@
-"""What a router is tuned by (`GatewayOptions`), and what of it can be switched off (`Switches`).
+"""Options of a router (`GatewayOptions`), and the mechanisms that can be switched off (`Switches`).
 
 Values only, set once when a node starts. What operators may set comes from the settings
-(``serving/settings``); the other figures stand here with their grounds, as constants of one rule stand in
-that rule's module.
+(``serving/settings``); the other values are documented here. Constants of a single rule are in that rule's
+module.
 """
 
 from collections.abc import Collection
@@ -12,34 +12,35 @@
 from yokesill.gateway.servers.cold_starts import ColdStartLimits
 from yokesill.rollouts.orders import RolloutLimits
 
-# Stands in where the settings name no budget: a tenth of the requests and 10 in each 10 s.
+# Used if the settings specify no budget: a tenth of the requests and 10 in each 10 s.
 DEFAULT_BUDGET = BudgetLimits(ratio=0.1, allowance=10.0, window_s=10.0)
 
 
 @dataclass(frozen=True, slots=True)
 class Switches:
-    """Mechanisms that ``YOKESILL_SWITCHED_OFF`` names to switch them off, for experiments.
+    """Mechanisms that ``YOKESILL_SWITCHED_OFF`` can switch off, for experiments.
 
     Parameters
     ----------
     leaves_out
-        Shards that an answer can do without are skipped where their servers are slow (``requests/deferral``).
+        Shards that an answer does not need are skipped if their servers are slow (``requests/deferral``).
     paces
-        Slow servers get attempts at their own pace (``servers/selection``, ``requests/pacing``).
+        Slow servers are sent attempts only at their own pace (``servers/selection``, ``requests/pacing``).
     heeds_refusals
-        A refused connection bounds the next ones and is no failure (``servers/connection_backoff``).
+        A refused connection limits further ones and is not a failure (``servers/connection_backoff``).
     hedges
         Late attempts are hedged (``requests/hedging``).
     heeds_suspicions
-        Servers that the nodes together found slow or failing are avoided (``state_updates``).
+        Servers that the nodes together detected as slow or failing are avoided (``state_updates``).
     postpones_hedges
-        A wave of hedges waits once, since this node is the likelier cause (``requests/hedging``).
+        Many simultaneous hedges are delayed once, since this node is the likelier cause
+        (``requests/hedging``).
     few_watchers
         A few nodes of a zone follow the registry and inform the others (``registry/following``).
     hands_over
         Wide requests are forwarded to the zone's coordinators (``coordinators/forwarding``).
     gathers_near_servers
-        Nodes of a zone without servers forward them to a zone that has some (``coordinators``).
+        Nodes of a zone without servers forward wide requests to a zone that has some (``coordinators``).
     """
 
     leaves_out: bool = True
@@ -62,29 +63,30 @@
     zone, node, regions
         This node's zone and name, and the region of each zone.
     budget, cold_starts, rollouts
-        Limits that the settings name. Without ``rollouts`` servers' versions don't count.
+        Limits from the settings. Without ``rollouts``, servers' versions are ignored.
     fresh_margin_s, reused_margin_s
-        What of a caller's latency this node can't see, on a new and on an open connection: connecting, the
-        request's way here and the answer's way back. Taken off the objective. 8.5 ms on an open connection
-        was too short in a run: more answers were late.
+        The part of a caller's latency that this node can't observe, on a new and on a reused connection:
+        connecting, and the network time of the request and the answer. Subtracted from the objective. With
+        8.5 ms on a reused connection, more answers were late in a run.
     gather_hedge_factor, single_hedge_factor
-        After this multiple of the typical latency an attempt of a wide or of another request is late.
-        Above the spread of sound servers, and single requests hedge less.
+        An attempt of a wide or of a single request is late after this multiple of the typical latency.
+        Larger than the spread of healthy servers; single requests are hedged less.
     minimum_hedge_delay_s
-        No attempt is late earlier: below, the node's own timers are what is late.
+        The shortest time after which an attempt is late. Below it, the lateness is that of the node's own
+        timers.
     assumed_nodes
-        Shares capacity with so many nodes until they were counted.
+        The number of nodes among which capacity is shared until they have been counted.
     removed_grace_s
-        How long a server whose entry vanished may be a last resort: entries also vanish when the registry was
-        away. Set from the platform's contract (``serving/settings``).
+        How long a server whose entry vanished remains a last resort, since entries also vanish when the
+        registry was unavailable. Set from the platform's contract (``serving/settings``).
     connection_share
-        The share of the connections that a server can hold which all nodes together use. The rest covers
-        nodes that count others differently for a while.
+        The share of a server's possible connections that all nodes together use. The rest covers nodes whose
+        counts of the other nodes differ for a while.
     zone_round_trip_s, region_round_trip_s
-        How much longer a round trip to another zone or region takes, until a connection has shown it.
-        Only their order matters, and only for the first attempts.
+        The assumed additional round trip to another zone or region until a connection has measured it. Only
+        the order of the two matters, and only for the first attempts.
     switches
-        What is switched off.
+        The mechanisms that are switched off.
     """
 
     zone: str
@@ -111,7 +113,7 @@
         Raises
         ------
         ValueError
-            A name is no switch; the message says which there are.
+            A name is not a switch; the message lists the valid names.
         """
         known = [each.name for each in fields(Switches)]
         unknown = sorted(set(names) - set(known))
@@ -120,7 +122,7 @@
         return replace(self, switches=replace(self.switches, **dict.fromkeys(names, False)))
 
     def assumed_round_trip(self, zone: str) -> float:
-        """Return the extra round trip to a zone until connecting has shown it, in seconds."""
+        """Return the additional round trip to assume for a zone until it has been measured, in seconds."""
         if zone == self.zone:
             return 0.0
         if self.regions.get(zone) == self.regions.get(self.zone):
--- a/src/yokesill/gateway/rollouts.py
+++ b/src/yokesill/gateway/rollouts.py
@@ -1,7 +1,8 @@
-"""A node's part in roll-outs: which calls are canaries, and the evidence that it reports to the deciders.
+"""A node's part in roll-outs: it selects canary calls and collects the evidence that deciders need.
 
-Relies on ``rollouts/``: `NodeOrders` holds the orders and their effective states, `Canary` draws the share.
-Owns what this node sent and saw under each open order. Times in seconds of the node's clock.
+Relies on ``rollouts/``: `NodeOrders` holds the orders and their effective states, `Canary` selects the share
+of requests. Owns what this node sent and observed under each open order. Times are in seconds of the node's
+clock.
 """
 
 from collections.abc import Callable, Collection, Iterable, Mapping
@@ -18,7 +19,7 @@
 
 
 class Rollouts:
-    """All roll-outs as one node sees them."""
+    """All roll-outs from the view of one node."""
 
     def __init__(self, versions: ServiceVersions) -> None:
         self.orders = NodeOrders(versions, Canary())
@@ -31,20 +32,20 @@
         return self.orders.effective
 
     def set_configuration(self, configuration: Configuration) -> None:
-        """Find out which services are reached by requests that may be repeated."""
+        """Determine which services are reached by repeatable requests."""
         routes = (each for each in configuration.routes if each.repeatable)
         self._repeatable = frozenset(name for each in routes for name in each.services)
 
     # --- canaries ---
 
     def canaries(
-        self, request: GatewayRequest, route: Route, services: Collection[str], most: int, now: float
+        self, request: GatewayRequest, route: Route, services: Collection[str], limit: int, now: float
     ) -> list[str]:
-        """Return the services, at most ``most``, whose new version a request is sent to.
+        """Return the services, at most ``limit``, at which a request goes to the new version.
 
-        No request that another node may have sent before is a canary. One that may not be repeated is
-        only where no other request could be, since its failure can't be hidden from its caller. Of the calls
-        of a wide request those come first that the least share would choose.
+        A request that another node may have sent before is never a canary. A request that may not be repeated
+        is a canary only at services without repeatable requests, since its failure can't be hidden from its
+        caller. Of the calls of a wide request, those that the smallest share would select take precedence.
         """
         if request.possibly_sent:
             return []
@@ -58,22 +59,22 @@
                 request_id, order.id, now
             ):
                 ranked.append((canary.rank(request_id, order.id), service))
-        return [service for _, service in sorted(ranked)[:most]]
+        return [service for _, service in sorted(ranked)[:limit]]
 
     def is_new(self, server: ServerState) -> bool:
-        """Whether a server is of the version that an open order moves to."""
+        """Whether a server has the target version of an open order."""
         order = self.orders.open.get(server.record.service) if self.effective else None
         return order is not None and server.record.version == order.target
 
     # --- evidence ---
 
-    def sent(self, server: ServerState) -> None:
+    def record_sent(self, server: ServerState) -> None:
         """Count a request that is sent to a server."""
         order = self.orders.open.get(server.record.service)
         if order is not None:
-            self._of(order.id).sent(server.record.version == order.target)
+            self._samples_of(order.id).sent(server.record.version == order.target)
 
-    def ended(
+    def record_outcome(
         self,
         server: ServerState,
         route: Route,
@@ -82,9 +83,9 @@
         node_late_s: float,
         now: float,
     ) -> None:
-        """Count how an attempt ended that says something of its server.
+        """Record the outcome of an attempt that is evidence about its server.
 
-        ``sent_at`` is when it was sent and ``node_late_s`` how late this node itself is, in seconds.
+        ``sent_at`` is when it was sent and ``node_late_s`` how late this node's own timers are, in seconds.
         """
         order = self.orders.open.get(server.record.service)
         if order is None:
@@ -94,24 +95,24 @@
             latency_s = max(0.0, now - sent_at - server.round_trip - node_late_s)
         new = server.record.version == order.target
         sample = Sample(route.name, server.record.instance, new, succeeded, latency_s)
-        self._of(order.id).add(sample)
+        self._samples_of(order.id).add(sample)
 
     def report(self, servers_of: Callable[[str], Iterable[ServerState]]) -> tuple[OrderReport, ...]:
-        """Return what was sent and seen under each open order; each sample is reported once."""
+        """Return a report for each open order; each sample is reported only once."""
         orders = list(self.orders.open.values())
-        kept = {each.id for each in orders}
-        self._samples = {order: each for order, each in self._samples.items() if order in kept}
+        open_ids = {each.id for each in orders}
+        self._samples = {order: each for order, each in self._samples.items() if order in open_ids}
         reports = []
         for order in orders:
-            seen, state = self._of(order.id), self.effective[order.service]
-            others = (each for each in servers_of(order.service) if each.record.version != order.target)
-            in_flight = sum(each.in_flight for each in others)
-            counts = (seen.sent_old, seen.sent_new, in_flight)
-            reports.append(OrderReport(order.id, state, *counts, seen.take_samples()))
+            samples, state = self._samples_of(order.id), self.effective[order.service]
+            old_servers = (each for each in servers_of(order.service) if each.record.version != order.target)
+            in_flight = sum(each.in_flight for each in old_servers)
+            counts = (samples.sent_old, samples.sent_new, in_flight)
+            reports.append(OrderReport(order.id, state, *counts, samples.take_samples()))
         return tuple(reports)
 
-    def _of(self, order: OrderId) -> OrderSamples:
-        seen = self._samples.get(order)
-        if seen is None:
-            seen = self._samples[order] = OrderSamples()
-        return seen
+    def _samples_of(self, order: OrderId) -> OrderSamples:
+        samples = self._samples.get(order)
+        if samples is None:
+            samples = self._samples[order] = OrderSamples()
+        return samples
--- a/src/yokesill/gateway/router.py
+++ b/src/yokesill/gateway/router.py
@@ -1,15 +1,15 @@
-"""The gateway's one interface: typed events in, typed actions out.
+"""The entry point of the gateway's decisions: takes typed events and returns typed actions.
 
-Owns a node's requests under way and which attempt belongs to which; hands each event to whom it concerns:
+Owns the node's requests in progress and which attempt belongs to which request. Dispatches each event:
 
-- a request's arrival, timers, attempts and its caller's leaving to its ``RequestMachine``;
-- an attempt's end first to ``AttemptOutcomes``: the request then decides on the server's newest state;
-- a free slot at a slow server to the request whose turn it is (``PacingQueue``);
-- everything else, what the registry and the other nodes report, to ``StateUpdates``.
+- a request's arrival and timers, the ends of its attempts and its caller's disconnect to its
+  ``RequestMachine``;
+- the end of an attempt first to ``AttemptOutcomes``, so that the request decides on the server's new state;
+- a free slot at a slow server to the next request in the ``PacingQueue``;
+- everything else, which is updates from the registry and from other nodes, to ``StateUpdates``.
 
-After each event, requests that were quarantined by it are given up, and servers that have been silent for
-long are reported. The router does no I/O, reads no clock and draws randomness only from the source it was
-given.
+After each event, requests that it quarantined are given up, and servers that have been silent for too long
+are reported. The router does no I/O, reads no clock and draws randomness only from the source it is given.
 """
 
 import random
@@ -46,21 +46,21 @@
         self.servers = ServerTable(options)
         self._context = GatewayContext(options, random_source, self.servers, now)
         self._requests: dict[str, RequestMachine] = {}
-        self._owners: dict[int, RequestMachine] = {}
+        self._machine_of_attempt: dict[int, RequestMachine] = {}
         self._cursors = SplitCursors(random_source)
         self._updates = StateUpdates(self._context, self._cursors)
         self._evidence = ServerEvidence(self._context, now)
         self._outcomes = AttemptOutcomes(self._context, self._evidence)
 
     def on_event(self, event: ev.Event, now: float) -> list[ev.Action]:
-        """Handle one event; return what is to be done, in order."""
+        """Handle one event; return the actions to carry out, in order."""
         step = Step(now)
         _handle(event, self, step)
         self._give_up_quarantined(step)
         self._evidence.report_silent_servers(self._route_of, now, step.actions)
         return step.actions
 
-    # --- what others read ---
+    # --- read access for other components ---
 
     @property
     def configuration(self) -> Configuration | None:
@@ -69,17 +69,17 @@
 
     @property
     def in_flight(self) -> int:
-        """How many requests have no final answer yet."""
+        """The number of requests without a final answer."""
         return len(self._requests)
 
     @property
     def nodes(self) -> int:
-        """How many nodes are taken to share the budgets."""
+        """The number of nodes that are assumed to share the budgets."""
         return self._context.node_shares.nodes
 
     @property
     def lateness_s(self) -> float:
-        """How late this node's own timers come lately, in seconds."""
+        """The smoothed delay with which this node's own timers fire, in seconds."""
         return self._context.lateness_s
 
     @property
@@ -89,33 +89,33 @@
 
     @property
     def quarantine(self) -> CrashTracker:
-        """What is known of requests under which servers ended."""
+        """What is known of requests during which servers were lost."""
         return self._context.crashes
 
     def open_orders(self) -> tuple[RolloutOrder, ...]:
-        """Return the orders whose record is not final, as far as the registry itself sent them."""
+        """Return the orders received from the registry whose record is not final."""
         return tuple(each for each in self.rollouts.open.values() if each.revision)
 
     def version_counts(self, service: str) -> Mapping[str, int]:
-        """Return how many servers of each version a service has that are listed and don't leave."""
+        """Return the number of a service's servers of each version that are listed and not leaving."""
         return self.servers.version_counts(service)
 
     def rollout_report(self, now: float) -> tuple[OrderReport, ...]:
-        """Return each open order's effective state and what was sent and seen; samples are reported once."""
+        """Return each open order's effective state, request totals, and the samples not reported yet."""
         return self._context.rollouts.report(self.servers.of_service)
 
     def estimate_count(self) -> int:
-        """How many routes and services something learned is kept."""
+        """Return the number of estimates and budgets that are kept for routes and services."""
         return self._context.estimate_count()
 
     def set_budget(self, limits: BudgetLimits) -> None:
-        """Keep to other limits from now on; what was spent still counts."""
+        """Apply other limits; what was spent still counts unless the length of the window changes."""
         self._context.set_budget(limits)
 
     # --- requests ---
 
     def _request_arrived(self, request: GatewayRequest, step: Step) -> None:
-        """Refuse a request that is not admitted, or begin it."""
+        """Start a request if it is admitted, refuse it otherwise."""
         admitted = admit(request, self._context, step.now)
         if isinstance(admitted, Failure):
             step.actions.append(ev.Refuse(request.key, admitted))
@@ -136,13 +136,13 @@
             self._track(machine, step)
 
     def _serve_queue(self, service: str, step: Step) -> None:
-        """Let requests that wait for slow servers of a service have free slots, in their order."""
+        """Give free slots at a service's slow servers to the requests that wait for them, in queue order."""
         queue = self._context.pacing_queue
         while (request := queue.next(service, step.now)) is not None:
-            turn = Step(step.now)
-            free_at_s = request.dispatch_deferred(service, turn)
-            self._track(request, turn)
-            step.actions.extend(turn.actions)
+            dispatch_step = Step(step.now)
+            free_at_s = request.dispatch_deferred(service, dispatch_step)
+            self._track(request, dispatch_step)
+            step.actions.extend(dispatch_step.actions)
             if free_at_s is not None:
                 if queue.plan_wake_up(service, free_at_s):
                     step.actions.append(ev.SetTimer(service, ev.TimerKind.PACING, free_at_s))
@@ -155,26 +155,26 @@
             self._track(machine, step)
 
     def _give_up_quarantined(self, step: Step) -> None:
-        """Give up what is under way of requests that have just been quarantined."""
+        """Give up the requests in progress that have just been quarantined."""
         if not self._context.crashes.newly_quarantined:
             return
         fingerprints = self._context.crashes.take_newly_quarantined()
         for machine in [each for each in self._requests.values() if each.fingerprint in fingerprints]:
-            given_up = Step(step.now)
-            machine.quarantine(given_up)
-            self._track(machine, given_up)
-            step.actions.extend(given_up.actions)
+            give_up_step = Step(step.now)
+            machine.quarantine(give_up_step)
+            self._track(machine, give_up_step)
+            step.actions.extend(give_up_step.actions)
 
     def _track(self, machine: RequestMachine, step: Step) -> None:
-        """Note the attempts that a request has sent or cancelled in a step, and whether it is done.
+        """Record the attempts that a request sent or cancelled in a step; drop the request once it is done.
 
-        The step must hold no attempts that other requests have sent.
+        The step must not contain attempts of other requests.
         """
         for action in step.actions:
             if isinstance(action, ev.SendAttempt):
-                self._owners[action.attempt.number] = machine
+                self._machine_of_attempt[action.attempt.number] = machine
             elif isinstance(action, ev.CancelAttempt):
-                self._owners.pop(action.number, None)
+                self._machine_of_attempt.pop(action.number, None)
         if machine.done:
             self._requests.pop(machine.request.key, None)
 
@@ -200,7 +200,7 @@
         step.actions.append(log_events.attempt_failed(attempt, machine.request, failure, step.now))
         if failure.reason is Reason.CONNECTION_LOST:
             machine.server_lost(attempt, step)
-            # Before the request itself handles the failure, which would send it to the next server.
+            # Must precede machine.failed(), which would send the request to the next server.
             self._give_up_quarantined(step)
         self._outcomes.failed(attempt, machine.route, failure, step)
         machine.failed(number, failure, step)
@@ -208,11 +208,11 @@
         self._serve_queue(attempt.server.record.service, step)
 
     def _end_attempt(self, number: int) -> tuple[LiveAttempt | None, RequestMachine | None]:
-        return self._context.release(number), self._owners.pop(number, None)
+        return self._context.release(number), self._machine_of_attempt.pop(number, None)
 
     def _route_of(self, number: int) -> Route | None:
-        """Return the route of an attempt under way."""
-        machine = self._owners.get(number)
+        """Return the route of an attempt in flight."""
+        machine = self._machine_of_attempt.get(number)
         return None if machine is None else machine.route
 
     def _connections_changed(self, event: ev.ConnectionsChanged) -> None:
@@ -221,12 +221,12 @@
             server.connections.open = event.open_connections
 
 
-# --- who handles which event ---
+# --- event dispatch ---
 
 
 @singledispatch
 def _handle(event: Any, router: GatewayRouter, step: Step) -> None:
-    """Handle an event; those that aren't registered below are state updates."""
+    """Handle an event; types without a handler below are state updates."""
     apply_update(event, router._updates, step.now, step.actions)
 
 
--- a/src/yokesill/gateway/state_updates.py
+++ b/src/yokesill/gateway/state_updates.py
@@ -1,9 +1,9 @@
-"""How events from the registry and from peers change a node's state.
+"""Applies events from the registry and from other nodes to a node's state.
 
-One handler an event (`apply_update`): configuration, servers, evacuated zones, nodes, roll-outs, peers'
-suspicions and quarantined requests. Changes the state that requests share (`GatewayContext`), and adds log
-events and other actions for what really changed. Requests under way keep the configuration that they began
-with.
+There is one handler per event (`apply_update`): configuration, servers, evacuated zones, nodes, roll-outs,
+peers' suspicions and quarantined requests. The handlers change the state that requests share
+(`GatewayContext`), and append log events and other actions for actual changes. Requests in progress keep the
+configuration that they started with.
 """
 
 from collections.abc import Collection, Iterable
@@ -19,14 +19,14 @@
 
 
 class StateUpdates:
-    """The state that updates change."""
+    """Operations on the shared state, used by the handlers of update events."""
 
     def __init__(self, context: GatewayContext, cursors: SplitCursors) -> None:
         self.context = context
         self._cursors = cursors
 
     def configuration(self, configuration: Configuration, actions: list[ev.Action]) -> None:
-        """Replace the configuration by a newer version; ignore an older one, whichever source sent it."""
+        """Replace the configuration by a newer version; ignore older versions from any source."""
         context = self.context
         current = context.configuration
         if current is not None and configuration.version <= current.version:
@@ -46,16 +46,16 @@
         actions.append(ev.LogEvent("configuration_applied", details))
 
     def evacuations(self, zones: frozenset[str], actions: list[ev.Action]) -> None:
-        """Set which zones are evacuated; attempts under way there are left to end."""
+        """Set which zones are evacuated; attempts in flight there are not cancelled."""
         for zone in sorted(self.context.servers.evacuate(zones)):
             actions.append(ev.LogEvent("zone_evacuated", {"zone": zone, "evacuated": zone in zones}))
 
     def rollouts(self, changes: Iterable[OrderChange], actions: list[ev.Action]) -> None:
-        """Log what changed of roll-outs and of the state in effect here."""
+        """Log changes of roll-outs and of their effective states at this node."""
         actions.extend(log_events.rollout(change) for change in changes)
 
     def nodes(self, names: frozenset[str], coordinators: frozenset[str]) -> None:
-        """Set which nodes there are, and which of them are coordinators."""
+        """Set the live nodes, and which of them are coordinators."""
         self.context.eligibility.cold_starts.set_nodes(names)
         self.context.node_shares.set_coordinators(coordinators)
 
@@ -72,7 +72,7 @@
         self._after_change(now, actions)
 
     def all_servers(self, records: Collection[ServerRecord], now: float, actions: list[ev.Action]) -> None:
-        """Replace all servers by a whole list."""
+        """Replace all servers by a complete list."""
         gone = self.context.servers.replace(records, now)
         actions.extend(log_events.server_entry(instance, "removed") for instance in gone)
         self._after_change(now, actions)
@@ -80,19 +80,19 @@
     def restored_servers(
         self, records: Collection[ServerRecord], now: float, actions: list[ev.Action]
     ) -> None:
-        """Replace all servers by a list whose entries may be older than what is known."""
+        """Replace all servers by a complete list whose entries may be older than what is known."""
         gone = self.context.servers.restore(records, now)
         actions.extend(log_events.server_entry(instance, "removed") for instance in gone)
         self._after_change(now, actions)
 
     def suspicion(self, instance: str, for_s: float, now: float, actions: list[ev.Action]) -> None:
-        """Suspect a server that the nodes together found slow or failing."""
+        """Suspect a server that the nodes together detected as slow or failing."""
         context = self.context
         if context.options.switches.heeds_suspicions and suspect(context.servers, instance, for_s, now):
             actions.append(log_events.server_suspected(instance, for_s))
 
     def _after_change(self, now: float, actions: list[ev.Action]) -> None:
-        """Log whose addresses were taken over, and forget servers that are long gone."""
+        """Log servers whose address was taken over, and drop servers that were removed long ago."""
         for instance in self.context.servers.take_replaced():
             actions.append(log_events.server_entry(instance, "replaced"))
         for instance in self.context.servers.forget_removed(now):
@@ -106,7 +106,7 @@
 @singledispatch
 def apply_update(event: Any, updates: StateUpdates, now: float, actions: Actions) -> None:
     """Apply an event that changes the node's state; raises ``TypeError`` for any other."""
-    raise TypeError(f"no event: {event!r}")
+    raise TypeError(f"no handler for this type of event: {event!r}")
 
 
 @apply_update.register
--- a/src/yokesill/gateway/step.py
+++ b/src/yokesill/gateway/step.py
@@ -1,14 +1,14 @@
-"""One event while the router handles it: when it is handled, and what was decided so far.
+"""The handling of one event by the router: its time, and the actions decided so far.
 
-The router creates one step for each event and hands it to every rule, which reads the time from it and
-appends its actions. Rules never read a clock.
+The router creates one step per event and passes it to every rule, which reads the time from it and appends
+its actions. Rules never read a clock.
 """
 
 from yokesill.gateway.events import Action
 
 
 class Step:
-    """The handling of one event; ``now`` in seconds of the node's clock, ``actions`` in their order."""
+    """The handling of one event; ``now`` is in seconds of the node's clock, ``actions`` are in order."""
 
     __slots__ = ("actions", "now")
 
