--- a/src/yokesill/gateway/servers/ejection.py
+++ b/src/yokesill/gateway/servers/ejection.py
@@ -24,7 +24,7 @@
 SLOW_EJECTION_S, SLOW_EJECTION_CEILING_S = 0.5, 4.0
 # How long a failure ejects, doubling up to the ceiling: a crashed server's replacement has another instance
 # name, so little is gained by staying away longer.
-FAILING_EJECTION_S, FAILING_EJECTION_CEILING_S = 0.5, 2.0
+INITIAL_FAILURE_EJECTION_S, FAILING_EJECTION_CEILING_S = 0.5, 2.0
 # Keeps the doubling finite; the ceiling is reached long before.
 MAX_DOUBLINGS = 8
 
@@ -72,6 +72,6 @@
     def failed(self, now: float) -> None:
         """Eject the server for a failure."""
         self.failing = True
-        ejection_s = FAILING_EJECTION_S * 2.0 ** min(self._failures, MAX_DOUBLINGS)
+        ejection_s = INITIAL_FAILURE_EJECTION_S * 2.0 ** min(self._failures, MAX_DOUBLINGS)
         self._failures += 1
         self.until_s = now + min(ejection_s, FAILING_EJECTION_CEILING_S)
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -5,7 +5,7 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import ServerRecord
 from yokesill.gateway.requests.refusal import SHED_RETRY_AFTER_MS
-from yokesill.gateway.servers.ejection import FAILING_EJECTION_S
+from yokesill.gateway.servers.ejection import INITIAL_FAILURE_EJECTION_S
 from yokesill.verdict import Reason, Verdict
 
 PATIENCE_S = 1.5
@@ -74,7 +74,7 @@
     harness = RouterHarness(gather_route(coverage=1.0), servers=servers_of(*SHARDS))
     fail_all(harness, "s1")
     told = [refusal(harness, harness.arrive(patience=PATIENCE_S)).failure.retry_after_ms for _ in range(20)]
-    assert all(FAILING_EJECTION_S * 1000 <= each <= FAILING_EJECTION_S * 1000 * 1.3 for each in told)
+    assert all(INITIAL_FAILURE_EJECTION_S * 1000 <= each <= INITIAL_FAILURE_EJECTION_S * 1000 * 1.3 for each in told)
     assert len(set(told)) > 10
     harness.advance(max(told) / 1000)
     assert harness.of(harness.arrive()) != []
