--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -74,7 +74,9 @@
     harness = RouterHarness(gather_route(coverage=1.0), servers=servers_of(*SHARDS))
     fail_all(harness, "s1")
     told = [refusal(harness, harness.arrive(patience=PATIENCE_S)).failure.retry_after_ms for _ in range(20)]
-    assert all(INITIAL_FAILURE_EJECTION_S * 1000 <= each <= INITIAL_FAILURE_EJECTION_S * 1000 * 1.3 for each in told)
+    assert all(
+        INITIAL_FAILURE_EJECTION_S * 1000 <= each <= INITIAL_FAILURE_EJECTION_S * 1000 * 1.3 for each in told
+    )
     assert len(set(told)) > 10
     harness.advance(max(told) / 1000)
     assert harness.of(harness.arrive()) != []
