--- a/src/yokesill/gateway/servers/eligibility.py
+++ b/src/yokesill/gateway/servers/eligibility.py
@@ -1,21 +1,21 @@
-"""Which servers may be sent an attempt at all.
+"""Decides which servers may be sent an attempt at all.
 
-Everything that sends to a server, or counts the servers that could be sent to, asks here. An eligible
+Everything that sends to a server, or counts the servers that could be sent to, uses these rules. An eligible
 server is
 
 1. of a version that a roll-out lets this request reach (``rollouts/versions``), even if no other is left,
 2. in no evacuated zone, even if no other server is left: operators must be able to rely on it,
-3. in a region that the route allows, since bodies of requests must not leave these,
-4. not cold, or within this node's share of what a cold server can do (`ColdStarts`),
-5. not tried by this request before,
-6. listed and not leaving. A server whose entry vanished a moment ago is eligible if no listed one is:
-   entries also vanish when the registry was away (``GatewayOptions.removed_grace_s``).
+3. in a region that the route allows, since request bodies must not leave these regions,
+4. not cold, or within this node's share of a cold server's capacity (`ColdStarts`),
+5. not yet tried by this request,
+6. listed and not leaving. A server whose entry vanished recently is eligible if no listed server is, since
+   entries also vanish when the registry was unavailable (``GatewayOptions.removed_grace_s``).
 
-Ejection, refused connections and peers' suspicions do not exclude a server: they make it a worse choice
-(`selection`). A suspicion is applied only while a server that nobody suspects is left.
+Ejection, refused connections and peers' suspicions do not exclude a server: they only lower its rank
+(`selection`). A suspicion is applied only while another server is left that is not suspected.
 
-How many connections and which subset of servers a node uses is decided here, too: both follow from what a
-server can hold for all nodes together. Times in seconds of the node's clock.
+The number of connections and the subset of servers that a node uses are also decided here, since both follow
+from the capacity that a server has for all nodes together. Times are in seconds of the node's clock.
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -28,17 +28,17 @@
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.rendezvous import name_hash, weight
 
-# A node's subset has so many servers at least: a hedge needs a second one.
-LEAST_SUBSET = 2
-# Servers whose round trips differ by less are equally near, and the nodes' hashes spread over them: twice the
-# tolerance in `selection`, since a subset should stay the same while distances are learned.
+# The smallest subset of servers: a hedge needs a second one.
+MIN_SUBSET_SIZE = 2
+# Servers whose round trips differ by less count as equally near, and the nodes' hashes spread over them.
+# Twice the tolerance in `selection`, since a subset should be stable while distances are learned.
 SUBSET_DISTANCE_STEP_S = 0.001
 
 
 def reachable(servers: ServerTable, service: str, now: float, new: bool = False) -> Iterable[ServerState]:
-    """Return a service's servers outside evacuated zones and of a version that may be reached.
+    """Return a service's servers outside evacuated zones whose version may be reached.
 
-    With ``new`` of the version that a roll-out moves to.
+    With ``new``, those of the target version of a roll-out.
     """
     found = servers.of_service(service)
     if service in servers.versions.gated:
@@ -50,7 +50,7 @@
 
 
 def present(servers: ServerTable, service: str, now: float, new: bool = False) -> list[ServerState]:
-    """Return those of the reachable servers that are listed and don't leave."""
+    """Return the reachable servers that are listed and not leaving."""
     return [each for each in reachable(servers, service, now, new) if not each.leaving]
 
 
@@ -70,7 +70,7 @@
 
 
 def suspect(servers: ServerTable, instance: str, for_s: float, now: float) -> bool:
-    """Apply peers' suspicion of a server, unless it is the last one that nobody suspects.
+    """Apply peers' suspicion of a server, unless it is the last server that is not suspected.
 
     Returns
     -------
@@ -83,29 +83,29 @@
     others = (each for each in _alternatives(servers, server, now) if each is not server)
     if not any(not each.leaving and not each.probation.suspected(now) for each in others):
         return False
-    known = server.probation.suspected(now)
+    was_suspected = server.probation.suspected(now)
     server.probation.begin(for_s, now)
-    return not known
+    return not was_suspected
 
 
 def _alternatives(servers: ServerTable, server: ServerState, now: float) -> Iterable[ServerState]:
-    """Return the servers that requests to ``server`` may go to: those of its service and version."""
+    """Return the servers of the same service and version, to which requests for ``server`` may go."""
     service = server.record.service
     found = reachable(servers, service, now)
     return found if server in found else reachable(servers, service, now, new=True)
 
 
 class Eligibility:
-    """One node's rules, with what they depend on: the configuration, the nodes that share, cold servers.
+    """One node's rules and their inputs: the configuration, the nodes that share capacity, cold servers.
 
     Parameters
     ----------
     options
         The node's options.
     servers
-        All servers that it knows.
+        All servers that the node knows.
     node_shares
-        By how many nodes a service's capacity is divided.
+        The number of nodes that share a service's capacity.
     """
 
     def __init__(self, options: GatewayOptions, servers: ServerTable, node_shares: NodeShares) -> None:
@@ -123,7 +123,7 @@
     def candidates(self, service: str, route: Route, now: float, new: bool = False) -> Iterable[ServerState]:
         """Return the servers that a route's requests may go to: rules 1 to 4.
 
-        With ``new`` only those of the version that a roll-out moves to.
+        With ``new``, only those of the target version of a roll-out.
         """
         servers = reachable(self._servers, service, now, new)
         if route.regions:
@@ -136,12 +136,12 @@
         return [each for each in servers if not each.cold(now) or allows(each.record, rate, now)]
 
     def count_sent(self, server: ServerState, now: float) -> None:
-        """Count an attempt, which uses up the share of a cold server."""
+        """Count an attempt, which may use up this node's share of a cold server."""
         if self._cold_requests_per_s(server.record.service) is not None and server.cold(now):
             self.cold_starts.sent(server.record, now)
 
     def _cold_requests_per_s(self, service: str) -> float | None:
-        """Return the rate for one cold server of the service; ``None`` if it isn't limited."""
+        """Return the rate for one cold server of the service; ``None`` if it is not limited."""
         limits = self._limits.get(service)
         return limits.cold_requests_per_s if limits is not None and limits.cold_requests_per_s > 0.0 else None
 
@@ -154,9 +154,9 @@
         return max(1, int(usable / self._node_shares.active_nodes(service)))
 
     def subset(self, service: str, now: float, new: bool = False) -> Collection[str]:
-        """Return the instances that this node connects to as long as they are sound.
+        """Return the instances that this node connects to as long as they are healthy.
 
-        Where the nodes together could open more connections than the servers hold, each keeps to as many
+        If the nodes together could open more connections than the servers accept, each node uses only as many
         servers as its share of the connections allows: the nearest first, then by rendezvous hash, which
         gives every server its share of the nodes.
         """
@@ -165,7 +165,7 @@
         if limits is None or not servers:
             return [each.record.instance for each in servers]
         usable = self._options.connection_share * limits.connections * len(servers)
-        size = max(LEAST_SUBSET, int(usable / self._node_shares.active_nodes(service)))
+        size = max(MIN_SUBSET_SIZE, int(usable / self._node_shares.active_nodes(service)))
         if size < len(servers):
             servers = sorted(servers, key=self._subset_rank)[:size]
         return [each.record.instance for each in servers]
--- a/src/yokesill/gateway/servers/evidence.py
+++ b/src/yokesill/gateway/servers/evidence.py
@@ -1,8 +1,8 @@
-"""Which failures count against a server, and when a node's peers are told of late, failed or silent attempts.
+"""Decides which failures count against a server, and when bad attempts are reported to peers.
 
-Inputs: the ends of attempts and, from time to time, the attempts under way; their routes' typical latencies.
-Output: `ServerObserved` actions, which the outlier detector at two of the nodes weighs (``outliers/``). Times
-in seconds of the node's clock.
+Reported are late, failed and silent attempts. Inputs: the ends of attempts and, periodically, the attempts in
+flight; their routes' typical latencies. Output: `ServerObserved` actions, which the outlier detector at two
+of the nodes evaluates (``outliers/``). Times are in seconds of the node's clock.
 """
 
 from collections.abc import Callable
@@ -13,23 +13,25 @@
 from yokesill.verdict import Failure, Reason
 
 # A timeout counts against a server only after this multiple of its typical latency: a caller with little time
-# left ends its attempts early, which says nothing of the server.
+# left ends its attempts early, which is no evidence about the server.
 TIMEOUT_FACTOR = 4.0
-# A silent attempt is reported after so long, and this multiple of its typical latency. Servers pause for some
-# hundred milliseconds now and then; only what lasts longer is worth a report.
-SILENCE_TO_REPORT_S, SILENCE_TO_REPORT_FACTOR = 0.4, 8.0
-# The attempts under way are looked through so often at most: small against the 0.4 s.
-SILENCE_CHECK_S = 0.1
-# Failures that say nothing of the server: this node's own limits, and an idle connection that was reset.
+# An attempt without an answer is reported after this time and this multiple of its typical latency. Servers
+# occasionally pause for some hundred milliseconds; only longer silence is reported.
+MIN_REPORTED_SILENCE_S, REPORTED_SILENCE_FACTOR = 0.4, 8.0
+# The shortest time between two checks of the attempts in flight: small compared to MIN_REPORTED_SILENCE_S
+# (0.4 s).
+SILENCE_CHECK_INTERVAL_S = 0.1
+# Failures that are no evidence about the server: this node's own limits, and an idle connection that was
+# reset.
 NO_EVIDENCE = frozenset({Reason.OVERLOADED, Reason.CONNECTION_FORGOTTEN})
 
 
 class ServerEvidence:
-    """One node's evidence against servers."""
+    """Collects and reports one node's evidence against servers."""
 
     def __init__(self, context: GatewayContext, now: float) -> None:
         self._context = context
-        self._silence_checked_at = now
+        self._silence_checked_at_s = now
 
     def counts(self, attempt: LiveAttempt, route: Route, failure: Failure, now: float) -> bool:
         """Return whether a failure counts against the server; a timeout only after ``TIMEOUT_FACTOR``."""
@@ -48,16 +50,18 @@
     def report_silent_servers(
         self, route_of: Callable[[int], Route | None], now: float, actions: list[Action]
     ) -> None:
-        """Report, once each, attempts that have been out for much longer than a pause."""
-        if now - self._silence_checked_at < SILENCE_CHECK_S:
+        """Report attempts that have been in flight for much longer than a pause, once each."""
+        if now - self._silence_checked_at_s < SILENCE_CHECK_INTERVAL_S:
             return
-        self._silence_checked_at = now
+        self._silence_checked_at_s = now
         for number, attempt in self._context.live.items():
             route = route_of(number)
-            typical = None if route is None else self._context.find_typical_latency(route)
-            if attempt.silence_reported or typical is None:
+            latency = None if route is None else self._context.find_typical_latency(route)
+            if attempt.silence_reported or latency is None:
                 continue
-            if now - attempt.sent_at_s >= max(SILENCE_TO_REPORT_S, SILENCE_TO_REPORT_FACTOR * typical.median):
+            if now - attempt.sent_at_s >= max(
+                MIN_REPORTED_SILENCE_S, REPORTED_SILENCE_FACTOR * latency.median
+            ):
                 attempt.silence_reported = True
                 self._report(attempt, now, actions)
 
--- a/src/yokesill/gateway/servers/probation.py
+++ b/src/yokesill/gateway/servers/probation.py
@@ -1,14 +1,14 @@
-"""How a node treats a server that its peers together found slow or failing.
+"""How a node treats a server that its peers together detected as slow or failing.
 
-While the suspicion lasts the server gets no first attempts. Then it is on probation, one attempt at a time,
-until it answers as usual: otherwise every node would send everything back at the same moment. How long a
-suspicion lasts is the detector's decision (``outliers/detector``, 0.7 to 3 s); which servers may be suspected
-at all is in `eligibility`. Times in seconds of the node's clock.
+While the suspicion lasts, the server gets no first attempts. Then it is on probation, with one attempt at a
+time, until it answers in the usual time; otherwise every node would return all its requests to the server at
+the same moment. The detector decides how long a suspicion lasts (``outliers/detector``, 0.7 to 3 s);
+`eligibility` decides which servers may be suspected at all. Times are in seconds of the node's clock.
 """
 
 
 class Probation:
-    """One server's suspicion by peers; ``active`` from the suspicion to a good answer."""
+    """The suspicion of one server by peers; ``active`` from the suspicion until a good answer."""
 
     __slots__ = ("_since_s", "_until_s", "active")
 
@@ -18,17 +18,17 @@
         self._until_s = 0.0
 
     def suspected(self, now: float) -> bool:
-        """Return whether the suspicion lasts."""
+        """Return whether the suspicion still lasts."""
         return now < self._until_s
 
     def begin(self, for_s: float, now: float) -> None:
-        """Suspect the server for a while."""
+        """Suspect the server for ``for_s`` seconds, or until an earlier suspicion ends if that is later."""
         self.active = True
         self._since_s = now
         self._until_s = max(self._until_s, now + for_s)
 
     def answered_in_time(self, sent_at_s: float) -> None:
-        """End it, unless the attempt was sent before the suspicion began."""
+        """End the probation, unless the attempt was sent before the suspicion began."""
         if sent_at_s >= self._since_s:
             self.active = False
             self._until_s = 0.0
--- a/src/yokesill/gateway/servers/server_state.py
+++ b/src/yokesill/gateway/servers/server_state.py
@@ -1,8 +1,8 @@
-"""One server as a node sees it: its entry, the attempts under way, and whether it may get the next one.
+"""The state of one server at a node: its entry, its attempts in flight, and whether it may get the next one.
 
-Owns one incarnation's state in the chart ``server`` and hands each outcome of an attempt to the parts that
-decide by it: `Ejection`, `ConnectionBackoff`, `Probation`, `ServerLatency`. Who may be asked at all is
-decided in `eligibility`, who of them is chosen in `selection`. Times in seconds of the node's clock.
+Owns the state of one incarnation in the state chart ``server``, and passes each outcome of an attempt to the
+parts that use it: `Ejection`, `ConnectionBackoff`, `Probation`, `ServerLatency`. `eligibility` decides which
+servers may be used at all, `selection` which of them is chosen. Times are in seconds of the node's clock.
 """
 
 from typing import NamedTuple
@@ -19,13 +19,13 @@
 from yokesill.rendezvous import name_hash
 
 COLD, ACTIVE, EJECTED, LEAVING = "cold", "active", "ejected", "leaving"
-# A server that rejected a request is full: others go first for so long, some of its requests being done by
-# then.
+# How long other servers are preferred after a server rejected a request because it is full; some of its
+# requests are finished by then.
 SHED_PAUSE_S = 0.05
 
 
 class SentAttempt(NamedTuple):
-    """When an attempt was sent, and what its route's attempts usually take."""
+    """When an attempt was sent, and the typical latency of its route's attempts."""
 
     sent_at_s: float
     typical_s: float
@@ -35,13 +35,15 @@
     """One incarnation of a server.
 
     ``removed_at_s`` is when its entry vanished. ``last_sent_at_s`` is when it was last sent an attempt,
-    ``last_typical_s`` what such attempts usually take. ``replaced_by`` was started later at its address.
+    ``last_typical_s`` the typical latency of such attempts. ``replaced_by`` is the server that was started
+    later at its address.
     """
 
     __slots__ = (
-        "_absent", "_distances", "_ejection", "_evidence", "_overtaken_s", "_sent", "_shed_until_s",
-        "_stalled", "_state", "_successes", "_table", "_warm_at_s", "connections", "last_sent_at_s",
-        "last_typical_s", "latency", "name_hash", "probation", "record", "removed_at_s", "replaced_by",
+        "_absent", "_distances", "_ejection", "_has_evidence", "_latest_answered_sent_at_s", "_sent",
+        "_shed_until_s", "_stalled", "_state", "_successes", "_transitions", "_warm_at_s", "connections",
+        "last_sent_at_s", "last_typical_s", "latency", "name_hash", "probation", "record", "removed_at_s",
+        "replaced_by",
     )  # fmt: skip
 
     def __init__(
@@ -49,7 +51,7 @@
         record: ServerRecord,
         distances: ZoneDistances,
         connecting: ConnectingTimes,
-        backs_off: bool,
+        backoff_enabled: bool,
         now: float,
     ) -> None:
         self.record = record
@@ -59,41 +61,41 @@
         self._absent = False
         self.last_sent_at_s = float("-inf")
         self.last_typical_s = 0.0
-        self.connections = ConnectionBackoff(backs_off)
+        self.connections = ConnectionBackoff(backoff_enabled)
         self.latency = ServerLatency(distances, connecting)
         self.probation = Probation()
         self._ejection = Ejection()
         self._distances = distances
-        self._table = transition_table("server")
+        self._transitions = transition_table("server")
         self._state = COLD
         self._warm_at_s = now + record.warmup_left_s
         self._shed_until_s = 0.0
-        self._evidence = False
+        self._has_evidence = False
         self._successes = RecentSuccesses()
         self._sent: dict[int, SentAttempt] = {}
         self._stalled: set[int] = set()
-        self._overtaken_s = float("-inf")
+        self._latest_answered_sent_at_s = float("-inf")
 
-    # --- its entry and life ---
+    # --- entry and life cycle ---
 
     @property
     def state(self) -> str:
-        """The state of the chart ``server``."""
+        """The state in the chart ``server``."""
         return self._state
 
     @property
     def leaving(self) -> bool:
-        """Whether it gets no new work."""
+        """Whether it gets no new requests."""
         return self._state == LEAVING or self.removed_at_s is not None or self.replaced
 
     @property
     def replaced(self) -> bool:
-        """Whether another server took its address over, and nobody else answered there since."""
+        """Whether another server took over its address and has not turned out to be absent there."""
         return self.replaced_by is not None and not self.replaced_by._absent
 
     @property
     def round_trip(self) -> float:
-        """How much further it is than servers of the nearest zone, in seconds."""
+        """How much longer its round trip is than that of servers in the nearest zone, in seconds."""
         return self._distances.extra_round_trip(self.record.zone)
 
     def update(self, record: ServerRecord, now: float) -> None:
@@ -105,27 +107,27 @@
             self._handle("leaving")
 
     def leave(self) -> None:
-        """Give it no new work: whoever answers at its address said that it is not there."""
+        """Give it no new requests: an answer from its address said that it is not there."""
         self._absent = True
         self._handle("leaving")
 
     def cold(self, now: float) -> bool:
-        """Whether it is still slow, and has little capacity, after its start."""
+        """Whether it is still slow after its start and has little capacity."""
         return now < self._warm_at_s
 
     def _handle(self, event: str) -> bool:
-        target = self._table.get((self._state, event))
+        target = self._transitions.get((self._state, event))
         if target is None or target == self._state:
             return False
         self._state = target
         return True
 
-    # --- whether it may get the next attempt ---
+    # --- availability for the next attempt ---
 
     def usable(self, now: float) -> bool:
-        """Whether it is sound: not refusing connections, suspected, stalled or ejected.
+        """Whether it is healthy: not refusing connections, suspected, stalled or ejected.
 
-        On probation, and once an ejection is over, it is sound for one attempt at a time.
+        On probation, and after an ejection, it is healthy for one attempt at a time.
         """
         if now < self.connections.refused_until_s:
             return False
@@ -137,7 +139,7 @@
         return now >= self._ejection.until_s and not self._sent
 
     def pausing(self, now: float) -> bool:
-        """Whether it rejected work just now."""
+        """Whether it has just rejected a request."""
         return now < self._shed_until_s
 
     @property
@@ -147,68 +149,68 @@
 
     @property
     def stalled(self) -> bool:
-        """Whether an attempt is late by its route's measure and nothing sent after it was answered."""
-        return any(self._awaited(self._sent[number]) for number in self._stalled)
+        """Whether an attempt is late for its route and no attempt sent after it was answered."""
+        return any(self._is_evidence(self._sent[number]) for number in self._stalled)
 
     def available_at_s(self, now: float) -> float:
-        """Return when its ejection, backoff and pause are over; infinite when it leaves."""
+        """Return when its ejection, backoff and pause are over; infinite if it is leaving."""
         if self.leaving:
             return float("inf")
         ejected_until_s = self._ejection.until_s if self._state == EJECTED and self.failing else now
         return max(now, ejected_until_s, self._shed_until_s, self.connections.refused_until_s)
 
-    # --- how long it takes ---
+    # --- latency ---
 
     @property
     def in_flight(self) -> int:
-        """How many attempts of this node are under way."""
+        """The number of this node's attempts in flight."""
         return len(self._sent)
 
     def slowness(self, now: float) -> float:
-        """Return how many times longer than usual it takes.
+        """Return how many times slower than usual it is.
 
-        By its last answers, or by the attempt that has been out for longest, whichever says more.
+        Measured by its last answers or by the attempt that has been in flight longest, whichever is higher.
         """
-        oldest = next((each for each in self._sent.values() if self._awaited(each)), None)
+        oldest = next((each for each in self._sent.values() if self._is_evidence(each)), None)
         if oldest is None:
             return self.latency.slowness
         return self.latency.slowness_with(now - oldest.sent_at_s - self.round_trip, oldest.typical_s)
 
     def expected(self, typical_s: float, now: float) -> float:
-        """Return the expected latency, in seconds, of one more request that usually takes ``typical_s``."""
+        """Return the expected latency of one more request with this typical latency, in seconds."""
         in_flight, cold = len(self._sent), now < self._warm_at_s
         return self.latency.expected_s(typical_s, in_flight, self.connections.open, cold, self.record, now)
 
-    def _awaited(self, attempt: SentAttempt) -> bool:
-        """Whether an attempt still tells of the server; one that others overtook has lost its answer."""
-        return attempt.sent_at_s > self._overtaken_s
+    def _is_evidence(self, attempt: SentAttempt) -> bool:
+        """Whether an attempt is evidence; once a later one was answered, its own answer counts as lost."""
+        return attempt.sent_at_s > self._latest_answered_sent_at_s
 
-    # --- what its attempts show ---
+    # --- outcomes of attempts ---
 
     def begin(self, number: int, typical_s: float, now: float) -> None:
-        """Count an attempt that is sent now."""
+        """Record an attempt that is sent now."""
         self._sent[number] = SentAttempt(now, typical_s)
         self.last_sent_at_s, self.last_typical_s = now, typical_s
 
     def end(self, number: int) -> None:
-        """Count an attempt's end."""
+        """Record the end of an attempt."""
         self._sent.pop(number, None)
         self._stalled.discard(number)
 
     def stall(self, number: int) -> None:
-        """Mark an attempt as late by its route's measure: the server may be paused or dark."""
+        """Mark an attempt as late for its route: the server may be paused or dark."""
         self._stalled.add(number)
 
     def answered(
         self, sent_at_s: float, typical_s: float, load: Load | None, now: float, node_late_s: float = 0.0
     ) -> str | None:
-        """Count an answer; return the new state if it changed.
+        """Record an answer; return the new state if it changed.
 
-        ``node_late_s`` is how late this node itself is: that doesn't count against the server.
+        ``node_late_s`` is the lateness of this node itself, which does not count against the server.
         """
         before = self._state
         self.latency.rejections.count(False, now)
-        self._overtaken_s = max(self._overtaken_s, sent_at_s)
+        self._latest_answered_sent_at_s = max(self._latest_answered_sent_at_s, sent_at_s)
         self._ejection.answered()
         self.connections.answered()
         latency_s = now - sent_at_s - self.round_trip - node_late_s
@@ -216,7 +218,7 @@
         if ratio <= SLOW_RATIO:
             self._answered_in_time(sent_at_s, now)
         elif self._ejection.counts(sent_at_s, now):
-            self._evidence = True
+            self._has_evidence = True
             if self._ejection.answered_slowly(now):
                 self._handle("failing")
         return self._state if self._state != before else None
@@ -229,26 +231,26 @@
         self._handle("warmed")
 
     def failed(self, sent_at_s: float, now: float) -> str | None:
-        """Count a failure of the server itself; return the new state if it changed."""
+        """Record a failure of the server itself; return the new state if it changed."""
         before = self._state
         if self._ejection.counts(sent_at_s, now):
-            self._evidence = True
+            self._has_evidence = True
             self._ejection.failed(now)
             self._handle("failing")
         return self._state if self._state != before else None
 
     def shed(self, now: float) -> None:
-        """Count a rejection: it is full at this moment."""
+        """Record a rejection: the server is full at this moment."""
         self._shed_until_s = now + SHED_PAUSE_S
         self.latency.rejections.count(True, now)
 
-    # --- what peers are told ---
+    # --- reports to peers ---
 
     def take_evidence(self) -> bool:
-        """Return whether the last answer or failure spoke against it; asking clears it."""
-        evidence, self._evidence = self._evidence, False
-        return evidence
+        """Return and clear whether the last answer or failure was evidence against it."""
+        had_evidence, self._has_evidence = self._has_evidence, False
+        return had_evidence
 
     def take_successes(self, now: float) -> int:
-        """Return how many good answers came in the last second or so; asking clears it."""
+        """Return and clear the number of its good answers in about the last second."""
         return self._successes.take(now)
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -97,7 +97,7 @@
     assert any(note.details.get("state") == "ejected" for note in harness.notes)
 
 
-def test_a_pause_does_not_keep_work_away_once_it_is_over() -> None:
+def test_one_pause_does_not_divert_requests_once_it_is_over() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     ask(harness, 0.15)
