--- a/src/yokesill/gateway/messages.py
+++ b/src/yokesill/gateway/messages.py
@@ -40,7 +40,7 @@
 class Load(NamedTuple):
     """A server's own load report: requests running and waiting, and its slots.
 
-    ``work_percent`` is how long work takes there now, in percent of the usual time.
+    ``work_percent`` is how long work takes there now, in percent of the usual time (100 is as usual).
     """
 
     running: int
--- a/tests/gateway/rolled_out.py
+++ b/tests/gateway/rolled_out.py
@@ -1,4 +1,4 @@
-"""A router with services of two versions, one of them ordered, and what deciders tell it."""
+"""A router harness with services of two versions, roll-out orders for them, and decisions of deciders."""
 
 from collections.abc import Iterable
 from dataclasses import replace
@@ -18,7 +18,7 @@
 
 
 def servers_of(service: str, version: str, count: int = 2) -> tuple[ServerRecord, ...]:
-    """Servers of a service and version, each in a zone of its own."""
+    """Return servers of a service and version, each in a separate zone."""
     return tuple(
         server(f"{service}-{version}-{number}", service, f"z{number}", version=version)
         for number in range(1, count + 1)
@@ -29,8 +29,8 @@
     return RolloutOrder(service, target, 12.0, 5, 5)
 
 
-class RolledOut(RouterHarness):
-    """Services served by v1, servers of v2 beside them, and an order for v2 unless ``ordered`` is off."""
+class RolloutHarness(RouterHarness):
+    """Services in service with v1, with additional servers of v2 and, if ``ordered``, an order for v2."""
 
     def __init__(
         self,
@@ -43,33 +43,35 @@
         names = sorted({name for route in routes for name in route.services})
         old = tuple(each for name in names for each in servers_of(name, "v1"))
         new = tuple(each for name in names for each in servers_of(name, "v2"))
-        terms = GatewayOptions(zone="z1", budget=TERMS, rollouts=RolloutLimits())
+        defaults = GatewayOptions(zone="z1", budget=TERMS, rollouts=RolloutLimits())
         super().__init__(
-            *routes, servers=(*old, *new) if servers is None else servers, options=replace(terms, **options)
+            *routes,
+            servers=(*old, *new) if servers is None else servers,
+            options=replace(defaults, **options),
         )
         self.orders = {name: order_for(name) for name in names}
         if ordered:
             for order in self.orders.values():
                 self.feed(ev.RolloutOrdered(order))
 
-    def hear(
+    def receive_decisions(
         self, state: RolloutState, share: float = 1.0, valid_s: float = VALID_S, services: Iterable[str] = ()
     ) -> None:
         orders = [self.orders[name] for name in services or self.orders]
-        words = tuple(OrderDecision(each.id, state, share, 1.0) for each in orders)
-        self.feed(ev.RolloutDecisionsReceived(RolloutDecisions("d1", True, valid_s, words)))
+        decisions = tuple(OrderDecision(each.id, state, share, 1.0) for each in orders)
+        self.feed(ev.RolloutDecisionsReceived(RolloutDecisions("d1", True, valid_s, decisions)))
 
-    def record(self, state: RolloutState) -> None:
+    def record_state(self, state: RolloutState) -> None:
         for name, order in self.orders.items():
             self.orders[name] = order._replace(state=state, revision=order.revision + 1)
             self.feed(ev.RolloutOrdered(self.orders[name]))
 
     def versions(self, key: str) -> list[str]:
-        """Return the versions that a request was sent to, in order."""
+        """Return the versions of the servers that a request was sent to, in order."""
         return [each.server.version for each in self.of(key)]
 
-    def ask(self, path: str = "/wide/x", requests: int = 20) -> set[str]:
-        """Send requests and answer them; return the versions that they went to."""
+    def send_requests(self, path: str = "/wide/x", requests: int = 20) -> set[str]:
+        """Send requests and answer them; return the versions of the servers that got them."""
         keys = [self.arrive(path) for _ in range(requests)]
         self.advance(0.01)
         for key in keys:
--- a/tests/gateway/test_cold_starts.py
+++ b/tests/gateway/test_cold_starts.py
@@ -1,4 +1,4 @@
-"""All nodes together send a cold server no more than it bears in any second."""
+"""All nodes together send a cold server no more requests in any second than its limit."""
 
 import random
 from dataclasses import replace
@@ -12,19 +12,21 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.cold_starts import ColdStartLimits, ColdStarts
 
-TERMS = ColdStartLimits(overshoot=1.5, slack=5.0)
-BEARS_PER_S = 4.0
-BOUND = BEARS_PER_S * TERMS.overshoot + TERMS.slack
+LIMITS = ColdStartLimits(overshoot=1.5, slack=5.0)
+COLD_REQUESTS_PER_S = 4.0
+LIMIT_PER_S = COLD_REQUESTS_PER_S * LIMITS.overshoot + LIMITS.slack
 COLD = replace(server("cold", "s1"), warmup_left_s=30.0)
 WARM = server("warm", "s1", zone="z2")
 ROUTE = gather_route(services=("s1",), coverage=1.0)
 
 
-def node(name: str, names: frozenset[str], *servers: str, bears_per_s: float = BEARS_PER_S) -> RouterHarness:
-    options = GatewayOptions("z1", name, budget=BudgetLimits(0.2, 50.0, 10.0), cold_starts=TERMS)
+def node(
+    name: str, names: frozenset[str], *servers: str, cold_requests_per_s: float = COLD_REQUESTS_PER_S
+) -> RouterHarness:
+    options = GatewayOptions("z1", name, budget=BudgetLimits(0.2, 50.0, 10.0), cold_starts=LIMITS)
     records = {"cold": COLD, "warm": WARM}
     harness = RouterHarness(servers=tuple(records[each] for each in servers), options=options)
-    services = {"s1": ServiceLimits(100, bears_per_s)}
+    services = {"s1": ServiceLimits(100, cold_requests_per_s)}
     harness.feed(ev.ConfigurationReceived(Configuration(1, (ROUTE,), services)))
     harness.feed(ev.NodesUpdated(names))
     return harness
@@ -34,15 +36,15 @@
     return frozenset(f"n{number}" for number in range(count))
 
 
-def most_in_a_second(times: list[float]) -> int:
+def max_in_any_second(times: list[float]) -> int:
     times = sorted(times)
     return max((sum(at <= each < at + 1.0 for each in times) for at in times), default=0)
 
 
 @pytest.mark.parametrize("count", [1, 8, 90, 195, 770])
-def test_many_nodes_keep_a_cold_servers_bound_together(count: int) -> None:
-    """Each node has far more requests than it may send; the busiest second of all nodes counts."""
-    starts = [ColdStarts(f"n{number}", TERMS) for number in range(count)]
+def test_all_nodes_together_stay_within_the_limit_of_a_cold_server(count: int) -> None:
+    """Each node has far more requests than it may send; the busiest second over all nodes is checked."""
+    starts = [ColdStarts(f"n{number}", LIMITS) for number in range(count)]
     source = random.Random(count)
     sent: list[float] = []
     for each in starts:
@@ -50,41 +52,43 @@
     for step in range(100):
         now = 1000.0 + 0.05 * step
         for each in source.sample(starts, len(starts)):
-            if each.allows(COLD, BEARS_PER_S, now):
+            if each.allows(COLD, COLD_REQUESTS_PER_S, now):
                 each.sent(COLD, now)
                 sent.append(now)
-    assert 0 < most_in_a_second(sent) <= BOUND
+    assert 0 < max_in_any_second(sent) <= LIMIT_PER_S
 
 
-def test_nodes_that_count_one_another_differently_keep_it_too() -> None:
+def test_nodes_with_different_node_lists_stay_within_the_limit() -> None:
     sent: list[float] = []
     for number in range(40):
-        each = ColdStarts(f"n{number}", TERMS)
+        each = ColdStarts(f"n{number}", LIMITS)
         each.set_nodes(names(20) if number < 20 else names(40))
-        sent += [0.0 for _ in range(3) if each.allows(COLD, BEARS_PER_S, 0.0) and not each.sent(COLD, 0.0)]
-    assert len(sent) <= BOUND
+        sent += [
+            0.0 for _ in range(3) if each.allows(COLD, COLD_REQUESTS_PER_S, 0.0) and not each.sent(COLD, 0.0)
+        ]
+    assert len(sent) <= LIMIT_PER_S
 
 
-def test_a_node_that_knows_no_other_owns_nothing() -> None:
-    assert not ColdStarts("n1", TERMS).allows(COLD, BEARS_PER_S, 0.0)
+def test_node_without_a_node_list_sends_nothing_to_a_cold_server() -> None:
+    assert not ColdStarts("n1", LIMITS).allows(COLD, COLD_REQUESTS_PER_S, 0.0)
 
 
-def test_what_is_not_allowed_goes_to_warm_servers() -> None:
+def test_requests_beyond_the_limit_go_to_warm_servers() -> None:
     harnesses = [node(f"n{number}", names(90), "cold", "warm") for number in range(90)]
     for harness in harnesses:
         for _ in range(4):
             harness.arrive()
     cold = sum(each.server.instance == "cold" for harness in harnesses for each in harness.sent)
-    assert 0 < cold <= BOUND
+    assert 0 < cold <= LIMIT_PER_S
     assert sum(len(harness.sent) for harness in harnesses) == 360
 
 
-def test_a_server_without_a_bound_gets_work_while_it_is_cold() -> None:
-    harness = node("n1", names(90), "cold", bears_per_s=0.0)
+def test_cold_server_without_a_limit_gets_requests() -> None:
+    harness = node("n1", names(90), "cold", cold_requests_per_s=0.0)
     assert len([harness.arrive() for _ in range(20)]) == len(harness.sent) == 20
 
 
-def test_a_server_that_turns_cold_later_is_bounded_then() -> None:
+def test_server_that_becomes_cold_again_is_limited() -> None:
     harness = node("x", names(90), "warm")
     harness.arrive()
     assert len(harness.sent) == 1
--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -1,4 +1,4 @@
-"""Which wide requests a node hands over, and what it may still do after a coordinator was lost."""
+"""Which wide requests a node forwards to a coordinator, and what it may send once a coordinator is lost."""
 
 from dataclasses import replace
 
@@ -26,7 +26,7 @@
     return {node: Coordinator(f"{node}:80", reported_at_s) for node in ("n1", "n2")}
 
 
-def test_a_node_hands_its_wide_requests_to_the_same_coordinator_and_nodes_spread_over_them() -> None:
+def test_node_always_chooses_the_same_coordinator_and_nodes_spread_over_all() -> None:
     chosen = {
         own: {CoordinatorChoice(own).choose(WIDE, coordinators(), NOW) for _ in range(3)}
         for own in (f"w{number}" for number in range(20))
@@ -35,14 +35,14 @@
     assert set.union(*chosen.values()) == {"n1", "n2"}
 
 
-def test_narrow_and_single_requests_are_never_handed_over() -> None:
+def test_narrow_and_single_requests_are_never_forwarded() -> None:
     choice = CoordinatorChoice("w")
     assert choice.choose(gather_route(), coordinators(), NOW) is None
     assert choice.choose(single_route(), coordinators(), NOW) is None
     assert choice.choose(WIDE, {}, NOW) is None
 
 
-def test_a_coordinator_that_refused_is_left_alone_for_a_while() -> None:
+def test_coordinator_that_refused_is_skipped_for_a_while() -> None:
     choice = CoordinatorChoice("w")
     first = choice.choose(WIDE, coordinators(), NOW)
     assert first is not None
@@ -54,7 +54,7 @@
     assert choice.choose(WIDE, coordinators(), NOW + REFUSED_PAUSE_S) == first
 
 
-def test_a_coordinator_that_was_lost_is_left_alone_until_it_is_heard_of_again() -> None:
+def test_lost_coordinator_is_skipped_until_it_reports_again() -> None:
     choice = CoordinatorChoice("w")
     first = choice.choose(WIDE, coordinators(), NOW)
     assert first is not None
@@ -63,7 +63,7 @@
     assert choice.choose(WIDE, coordinators(NOW + 0.2), NOW + 0.2) == first
 
 
-def test_the_hop_is_learnt_and_counted_rather_too_long_than_too_short() -> None:
+def test_hop_estimate_follows_measurements_and_errs_on_the_long_side() -> None:
     choice = CoordinatorChoice("w")
     assert choice.hop_s == INITIAL_HOP_S
     for _ in range(60):
@@ -84,15 +84,13 @@
         ([], set()),
     ],
 )
-def test_strong_nodes_have_twice_the_processor_of_the_middle_one(
-    cores: list[float], strong: set[int]
-) -> None:
+def test_strong_nodes_have_twice_the_median_processor(cores: list[float], strong: set[int]) -> None:
     named = {f"n{number}": each for number, each in enumerate(cores)}
     assert strong_nodes(named) == {f"n{number}" for number in strong}
 
 
-def possibly_sent(harness: RouterHarness) -> str:
-    """A request that a lost coordinator may have sent to servers already."""
+def arrive_possibly_sent(harness: RouterHarness) -> str:
+    """Feed a request that a lost coordinator may already have sent to servers; return its key."""
     request = GatewayRequest(
         "k",
         "id-k",
@@ -110,9 +108,9 @@
     return "k"
 
 
-def test_what_a_lost_coordinator_may_have_sent_is_paid_for_as_a_second_time() -> None:
+def test_request_possibly_sent_by_a_lost_coordinator_is_charged_to_the_budget() -> None:
     harness = RouterHarness(gather_route(attempts=2))
-    key = possibly_sent(harness)
+    key = arrive_possibly_sent(harness)
     for attempt in harness.of(key):
         harness.answer(attempt, reply())
     final = harness.finals[key]
@@ -120,39 +118,39 @@
     assert final.summary.extra_attempts == len(harness.of(key)) == 4
 
 
-def test_after_a_lost_coordinator_no_shard_is_asked_more_often_than_its_route_allows() -> None:
+def test_request_possibly_sent_by_a_lost_coordinator_stays_within_the_routes_attempts() -> None:
     harness = RouterHarness(gather_route(attempts=2))
-    key = possibly_sent(harness)
+    key = arrive_possibly_sent(harness)
     for attempt in list(harness.of(key)):
         harness.fail(attempt)
     harness.advance(2.0)
     assert len(harness.of(key)) == 4
 
-    # The one that was lost may have hedged or repeated: all but the last attempt are taken as used.
-    thrice = RouterHarness(gather_route(attempts=3))
-    key = possibly_sent(thrice)
+    # The lost coordinator may have hedged or retried: all but the last attempt count as used.
+    three_attempts = RouterHarness(gather_route(attempts=3))
+    key = arrive_possibly_sent(three_attempts)
     for _ in range(3):
-        for attempt in list(thrice.of(key)):
-            thrice.fail(attempt)
-    thrice.advance(2.0)
-    assert len(thrice.of(key)) == 4
+        for attempt in list(three_attempts.of(key)):
+            three_attempts.fail(attempt)
+    three_attempts.advance(2.0)
+    assert len(three_attempts.of(key)) == 4
 
-    once = RouterHarness(gather_route(attempts=1))
-    key = possibly_sent(once)
-    assert once.of(key) == []
-    assert isinstance(once.finals[key], ev.Refuse)
+    one_attempt = RouterHarness(gather_route(attempts=1))
+    key = arrive_possibly_sent(one_attempt)
+    assert one_attempt.of(key) == []
+    assert isinstance(one_attempt.finals[key], ev.Refuse)
 
 
-def test_what_a_lost_coordinator_may_have_sent_is_never_said_not_to_have_run() -> None:
+def test_request_possibly_sent_by_a_lost_coordinator_is_refused_as_may_have_run() -> None:
     route: Route = replace(gather_route(attempts=1), name="wide")
     harness = RouterHarness(route)
-    key = possibly_sent(harness)
+    key = arrive_possibly_sent(harness)
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
 
 
-def test_a_zone_without_strong_nodes_gathers_by_itself() -> None:
+def test_every_node_gathers_in_a_zone_without_strong_nodes() -> None:
     nodes = [("a1", "a", 0.5), ("a2", "a", 0.5), ("a3", "a", 2.0), ("b1", "b", 0.5), ("b2", "b", 0.5)]
     assert gathering_nodes(nodes) == {"a3", "b1", "b2"}
     assert gathering_nodes([each for each in nodes if each[0] != "a3"]) == frozenset()
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Nothing new goes to the servers of an evacuated zone, or of a region that a route doesn't allow."""
+"""Servers of an evacuated zone, or of a region that a route does not allow, get no new requests."""
 
 from dataclasses import replace
 
@@ -27,7 +27,7 @@
     assert zones_of(harness, harness.arrive()) == ["z1"]
 
 
-def test_hedges_and_retries_avoid_it() -> None:
+def test_hedges_and_retries_avoid_an_evacuated_zone() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     harness.feed(ev.ZoneEvacuated("z2"))
@@ -40,7 +40,7 @@
     assert set(zones_of(harness, retried)) == {"z1"}
 
 
-def test_whoever_waits_for_room_does_not_get_it_there() -> None:
+def test_queued_requests_are_not_sent_to_an_evacuated_zone() -> None:
     harness = RouterHarness(ONE_SHARD, nodes=50)
     harness.warm_up()
     for _ in range(4):
@@ -56,7 +56,7 @@
     assert all(key in harness.finals for key in waiting)
 
 
-def test_a_server_whose_entry_vanished_is_no_last_resort_there() -> None:
+def test_server_whose_entry_vanished_is_no_last_resort_in_an_evacuated_zone() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.feed(ev.ServerRemoved("s1-z2"))
     harness.feed(ev.ZoneEvacuated("z1"))
@@ -65,7 +65,7 @@
     assert harness.of(key) == []
 
 
-def test_what_only_an_evacuated_zone_could_serve_is_rejected_at_once_as_not_run() -> None:
+def test_request_that_only_an_evacuated_zone_could_serve_is_refused_as_not_run() -> None:
     harness = RouterHarness(ONE_SHARD, single_route(), servers=(server("a", "s1"), server("b", "desk")))
     harness.feed(ev.ZoneEvacuated("z1"))
     for path in ("/wide/x", "/one/x"):
@@ -75,7 +75,7 @@
     assert harness.sent == []
 
 
-def test_what_is_under_way_there_ends_by_itself() -> None:
+def test_attempt_in_flight_in_an_evacuated_zone_is_not_cancelled() -> None:
     harness = RouterHarness(ONE_SHARD)
     key = harness.arrive()
     harness.feed(ev.ZoneEvacuated("z1"))
@@ -84,23 +84,23 @@
     assert harness.cancelled == []
 
 
-def test_several_zones_at_once_and_a_whole_list() -> None:
+def test_several_evacuated_zones_and_their_replacement_by_a_complete_list() -> None:
     harness = RouterHarness(ONE_SHARD, servers=tuple(server(f"a{n}", "s1", f"z{n}") for n in (1, 2, 3)))
     harness.feed(ev.ZoneEvacuated("z1"))
     harness.feed(ev.ZoneEvacuated("z2"))
     assert zones_of(harness, harness.arrive()) == ["z3"]
     harness.feed(ev.EvacuationsReplaced(frozenset({"z3"})))
     assert zones_of(harness, harness.arrive()) == ["z1"]
-    told = [
+    logged = [
         (note.details["zone"], note.details["evacuated"])
         for note in harness.notes
         if note.name == "zone_evacuated"
     ]
-    assert told == [("z1", True), ("z2", True), ("z1", False), ("z2", False), ("z3", True)]
+    assert logged == [("z1", True), ("z2", True), ("z1", False), ("z2", False), ("z3", True)]
 
 
 @pytest.mark.parametrize(("regions", "zones"), [(("r2",), {"z2"}), (("r1",), {"z1"}), ((), {"z1"})])
-def test_a_route_with_regions_reaches_no_other(regions: tuple[str, ...], zones: set[str]) -> None:
+def test_route_with_regions_reaches_no_other_region(regions: tuple[str, ...], zones: set[str]) -> None:
     options = GatewayOptions("z1", regions={"z1": "r1", "z2": "r2"}, budget=TERMS)
     harness = RouterHarness(servers=(server("a", "s1", "z1"), server("b", "s1", "z2")), options=options)
     harness.feed(ev.ConfigurationReceived(configuration(1, replace(ONE_SHARD, regions=regions))))
--- a/tests/gateway/test_rollout_random.py
+++ b/tests/gateway/test_rollout_random.py
@@ -1,10 +1,10 @@
-"""Seeded walks through orders, words, servers that come and go, faults and time: what is sent where."""
+"""Seeded random walks over orders, decisions, servers, faults and time check which versions get requests."""
 
 import random
 
 import pytest
 from harness import failure, reply, single_route
-from rolled_out import CANARY, COMPLETED, ORDERED, ROLLED_BACK, SWITCHING, RolledOut, servers_of
+from rolled_out import CANARY, COMPLETED, ORDERED, ROLLED_BACK, SWITCHING, RolloutHarness, servers_of
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.messages import Attempt
@@ -12,16 +12,16 @@
 from yokesill.verdict import Reason, Verdict
 
 STEPS = 150
-# How long all old entries must be gone until the new version may take their place.
-GONE_S = GatewayOptions(zone="z1").removed_grace_s
+# How long all entries of the old version must be gone until the new version may be used instead.
+REMOVED_GRACE_S = GatewayOptions(zone="z1").removed_grace_s
 
 
-class Walk:
-    """One router, and what may be sent by what it obeys and which entries stand."""
+class RandomWalk:
+    """A router and the listed entries, with a check of each attempt against the effective state."""
 
     def __init__(self, seed: int) -> None:
         self.random = random.Random(seed)
-        self.harness = RolledOut(single_route(attempts=3))
+        self.harness = RolloutHarness(single_route(attempts=3))
         self.records = {each.instance: each for v in ("v1", "v2") for each in servers_of("desk", v)}
         self.old_listed_at = self.harness.now
         self.listed = set(self.records)
@@ -31,14 +31,14 @@
 
     def step(self) -> None:
         actions = (
-            self.ask,
-            self.ask,
-            self.ask,
-            self.end,
-            self.end,
-            self.word,
-            self.record,
-            self.entry,
+            self.send_request,
+            self.send_request,
+            self.send_request,
+            self.end_attempt,
+            self.end_attempt,
+            self.decide,
+            self.record_state,
+            self.toggle_entry,
             self.wait,
         )
         self.random.choice(actions)()
@@ -56,21 +56,21 @@
             assert version == "v1"
         elif state is COMPLETED:
             assert version == "v2"
-        elif self.harness.now - self.old_listed_at < GONE_S:
+        elif self.harness.now - self.old_listed_at < REMOVED_GRACE_S:
             first = self.harness.of(attempt.request.key)[0] is attempt
             if state is ORDERED or (state is CANARY and not first):
                 assert version == "v1"
             if state is SWITCHING and {"desk-v2-1", "desk-v2-2"} <= self.listed:
                 assert version == "v2"
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         self.harness.arrive("/one/x")
 
-    def end(self) -> None:
-        under_way = [each for each in self.harness.sent if each.number not in self.answered]
-        if not under_way:
+    def end_attempt(self) -> None:
+        in_flight = [each for each in self.harness.sent if each.number not in self.answered]
+        if not in_flight:
             return
-        attempt = self.random.choice(under_way)
+        attempt = self.random.choice(in_flight)
         self.answered.add(attempt.number)
         if self.random.random() < 0.7:
             self.harness.answer(attempt, reply(status=self.random.choice((200, 200, 500))))
@@ -78,20 +78,20 @@
             shed = failure(Reason.SHED, Verdict.NOT_RUN)
             self.harness.fail(attempt, self.random.choice((failure(), shed)))
 
-    def word(self) -> None:
-        told = self.random.choices((ORDERED, CANARY, SWITCHING, ROLLED_BACK), (2, 20, 1, 0.3))[0]
-        self.harness.hear(told, self.random.choice((0.1, 1.0)))
+    def decide(self) -> None:
+        state = self.random.choices((ORDERED, CANARY, SWITCHING, ROLLED_BACK), (2, 20, 1, 0.3))[0]
+        self.harness.receive_decisions(state, self.random.choice((0.1, 1.0)))
 
-    def record(self) -> None:
-        """Record a later state; a final one stays."""
+    def record_state(self) -> None:
+        """Record a later state, unless the recorded state is final."""
         recorded = self.harness.orders["desk"].state
         if not recorded.final:
             states = (CANARY, SWITCHING, COMPLETED, ROLLED_BACK)
             state = self.random.choices(states, (8, 2, 0.5, 0.3))[0]
             if state.rank > recorded.rank:
-                self.harness.record(state)
+                self.harness.record_state(state)
 
-    def entry(self) -> None:
+    def toggle_entry(self) -> None:
         name = self.random.choice(sorted(self.records))
         if name in self.listed:
             self.listed.discard(name)
@@ -105,8 +105,8 @@
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_nothing_is_sent_where_it_may_not_go(seed: int) -> None:
-    walk = Walk(seed)
+def test_random_events_never_send_a_request_to_a_forbidden_version(seed: int) -> None:
+    walk = RandomWalk(seed)
     for _ in range(STEPS):
         walk.step()
     assert walk.versions_sent
--- a/tests/gateway/test_rollout_versions.py
+++ b/tests/gateway/test_rollout_versions.py
@@ -1,4 +1,4 @@
-"""Whatever chooses a server keeps to the versions that may be reached."""
+"""Every rule that chooses a server uses only versions that may be reached."""
 
 from collections.abc import Callable
 from dataclasses import replace
@@ -12,7 +12,7 @@
     ORDERED,
     ROLLED_BACK,
     SWITCHING,
-    RolledOut,
+    RolloutHarness,
     order_for,
     servers_of,
 )
@@ -27,12 +27,12 @@
 
 
 @pytest.mark.parametrize("ordered", [False, True])
-def test_first_attempts_go_to_no_version_that_nobody_decided_on(ordered: bool) -> None:
-    assert RolledOut(ordered=ordered).ask() == {"v1"}
+def test_first_attempts_stay_at_the_old_version_without_a_decision(ordered: bool) -> None:
+    assert RolloutHarness(ordered=ordered).send_requests() == {"v1"}
 
 
-def test_hedges_go_to_no_other_version() -> None:
-    harness = RolledOut(ordered=False)
+def test_hedges_stay_at_the_old_version_without_an_order() -> None:
+    harness = RolloutHarness(ordered=False)
     harness.warm_up()
     for instance in ("s1-v1-2", "s1-v2-2"):
         harness.feed(ev.ServerRemoved(instance))
@@ -42,79 +42,79 @@
     assert harness.versions(late) == ["v1"]
 
 
-def test_retries_go_to_no_other_version() -> None:
-    harness = RolledOut(ordered=False)
+def test_retries_stay_at_the_old_version_without_an_order() -> None:
+    harness = RolloutHarness(ordered=False)
     key = harness.arrive()
     for _ in range(2):
         harness.fail(harness.of(key)[-1], SHED)
     assert harness.versions(key) == ["v1", "v1"]
 
 
-def waiting_for_room(ordered: bool) -> tuple[RolledOut, list[str]]:
-    """A node at which requests wait for room at the old version's servers, which are slow."""
-    harness = RolledOut(ordered=ordered)
+def with_queued_requests(ordered: bool) -> tuple[RolloutHarness, list[str]]:
+    """Return a node at which requests are queued for the slow servers of the old version."""
+    harness = RolloutHarness(ordered=ordered)
     harness.feed(ev.NodeCountUpdated(50))
     slowed(harness, ("s1",))
     keys = [harness.arrive(patience=6.0) for _ in range(8)]
-    waiting = [key for key in keys if not harness.of(key)]
-    assert waiting
-    return harness, waiting
+    queued = [key for key in keys if not harness.of(key)]
+    assert queued
+    return harness, queued
 
 
-def test_whoever_waits_for_room_does_not_get_it_at_another_version() -> None:
-    harness, waiting = waiting_for_room(ordered=False)
+def test_queued_requests_stay_at_the_old_version_without_an_order() -> None:
+    harness, queued = with_queued_requests(ordered=False)
     harness.advance(6.0)
-    assert all(key in harness.finals for key in waiting)
+    assert all(key in harness.finals for key in queued)
     assert {each.server.version for each in harness.sent} == {"v1"}
 
 
-def test_whoever_waits_for_room_gets_it_at_the_new_version_once_that_is_switched_to() -> None:
-    harness, waiting = waiting_for_room(ordered=True)
-    harness.record(SWITCHING)
+def test_queued_requests_go_to_the_new_version_after_the_switch() -> None:
+    harness, queued = with_queued_requests(ordered=True)
+    harness.record_state(SWITCHING)
     harness.advance(6.0)
-    assert {version for key in waiting for version in harness.versions(key)} == {"v2"}
+    assert {version for key in queued for version in harness.versions(key)} == {"v2"}
 
 
-def test_a_vanished_entry_of_another_version_is_no_last_resort() -> None:
-    harness = RolledOut(ordered=False)
+def test_vanished_entry_of_another_version_is_no_last_resort() -> None:
+    harness = RolloutHarness(ordered=False)
     for instance in ("s1-v1-1", "s1-v1-2", "s1-v2-1", "s1-v2-2"):
         harness.feed(ev.ServerRemoved(instance))
     assert harness.versions(harness.arrive()) == ["v1"]
 
 
-def test_a_vanished_entry_of_the_old_version_is_a_last_resort_before_the_new_one_is() -> None:
-    harness = RolledOut()
+def test_vanished_entry_of_the_old_version_is_preferred_to_the_new_version() -> None:
+    harness = RolloutHarness()
     for instance in ("s1-v1-1", "s1-v1-2"):
         harness.feed(ev.ServerRemoved(instance))
     assert harness.versions(harness.arrive()) == ["v1"]
     harness.advance(3.0)
     assert harness.versions(harness.arrive()) == ["v2"]
-    harness.hear(ROLLED_BACK)
+    harness.receive_decisions(ROLLED_BACK)
     assert harness.versions(harness.arrive()) == []
 
 
-def test_the_last_server_of_the_old_version_is_not_gone_around() -> None:
-    harness = RolledOut()
+def test_last_server_of_the_old_version_is_not_suspected() -> None:
+    harness = RolloutHarness()
     harness.feed(ev.ServerSuspected("s1-v1-1", 5.0))
     harness.feed(ev.ServerSuspected("s1-v1-2", 5.0))
-    assert harness.ask(requests=3) == {"v1"}
+    assert harness.send_requests(requests=3) == {"v1"}
     assert [note.details["instance"] for note in harness.notes if note.name == "server_state"] == ["s1-v1-1"]
 
 
-def test_the_last_server_of_the_new_version_is_not_gone_around() -> None:
-    harness = RolledOut()
-    harness.record(SWITCHING)
+def test_last_server_of_the_new_version_is_not_suspected() -> None:
+    harness = RolloutHarness()
+    harness.record_state(SWITCHING)
     for number in (1, 2):
         harness.feed(ev.ServerSuspected(f"s1-v2-{number}", 5.0))
     assert [note.details["instance"] for note in harness.notes if note.name == "server_state"] == ["s1-v2-1"]
 
 
-def test_what_a_lost_coordinator_may_have_asked_keeps_to_the_old_version() -> None:
-    harness = RolledOut()
-    harness.hear(CANARY)
+def test_request_possibly_sent_by_a_lost_coordinator_goes_to_the_old_version() -> None:
+    harness = RolloutHarness()
+    harness.receive_decisions(CANARY)
     key = harness.arrive()
-    handed_over = replace(harness.of(key)[0].request, key="again", possibly_sent=True)
-    harness.feed(ev.RequestArrived(handed_over))
+    resent = replace(harness.of(key)[0].request, key="again", possibly_sent=True)
+    harness.feed(ev.RequestArrived(resent))
     assert (harness.versions(key), harness.versions("again")) == (["v2"], ["v1"])
 
 
@@ -127,34 +127,36 @@
         ((SWITCHING, COMPLETED), {"v2"}),
     ],
 )
-@pytest.mark.parametrize("tell", [RolledOut.hear, RolledOut.record])
-def test_each_state_is_obeyed_at_once(
-    states: tuple[RolloutState, ...], reached: set[str], tell: Callable[[RolledOut, RolloutState], None]
+@pytest.mark.parametrize("update", [RolloutHarness.receive_decisions, RolloutHarness.record_state])
+def test_each_state_takes_effect_immediately(
+    states: tuple[RolloutState, ...],
+    reached: set[str],
+    update: Callable[[RolloutHarness, RolloutState], None],
 ) -> None:
-    harness = RolledOut()
+    harness = RolloutHarness()
     for state in states:
-        tell(harness, state)
-    assert harness.ask() == reached
+        update(harness, state)
+    assert harness.send_requests() == reached
     harness.advance(10.0)
-    assert harness.ask() == reached
+    assert harness.send_requests() == reached
 
 
-def test_a_withdrawn_order_leaves_the_old_version() -> None:
-    harness = RolledOut()
-    harness.record(SWITCHING)
+def test_withdrawn_order_leaves_the_old_version_in_service() -> None:
+    harness = RolloutHarness()
+    harness.record_state(SWITCHING)
     harness.feed(ev.RolloutWithdrawn("s1"))
-    harness.hear(SWITCHING)
-    assert harness.ask() == {"v1"}
+    harness.receive_decisions(SWITCHING)
+    assert harness.send_requests() == {"v1"}
 
 
-def test_an_order_for_another_version_begins_at_the_old_one() -> None:
-    harness = RolledOut()
-    harness.record(SWITCHING)
+def test_order_for_another_version_starts_at_the_old_version() -> None:
+    harness = RolloutHarness()
+    harness.record_state(SWITCHING)
     for record in servers_of("s1", "v3"):
         harness.feed(ev.ServerListed(record))
     harness.feed(ev.RolloutOrdered(order_for("s1", "v3")._replace(revision=20)))
-    harness.hear(SWITCHING)
-    assert harness.ask() == {"v1"}
+    harness.receive_decisions(SWITCHING)
+    assert harness.send_requests() == {"v1"}
 
 
 @pytest.mark.parametrize(
@@ -162,10 +164,12 @@
     [(ORDERED, {"v1"}), (CANARY, {"v1"}), (SWITCHING, {"v2"}), (COMPLETED, {"v2"}), (ROLLED_BACK, {"v1"})],
 )
 @pytest.mark.parametrize("source", ["feed", "snapshot", "words"])
-def test_a_node_that_starts_in_mid_roll_out(state: RolloutState, reached: set[str], source: str) -> None:
-    before = RolledOut()
-    before.record(state)
-    starting = RolledOut(ordered=False, servers=(server("other", "other"),))
+def test_node_that_starts_during_a_rollout_reaches_the_effective_version(
+    state: RolloutState, reached: set[str], source: str
+) -> None:
+    before = RolloutHarness()
+    before.record_state(state)
+    starting = RolloutHarness(ordered=False, servers=(server("other", "other"),))
     starting.orders = before.orders
     listed = ev.ServersReplaced((*servers_of("s1", "v1", 2), *servers_of("s1", "v2", 3)))
     if source == "snapshot":
@@ -176,48 +180,48 @@
         for event in decode_snapshot(encode_snapshot(configuration, [], frozenset(), *orders)):
             starting.feed(event)
     elif source == "words":
-        starting.hear(state)
+        starting.receive_decisions(state)
     starting.feed(listed)
     if source == "feed":
-        starting.record(state)
+        starting.record_state(state)
     if source == "words" and state in (ORDERED, CANARY):
-        # Nobody told it of an order: most servers are of the new version, and no word says otherwise.
+        # The node knows of no order: most servers have the new version, and no decision says otherwise.
         reached = {"v2"}
-    assert starting.ask() == reached
+    assert starting.send_requests() == reached
 
 
-def test_the_old_version_is_asked_in_the_end_if_no_new_server_can_be() -> None:
-    harness = RolledOut()
-    harness.record(SWITCHING)
+def test_old_version_is_used_if_all_servers_of_the_new_version_are_leaving() -> None:
+    harness = RolloutHarness()
+    harness.record_state(SWITCHING)
     for number in (1, 2):
         harness.feed(ev.ServerListed(server(f"s1-v2-{number}", "s1", leaving=True, version="v2")))
-    assert harness.ask() == {"v1"}
+    assert harness.send_requests() == {"v1"}
 
 
-def test_a_vanished_entry_of_the_new_version_is_asked_after_the_old_one() -> None:
-    harness = RolledOut()
-    harness.record(SWITCHING)
+def test_vanished_entry_of_the_new_version_ranks_after_the_old_version() -> None:
+    harness = RolloutHarness()
+    harness.record_state(SWITCHING)
     for number in (1, 2):
         harness.feed(ev.ServerRemoved(f"s1-v2-{number}"))
-    assert harness.ask() == {"v1"}
+    assert harness.send_requests() == {"v1"}
     for number in (1, 2):
         harness.feed(ev.ServerRemoved(f"s1-v1-{number}"))
     assert harness.versions(harness.arrive()) != []
 
 
-def test_a_hedge_of_what_is_switched_over_stays_at_the_new_version() -> None:
-    harness = RolledOut()
+def test_hedge_after_the_switch_stays_at_the_new_version() -> None:
+    harness = RolloutHarness()
     harness.warm_up()
-    harness.record(SWITCHING)
+    harness.record_state(SWITCHING)
     key = harness.arrive()
     harness.advance(0.5)
     assert harness.versions(key) == ["v2", "v2"]
 
 
-def test_also_if_no_new_server_can_be_asked_any_more() -> None:
-    harness = RolledOut()
+def test_request_sent_to_the_new_version_is_not_hedged_at_the_old_one() -> None:
+    harness = RolloutHarness()
     harness.warm_up()
-    harness.record(SWITCHING)
+    harness.record_state(SWITCHING)
     key = harness.arrive()
     harness.feed(ev.ServerListed(server("s1-v1-3", "s1", "z3", version="v1")))
     harness.feed(ev.EvacuationsReplaced(frozenset({"z1", "z2"})))
@@ -226,9 +230,9 @@
     assert harness.versions(harness.arrive()) == ["v1"]
 
 
-def test_a_retry_of_what_is_switched_over_stays_at_the_new_version() -> None:
-    harness = RolledOut()
-    harness.record(SWITCHING)
+def test_retry_after_the_switch_stays_at_the_new_version() -> None:
+    harness = RolloutHarness()
+    harness.record_state(SWITCHING)
     harness.feed(ev.ServerRemoved("s1-v2-2"))
     harness.advance(3.0)
     key = harness.arrive()
@@ -236,27 +240,27 @@
     assert harness.versions(key) == ["v2"]
 
 
-def test_an_evacuated_zone_of_the_new_version_is_not_asked() -> None:
-    harness = RolledOut()
+def test_evacuated_zones_of_the_new_version_get_no_requests() -> None:
+    harness = RolloutHarness()
     harness.feed(ev.EvacuationsReplaced(frozenset({"z2"})))
-    harness.record(SWITCHING)
-    assert harness.ask() == {"v2"}
+    harness.record_state(SWITCHING)
+    assert harness.send_requests() == {"v2"}
     assert {each.server.zone for each in harness.sent} == {"z1"}
     harness.feed(ev.EvacuationsReplaced(frozenset({"z1", "z2"})))
     assert harness.versions(harness.arrive()) == []
 
 
-def test_servers_replaced_at_the_same_version_are_served_as_ever() -> None:
-    harness = RolledOut(ordered=False, servers=servers_of("s1", "v1"))
+def test_replacement_servers_of_the_same_version_get_requests() -> None:
+    harness = RolloutHarness(ordered=False, servers=servers_of("s1", "v1"))
     harness.feed(ev.ServerListed(server("next", "s1", version="v1")))
     harness.feed(ev.ServerRemoved("s1-v1-1"))
     harness.feed(ev.ServerRemoved("s1-v1-2"))
     harness.advance(3.0)
-    harness.ask(requests=3)
+    harness.send_requests(requests=3)
     assert harness.counts() == {"next": 3}
 
 
-def test_where_nothing_is_rolled_out_every_version_is_served() -> None:
+def test_all_versions_get_requests_if_rollouts_are_disabled() -> None:
     records = (*servers_of("s1", "v1", 1), *servers_of("s1", "v2", 1))
     harness = RouterHarness(ONE_SHARD, servers=records)
     harness.feed(ev.RolloutOrdered(order_for("s1")))
@@ -265,13 +269,13 @@
     assert {each.server.version for each in harness.sent} == {"v1", "v2"}
 
 
-def test_notes_tell_what_was_learnt_and_what_is_obeyed() -> None:
-    harness = RolledOut()
-    harness.hear(SWITCHING)
-    harness.record(SWITCHING)
+def test_log_events_contain_recorded_and_effective_states() -> None:
+    harness = RolloutHarness()
+    harness.receive_decisions(SWITCHING)
+    harness.record_state(SWITCHING)
     harness.feed(ev.RolloutWithdrawn("s1"))
-    told = [(note.name, note.details["state"]) for note in harness.notes if note.name.startswith("rollout")]
-    assert told == [
+    logged = [(note.name, note.details["state"]) for note in harness.notes if note.name.startswith("rollout")]
+    assert logged == [
         ("rollout_learnt", ORDERED),
         ("rollout_obeyed", ORDERED),
         ("rollout_obeyed", SWITCHING),
@@ -281,10 +285,10 @@
     ]
 
 
-def test_what_is_under_way_at_old_servers_is_counted_until_it_ends() -> None:
-    harness = RolledOut(single_route())
+def test_attempts_in_flight_at_old_servers_are_reported_until_they_end() -> None:
+    harness = RolloutHarness(single_route())
     early = harness.arrive("/one/x")
-    harness.record(SWITCHING)
+    harness.record_state(SWITCHING)
     late = harness.arrive("/one/x")
     assert (harness.versions(early), harness.versions(late)) == (["v1"], ["v2"])
     report = harness.report()
@@ -293,16 +297,16 @@
     assert harness.report().old_in_flight == 0
 
 
-def test_an_order_known_by_words_alone_is_reported_on_but_nobodys_to_decide() -> None:
-    harness = RolledOut(ordered=False)
-    harness.hear(SWITCHING)
-    assert harness.ask() == {"v2"}
+def test_order_known_only_from_decisions_is_reported_but_not_listed_as_open() -> None:
+    harness = RolloutHarness(ordered=False)
+    harness.receive_decisions(SWITCHING)
+    assert harness.send_requests() == {"v2"}
     assert harness.report().state is SWITCHING
     assert harness.router.open_orders() == ()
 
 
-def test_versions_are_counted_for_whoever_decides() -> None:
-    harness = RolledOut(ordered=False)
+def test_version_counts_exclude_removed_and_leaving_servers() -> None:
+    harness = RolloutHarness(ordered=False)
     harness.feed(ev.ServerRemoved("s1-v1-1"))
     harness.feed(ev.ServerListed(server("s1-v2-2", "s1", leaving=True, version="v2")))
     assert harness.router.version_counts("s1") == {"v1": 1, "v2": 1}
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -1,4 +1,4 @@
-"""Which servers get work: near ones, sound ones, never leaving ones."""
+"""Which servers get requests: near and healthy ones, and never leaving ones."""
 
 from dataclasses import replace
 
@@ -19,11 +19,11 @@
 from yokesill.verdict import Reason, Verdict
 
 ONE_SHARD = gather_route(services=("s1",))
-PLACES = 3
+SERVERS = 3
 
 
-def ask(harness: RouterHarness, latency: float = 0.02) -> str:
-    """Ask once; the first server answers after ``latency``, any other one at once. Returns the first."""
+def send_request(harness: RouterHarness, latency: float = 0.02) -> str:
+    """Send a request; its first server answers after ``latency``, others at once. Return the first."""
     key = harness.arrive()
     attempt = harness.of(key)[0]
     answered = 1
@@ -38,12 +38,12 @@
     return attempt.server.instance
 
 
-def test_the_nearest_server_gets_the_work() -> None:
+def test_nearest_server_is_selected() -> None:
     harness = RouterHarness(ONE_SHARD)
-    assert {ask(harness) for _ in range(20)} == {"s1-z1"}
+    assert {send_request(harness) for _ in range(20)} == {"s1-z1"}
 
 
-def test_work_goes_further_when_the_near_server_is_full() -> None:
+def test_requests_go_to_another_zone_if_the_nearest_server_is_full() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     keys = [harness.arrive() for _ in range(4)]
@@ -51,7 +51,7 @@
     assert zones.count("z2") >= 1
 
 
-def test_a_reported_queue_moves_work_away() -> None:
+def test_server_that_reports_a_queue_is_avoided_while_the_report_is_fresh() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
@@ -62,7 +62,7 @@
     assert harness.of(harness.arrive())[0].server.zone == "z1"
 
 
-def test_a_report_of_this_very_request_alone_moves_nothing() -> None:
+def test_load_report_that_only_includes_its_own_request_changes_nothing() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
@@ -70,7 +70,7 @@
     assert harness.of(harness.arrive())[0].server.zone == "z1"
 
 
-def test_what_a_new_connection_costs_everywhere_is_not_distance() -> None:
+def test_connecting_cost_common_to_all_zones_does_not_count_as_distance() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     for seconds in (0.0062, 0.030, 0.0064):
@@ -82,39 +82,39 @@
     key = harness.arrive()
     harness.answer(harness.of(key)[0], connected_in=0.0078)
     harness.feed(ev.ServerListed(server("s1-z1b", "s1", "z1")))
-    assert ask(harness) == "s1-z1b"
+    assert send_request(harness) == "s1-z1b"
     distances = harness.router.servers.distances
     assert distances.extra_round_trip("z1") == 0.0
     assert 0.0 < distances.extra_round_trip("z2") < 0.003
 
 
-def test_one_slow_answer_is_a_pause_two_in_a_row_are_a_slow_server() -> None:
+def test_two_slow_answers_in_a_row_eject_a_server_but_one_does_not() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
-    assert ask(harness, 0.15) == "s1-z1"
-    assert ask(harness, 0.15) == "s1-z1"
-    assert ask(harness) == "s1-z2"
+    assert send_request(harness, 0.15) == "s1-z1"
+    assert send_request(harness, 0.15) == "s1-z1"
+    assert send_request(harness) == "s1-z2"
     assert any(note.details.get("state") == "ejected" for note in harness.notes)
 
 
 def test_one_pause_does_not_divert_requests_once_it_is_over() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
-    ask(harness, 0.15)
-    assert [ask(harness) for _ in range(5)] == ["s1-z1"] * 5
+    send_request(harness, 0.15)
+    assert [send_request(harness) for _ in range(5)] == ["s1-z1"] * 5
 
 
-def test_a_slow_server_is_tried_again_and_comes_back() -> None:
+def test_ejected_server_is_probed_and_returns() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
-    ask(harness, 0.15)
-    ask(harness, 0.15)
+    send_request(harness, 0.15)
+    send_request(harness, 0.15)
     harness.advance(1.0)
-    ask(harness)
-    assert [ask(harness) for _ in range(3)] == ["s1-z1"] * 3
+    send_request(harness)
+    assert [send_request(harness) for _ in range(3)] == ["s1-z1"] * 3
 
 
-def test_while_an_attempt_is_stalled_its_server_gets_no_first_attempts() -> None:
+def test_server_with_a_stalled_attempt_gets_no_first_attempts() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     stalled = harness.of(harness.arrive())[0]
@@ -122,7 +122,7 @@
     assert harness.of(harness.arrive())[0].server.instance != stalled.server.instance
 
 
-def test_a_server_that_lost_one_answer_is_not_taken_for_dark() -> None:
+def test_server_that_lost_one_answer_is_not_treated_as_stalled() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     lost, *later = [harness.of(harness.arrive())[0] for _ in range(3)]
@@ -135,10 +135,10 @@
         harness.answer(each)
     harness.advance(0.1)
     assert harness.now - lost.request.arrived_at_s > 0.1
-    assert ask(harness) == lost.server.instance
+    assert send_request(harness) == lost.server.instance
 
 
-def test_a_dark_shard_costs_neither_budget_nor_time() -> None:
+def test_shard_whose_servers_are_failing_is_skipped() -> None:
     harness = RouterHarness(gather_route())
     for _ in range(3):
         key = harness.arrive()
@@ -156,7 +156,7 @@
     assert isinstance(harness.finals[key], ev.Gathered)
 
 
-def test_a_single_request_tries_a_failing_server_rather_than_nobody() -> None:
+def test_single_request_tries_a_failing_server_if_there_is_no_other() -> None:
     harness = RouterHarness(single_route(), servers=(server("a", "desk"),))
     for _ in range(3):
         key = harness.arrive("/one/x", 6.0)
@@ -164,35 +164,35 @@
     assert len(harness.of(harness.arrive("/one/x", 6.0))) == 1
 
 
-def test_a_leaving_server_gets_no_new_work_of_any_kind() -> None:
+def test_leaving_server_gets_no_new_requests() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.feed(ev.ServerListed(server("s1-z1", "s1", leaving=True)))
     harness.advance(60.0)
-    assert {ask(harness) for _ in range(10)} == {"s1-z2"}
+    assert {send_request(harness) for _ in range(10)} == {"s1-z2"}
     key = harness.arrive()
     harness.fail(harness.of(key)[0])
     assert {each.server.instance for each in harness.of(key)} == {"s1-z2"}
 
 
-def test_an_entry_that_vanished_is_a_last_resort_for_a_moment_only() -> None:
+def test_server_whose_entry_vanished_is_a_last_resort_during_the_grace_period() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.feed(ev.ServerRemoved("s1-z1"))
-    assert ask(harness) == "s1-z2"
+    assert send_request(harness) == "s1-z2"
     harness.feed(ev.ServerRemoved("s1-z2"))
-    assert ask(harness) in {"s1-z1", "s1-z2"}
+    assert send_request(harness) in {"s1-z1", "s1-z2"}
     harness.advance(2.0)
     assert harness.of(harness.arrive()) == []
     harness.feed(ev.ServerListed(server("s1-z1", "s1")))
-    assert ask(harness) == "s1-z1"
+    assert send_request(harness) == "s1-z1"
 
 
-def test_a_full_list_removes_whom_it_does_not_name() -> None:
+def test_complete_list_removes_servers_that_it_does_not_contain() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.feed(ev.ServersReplaced((server("s1-z2", "s1", "z2"),)))
-    assert ask(harness) == "s1-z2"
+    assert send_request(harness) == "s1-z2"
 
 
-def test_a_reused_address_is_another_server() -> None:
+def test_server_that_is_no_longer_at_its_address_gets_no_more_requests() -> None:
     harness = RouterHarness(ONE_SHARD)
     key = harness.arrive()
     first = harness.of(key)[0]
@@ -200,10 +200,10 @@
     again = harness.of(key)[1]
     assert again.server.instance != first.server.instance
     harness.answer(again)
-    assert {ask(harness) for _ in range(5)} == {again.server.instance}
+    assert {send_request(harness) for _ in range(5)} == {again.server.instance}
 
 
-def test_a_server_that_rejects_is_left_alone_for_a_moment_but_not_ejected() -> None:
+def test_server_that_rejects_a_request_is_avoided_briefly_but_not_ejected() -> None:
     harness = RouterHarness(ONE_SHARD)
     key = harness.arrive()
     harness.fail(harness.of(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
@@ -212,10 +212,10 @@
     assert again.server.instance == "s1-z2"
     harness.answer(again)
     harness.advance(0.2)
-    assert ask(harness) == "s1-z1"
+    assert send_request(harness) == "s1-z1"
 
 
-def test_connections_to_a_server_are_shared_among_the_nodes() -> None:
+def test_connection_limit_is_divided_among_the_nodes() -> None:
     harness = RouterHarness(ONE_SHARD, nodes=8)
     first = harness.of(harness.arrive())[0]
     assert first.connection_limit == 1
@@ -225,7 +225,7 @@
     assert 8 * limit <= 100 < 8 * (limit + 3)
 
 
-def test_a_failing_servers_error_counts_against_it() -> None:
+def test_server_error_diverts_the_next_request_to_another_server() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
     first = harness.of(key)[0]
@@ -234,7 +234,7 @@
     assert harness.of(harness.arrive("/one/x", 6.0))[0].server.instance != first.server.instance
 
 
-def test_a_server_whose_connections_are_all_in_use_is_not_the_first_choice() -> None:
+def test_server_with_all_connections_in_use_is_not_selected_first() -> None:
     harness = RouterHarness(ONE_SHARD, nodes=90)
     harness.warm_up()
     first = harness.of(harness.arrive())[0]
@@ -242,7 +242,7 @@
     assert harness.of(harness.arrive())[0].server.instance != first.server.instance
 
 
-def test_a_server_that_is_long_gone_is_forgotten_with_all_that_is_kept_for_it() -> None:
+def test_server_removed_long_ago_is_dropped_with_its_state() -> None:
     harness = RouterHarness(ONE_SHARD)
     forgotten: list[str] = []
     for number in range(50):
@@ -254,7 +254,7 @@
     assert forgotten[:3] == ["n0", "n1", "n2"]
 
 
-def test_a_server_with_work_in_flight_is_not_forgotten_yet() -> None:
+def test_removed_server_with_an_attempt_in_flight_is_kept() -> None:
     harness = RouterHarness(ONE_SHARD)
     attempt = harness.of(harness.arrive())[0]
     harness.feed(ev.ServerRemoved(attempt.server.instance))
@@ -263,7 +263,7 @@
     assert harness.router.servers.get(attempt.server.instance) is not None
 
 
-def test_what_was_learnt_of_routes_that_are_gone_is_forgotten() -> None:
+def test_estimates_of_removed_routes_are_dropped() -> None:
     harness = RouterHarness(gather_route())
     for version in range(2, 60):
         route = replace(gather_route(services=(f"s{version}",)), name=f"r{version}")
@@ -274,7 +274,7 @@
     assert harness.router.estimate_count() <= 8
 
 
-def test_a_caller_without_patience_does_not_get_sound_servers_ejected() -> None:
+def test_short_caller_timeout_does_not_eject_healthy_servers() -> None:
     harness = RouterHarness(gather_route())
     harness.warm_up()
     key = harness.arrive(patience=0.040)
@@ -286,7 +286,7 @@
     assert len(harness.of(after)) == 4
 
 
-def test_a_server_that_is_silent_for_long_is_ejected() -> None:
+def test_timeout_after_a_long_silence_ejects_the_server() -> None:
     harness = RouterHarness(gather_route())
     harness.warm_up()
     key = harness.arrive()
@@ -295,28 +295,28 @@
     assert any(note.details.get("state") == "ejected" for note in harness.notes)
 
 
-def observed(harness: RouterHarness) -> list[str]:
+def reported_servers(harness: RouterHarness) -> list[str]:
     return [each.instance for each in harness.observed]
 
 
-def test_a_suspected_server_gets_no_first_attempts_until_it_is_over() -> None:
+def test_suspected_server_gets_no_first_attempts_until_the_suspicion_ends() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     harness.feed(ev.ServerSuspected("s1-z1", 1.0))
-    assert ask(harness) == "s1-z2"
+    assert send_request(harness) == "s1-z2"
     harness.advance(1.0)
-    assert ask(harness) == "s1-z1"
+    assert send_request(harness) == "s1-z1"
 
 
-def test_the_last_server_that_nobody_suspects_is_not_suspected() -> None:
+def test_last_unsuspected_server_is_never_suspected() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     harness.feed(ev.ServerSuspected("s1-z1", 1.0))
     harness.feed(ev.ServerSuspected("s1-z2", 1.0))
-    assert ask(harness) == "s1-z2"
+    assert send_request(harness) == "s1-z2"
 
 
-def test_a_late_answer_is_told_once_a_pause() -> None:
+def test_late_answers_from_one_pause_are_reported_once() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     keys = [harness.arrive() for _ in range(3)]
@@ -324,10 +324,10 @@
     harness.advance(0.12)
     for attempt in attempts:
         harness.answer(attempt)
-    assert observed(harness) == ["s1-z1"]
+    assert reported_servers(harness) == ["s1-z1"]
 
 
-def test_a_server_that_is_silent_for_long_is_told_of_before_the_attempt_ends() -> None:
+def test_silent_server_is_reported_once_before_the_attempt_ends() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
@@ -337,26 +337,26 @@
         harness.answer(hedge)
     harness.advance(0.25)
     harness.arrive("/none")
-    assert observed(harness) == []
+    assert reported_servers(harness) == []
     harness.advance(0.3)
     harness.arrive("/none")
-    assert observed(harness) == [first.server.instance]
+    assert reported_servers(harness) == [first.server.instance]
     harness.advance(0.2)
     harness.arrive("/none")
-    assert observed(harness) == [first.server.instance]
+    assert reported_servers(harness) == [first.server.instance]
 
 
-def test_what_this_node_was_late_itself_is_not_held_against_a_server() -> None:
+def test_lateness_of_this_node_does_not_count_against_a_server() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     harness.router._context.lateness_s = 0.05
     attempt = harness.of(harness.arrive())[0]
     harness.advance(0.055)
     harness.answer(attempt)
-    assert observed(harness) == []
+    assert reported_servers(harness) == []
 
 
-def test_the_good_answers_beside_a_late_one_are_told_with_it() -> None:
+def test_report_of_a_late_answer_includes_the_number_of_good_answers() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up(requests=30)
     attempt = harness.of(harness.arrive())[0]
@@ -365,7 +365,7 @@
     assert [each.good_answers >= 3 for each in harness.observed] == [True]
 
 
-def test_after_a_suspicion_one_request_at_a_time_tries_the_server() -> None:
+def test_server_on_probation_gets_one_attempt_at_a_time() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     harness.feed(ev.ServerSuspected("s1-z1", 1.0))
@@ -378,11 +378,11 @@
     assert again == ["s1-z1", "s1-z1"]
 
 
-def nodes_of(servers: int, nodes: int, connections: int) -> dict[str, int]:
-    """How many of the nodes first ask each server, when each asks twice at a time."""
+def nodes_per_server(servers: int, nodes: int, connections: int) -> dict[str, int]:
+    """Return how many of the nodes send requests to each server, with 20 requests from each node."""
     route = gather_route(services=("s1",))
     records = tuple(server(f"srv-{number}", "s1") for number in range(servers))
-    asked: dict[str, int] = dict.fromkeys((each.instance for each in records), 0)
+    node_counts: dict[str, int] = dict.fromkeys((each.instance for each in records), 0)
     for number in range(nodes):
         options = GatewayOptions(zone="z1", node=f"node-{number}", budget=TERMS)
         harness = RouterHarness(route, servers=records, options=options, nodes=nodes)
@@ -394,21 +394,21 @@
             for attempt in harness.of(key):
                 harness.answer(attempt)
         for instance in used:
-            asked[instance] += 1
-    return asked
+            node_counts[instance] += 1
+    return node_counts
 
 
-def test_where_connections_are_few_each_node_keeps_to_some_servers_and_none_gets_too_many() -> None:
-    asked = nodes_of(servers=3, nodes=64, connections=54)
-    assert sum(asked.values()) == 64 * 2
-    assert max(asked.values()) <= 54
+def test_scarce_connections_limit_each_node_to_a_subset_of_servers() -> None:
+    node_counts = nodes_per_server(servers=3, nodes=64, connections=54)
+    assert sum(node_counts.values()) == 64 * 2
+    assert max(node_counts.values()) <= 54
 
 
-def test_where_connections_are_many_every_node_may_use_every_server() -> None:
-    assert nodes_of(servers=3, nodes=4, connections=54) == {"srv-0": 4, "srv-1": 4, "srv-2": 4}
+def test_ample_connections_let_every_node_use_every_server() -> None:
+    assert nodes_per_server(servers=3, nodes=4, connections=54) == {"srv-0": 4, "srv-1": 4, "srv-2": 4}
 
 
-def test_a_server_where_work_takes_longer_at_this_moment_is_gone_around() -> None:
+def test_server_that_reports_slow_work_is_avoided_while_the_report_is_fresh() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
@@ -418,7 +418,7 @@
     assert harness.of(harness.arrive())[0].server.zone == "z1"
 
 
-def test_a_restored_registrys_older_entries_neither_bring_back_nor_call_off_a_leaving_server() -> None:
+def test_older_entries_of_a_restored_registry_do_not_revive_removed_or_leaving_servers() -> None:
     harness = RouterHarness(gather_route())
     listed = harness.router.servers.records()
     left, gone, stays = listed[:3]
@@ -433,88 +433,89 @@
     assert len(harness.router.servers.records()) == len(listed)
 
 
-def test_a_server_that_a_restored_registry_lacks_counts_as_gone() -> None:
+def test_server_missing_from_a_restored_registry_is_removed() -> None:
     harness = RouterHarness(gather_route())
     first, *others = harness.router.servers.records()
     harness.feed(ev.ServersRestored(tuple(others)))
     assert first.instance not in {each.instance for each in harness.router.servers.records()}
 
 
-# Servers that crashed are started anew at the same addresses under other ids; the entries of the crashed ones
-# stand for three heartbeats more, and again as long in a registry that came back from an older copy. Each
-# node sent a request to each of them, which the server there turned away (421); a wide request at a node just
-# started met three of them and had budget for two: 502 after 5 ms. The run of a minute that showed it had 52
-# such arrivals, 0.2 to 11 s after the successors' start; node logs chose the successors for the retries.
-def test_a_server_started_at_anothers_address_has_taken_its_place() -> None:
+# Guards against requests to crashed servers whose entries outlive them. Servers restart at the same addresses
+# under other instance names, while the entries of the crashed ones remain for three heartbeats, and as long
+# again in a registry restored from an older copy. Every node sent a request to each such entry, and the
+# server there rejected it (421). On a node that had just started, a wide request hit three of them with
+# budget for two and failed (502) after 5 ms. A run of one minute had 52 such requests, 0.2 to 11 s after the
+# replacements started; according to the node logs, the retries went to the replacements.
+def test_server_started_at_the_address_of_another_replaces_it() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     crashed = server("s1-z1", "s1")
     harness.feed(ev.ServerListed(replace(crashed, instance="s1-new")))
-    assert {ask(harness) for _ in range(20)} == {"s1-new"}
-    noted = [each.details for each in harness.notes if each.name == "server_entry"]
-    assert {"instance": "s1-z1", "change": "replaced"} in noted
+    assert {send_request(harness) for _ in range(20)} == {"s1-new"}
+    logged = [each.details for each in harness.notes if each.name == "server_entry"]
+    assert {"instance": "s1-z1", "change": "replaced"} in logged
 
 
-def test_of_a_lists_servers_at_one_address_the_newest_one_is_there() -> None:
+def test_newest_server_of_a_list_replaces_others_at_its_address() -> None:
     harness = RouterHarness(ONE_SHARD)
-    old = [server(f"s1-{number}", "s1") for number in range(PLACES)]
+    old = [server(f"s1-{number}", "s1") for number in range(SERVERS)]
     new = [replace(each, instance=f"{each.instance}-new") for each in old]
     harness.feed(ev.ServersReplaced((*old, *new)))
-    assert {ask(harness) for _ in range(20)} <= {each.instance for each in new}
-    told = [each.instance for each in harness.router.servers.records()]
-    assert told == [each.instance for each in (*old, *new)]
+    assert {send_request(harness) for _ in range(20)} <= {each.instance for each in new}
+    listed = [each.instance for each in harness.router.servers.records()]
+    assert listed == [each.instance for each in (*old, *new)]
 
 
-def test_an_older_list_takes_no_address_from_a_server_that_is_there() -> None:
-    """What a registry that came back from an older copy lists may have gone long ago."""
+def test_older_list_does_not_replace_the_server_at_an_address() -> None:
+    """A registry restored from an older copy may list servers that were removed long ago."""
     harness = RouterHarness(ONE_SHARD)
-    there = server("s1-z1", "s1")
-    gone = replace(there, instance="s1-gone")
-    harness.feed(ev.ServersReplaced((there,)))
+    current = server("s1-z1", "s1")
+    gone = replace(current, instance="s1-gone")
+    harness.feed(ev.ServersReplaced((current,)))
     harness.feed(ev.ServersRestored((gone,)))
-    harness.feed(ev.ServersReplaced((gone, there)))
-    assert {ask(harness) for _ in range(20)} == {"s1-z1"}
+    harness.feed(ev.ServersReplaced((gone, current)))
+    assert {send_request(harness) for _ in range(20)} == {"s1-z1"}
 
 
-def test_a_list_that_lacks_the_newer_server_brings_the_older_one_not_back() -> None:
-    """A node that starts reads a list that may be seconds old after it has heard of newer servers."""
+def test_list_without_the_replacement_does_not_restore_the_replaced_server() -> None:
+    """A node that starts may read a list that is seconds old after it has learned of newer servers."""
     harness = RouterHarness(ONE_SHARD)
     old = server("s1-z1", "s1")
     new, other = replace(old, instance="s1-new"), server("s1-z2", "s1")
     harness.feed(ev.ServersReplaced((old, other, new)))
     harness.feed(ev.ServersReplaced((old, other)))
-    assert {ask(harness) for _ in range(20)} == {"s1-z2"}
+    assert {send_request(harness) for _ in range(20)} == {"s1-z2"}
     harness.feed(ev.ServersReplaced((old, other, new)))
-    assert "s1-new" in {ask(harness) for _ in range(20)}
+    assert "s1-new" in {send_request(harness) for _ in range(20)}
 
 
-def test_a_server_gets_work_again_when_its_successor_is_long_gone() -> None:
-    """An entry by another writer came and went: the server whose address it named was there all the time."""
+def test_replaced_server_gets_requests_again_once_its_replacement_is_dropped() -> None:
+    """Another writer added and removed an entry with the address of a server that ran all the time."""
     harness = RouterHarness(ONE_SHARD)
-    there = server("s1-z1", "s1")
-    harness.feed(ev.ServersReplaced((there,)))
-    harness.feed(ev.ServerListed(replace(there, instance="s1-nobody")))
+    current = server("s1-z1", "s1")
+    harness.feed(ev.ServersReplaced((current,)))
+    harness.feed(ev.ServerListed(replace(current, instance="s1-nobody")))
     harness.feed(ev.ServerRemoved("s1-nobody"))
     harness.advance(30.0)
-    harness.feed(ev.ServerListed(there))
-    assert {ask(harness) for _ in range(20)} == {"s1-z1"}
+    harness.feed(ev.ServerListed(current))
+    assert {send_request(harness) for _ in range(20)} == {"s1-z1"}
 
 
-def test_an_entry_whose_server_is_not_there_takes_nobodys_place_for_long() -> None:
-    """Entries may also come from another writer, and name an address that is a sound server's."""
+def test_absent_replacement_is_skipped_after_the_first_answer_from_its_address() -> None:
+    """Entries by another writer may contain the address of a healthy server."""
     harness = RouterHarness(ONE_SHARD)
-    there = server("s1-z1", "s1")
-    harness.feed(ev.ServersReplaced((there,)))
-    harness.feed(ev.ServerListed(replace(there, instance="s1-nobody")))
+    current = server("s1-z1", "s1")
+    harness.feed(ev.ServersReplaced((current,)))
+    harness.feed(ev.ServerListed(replace(current, instance="s1-nobody")))
     key = harness.arrive()
     (first,) = harness.of(key)
     harness.fail(first, failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN))
     assert [each.server.instance for each in harness.of(key)] == ["s1-nobody", "s1-z1"]
     harness.answer(harness.of(key)[1])
-    assert {ask(harness) for _ in range(20)} == {"s1-z1"}
+    assert {send_request(harness) for _ in range(20)} == {"s1-z1"}
 
 
-def test_one_address_may_serve_several_services() -> None:
+def test_several_services_can_share_an_address() -> None:
     harness = RouterHarness(gather_route(services=("s1", "s2")))
     first = server("one", "s1")
     harness.feed(ev.ServersReplaced((first, replace(first, instance="two", service="s2"))))
