--- a/src/yokesill/gateway/forwarding.py
+++ b/src/yokesill/gateway/forwarding.py
@@ -29,7 +29,7 @@
 INITIAL_LOST_PAUSE_S, MAX_LOST_PAUSE_S = 2.0, 60.0
 # Keeps the power of two finite; MAX_LOST_PAUSE_S is reached earlier.
 MAX_DOUBLINGS = 8
-# The assumed time of the hop to a coordinator and back until a node has measured it. Measured in runs: median
+# The assumed time of the hop to a coordinator and back until a node has measured it. Measured later: median
 # 2.2 ms, 0.9 quantile 4.3 ms (``docs/design/shifted-work.md``).
 INITIAL_HOP_S = 0.005
 # The weight of the newest hop in the moving average, and how many mean deviations are added to it. If the hop
--- a/src/yokesill/gateway/servers/evidence.py
+++ b/src/yokesill/gateway/servers/evidence.py
@@ -1,8 +1,8 @@
-"""Decides which failures count against a server, and when bad attempts are reported to peers.
+"""Decides which failures count against a server, and reports servers to peers.
 
-Reported are late, failed and silent attempts. Inputs: the ends of attempts and, periodically, the attempts in
-flight; their routes' typical latencies. Output: `ServerObserved` actions, which the outlier detector at two
-of the nodes evaluates (``outliers/``). Times are in seconds of the node's clock.
+Servers are reported for late, failed and silent attempts. Inputs: the ends of attempts and, periodically, the
+attempts in flight; their routes' typical latencies. Output: `ServerObserved` actions, which the outlier
+detector at two of the nodes evaluates (``outliers/``). Times are in seconds of the node's clock.
 """
 
 from collections.abc import Callable
--- a/src/yokesill/gateway/servers/learned_latencies.py
+++ b/src/yokesill/gateway/servers/learned_latencies.py
@@ -57,8 +57,8 @@
     """The cost of a new connection to a service's servers, beyond the round trip to their zone.
 
     Connecting takes a round trip and briefly a slot of the server, so an open connection to a server slightly
-    further away is faster. With this cost in the expected latency, a day of many machines opened a
-    quarter fewer connections (9,642 before, 7,001 after; one run each).
+    further away is faster. With this cost in the expected latency, a day of many machines opened a quarter
+    fewer connections (9,642 before, 7,001 after; one run each).
     """
 
     def __init__(self) -> None:
