--- a/bench/rollout_fleet.py
+++ b/bench/rollout_fleet.py
@@ -217,13 +217,13 @@
         for record in decider.tick(self.now):
             self._ordered_at_s[record.id] = self.now - record.elapsed_s
             outcome = self.registry.write(node.name, record)
-            decider.recorded(record, outcome, self.now)
+            decider.write_ended(record, outcome, self.now)
             if isinstance(outcome, RolloutOrder):
                 self._learn(node, record.service, outcome)
         if self.now - node.reported_at_s >= decider.interval_s:
             node.reported_at_s = self.now
             report = self._report(node)
-            for name in decider.reporting_to(self.now) if report.orders else ():
+            for name in decider.report_targets(self.now) if report.orders else ():
                 self._send(node.name, name, report)
         if decider.urgent(self.now) or self.now - node.spoke_at_s >= decider.interval_s:
             word = decider.decisions(self.now)
--- a/bench/rollout_world.py
+++ b/bench/rollout_world.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from yokesill.rollouts.orders import OrderId, Overtaken, RolloutOrder, RolloutState
+from yokesill.rollouts.orders import OrderId, RevisionConflict, RolloutOrder, RolloutState
 from yokesill.verdict import Failure, Reason, Verdict
 
 OLD, NEW = "v1", "v2"
@@ -62,7 +62,7 @@
         self.revision = revision
         self.orders = {name: each._replace(timeline=self.timeline) for name, each in orders.items()}
 
-    def write(self, node: str, order: RolloutOrder) -> RolloutOrder | Overtaken | Failure:
+    def write(self, node: str, order: RolloutOrder) -> RolloutOrder | RevisionConflict | Failure:
         """Write under the condition of the order's revision; the answer may be lost, or the write late."""
         if node in self.refuses:
             return Failure(Reason.OVERLOADED, Verdict.NOT_RUN, "refused")
@@ -76,13 +76,13 @@
                 return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, "lost")
         return self.apply(node, order)
 
-    def apply(self, node: str, order: RolloutOrder) -> RolloutOrder | Overtaken:
+    def apply(self, node: str, order: RolloutOrder) -> RolloutOrder | RevisionConflict:
         """Do a write now."""
         current = self.orders.get(order.service)
         done = current is not None and current.revision == order.revision
         self.written.append((node, order.state, done))
         if not done:
-            return Overtaken(current)
+            return RevisionConflict(current)
         self.revision += 1
         now_stands = order._replace(revision=self.revision, timeline=self.timeline)
         self.orders[order.service] = now_stands
--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -143,7 +143,7 @@
             name: kept for name, kept in self._longest_timeout_s.items() if name in routes
         }
         self._budgets = {name: kept for name, kept in self._budgets.items() if name in services}
-        self.servers.versions.keep(services)
+        self.servers.versions.retain(services)
 
     def kept_estimates(self) -> int:
         """How many routes and services something learned is kept."""
--- a/src/yokesill/gateway/log_events.py
+++ b/src/yokesill/gateway/log_events.py
@@ -54,9 +54,9 @@
     details: dict[str, object] = {
         "service": change.order.service,
         "target": change.order.target,
-        "made": change.order.made,
+        "made": change.order.created_revision,
         "before": change.before,
         "state": change.state or "withdrawn",
-        "why": change.why,
+        "why": change.reason,
     }
     return LogEvent("rollout_learnt" if change.recorded else "rollout_obeyed", details)
--- a/src/yokesill/gateway/servers/server_table.py
+++ b/src/yokesill/gateway/servers/server_table.py
@@ -77,7 +77,7 @@
     def _update_versions(self, service: str, now: float) -> None:
         servers = self.of_service(service)
         listed = Counter(each.record.version for each in servers if each.removed_at_s is None)
-        self.versions.listed(service, listed, {each.record.version for each in servers}, now)
+        self.versions.set_listed(service, listed, {each.record.version for each in servers}, now)
 
     @property
     def evacuated(self) -> frozenset[str]:
--- a/src/yokesill/gateway/state_updates.py
+++ b/src/yokesill/gateway/state_updates.py
@@ -142,29 +142,29 @@
 @apply_update.register
 def _(event: ev.RolloutOrdered, updates: StateUpdates, now: float, actions: Actions) -> None:
     if updates.context.options.rollouts is not None:
-        updates.rollouts(updates.context.rollouts.orders.ordered(event.order), actions)
+        updates.rollouts(updates.context.rollouts.orders.set_order(event.order), actions)
 
 
 @apply_update.register
 def _(event: ev.RolloutWithdrawn, updates: StateUpdates, now: float, actions: Actions) -> None:
-    updates.rollouts(updates.context.rollouts.orders.withdrawn(event.service), actions)
+    updates.rollouts(updates.context.rollouts.orders.withdraw(event.service), actions)
 
 
 @apply_update.register
 def _(event: ev.RolloutsReplaced, updates: StateUpdates, now: float, actions: Actions) -> None:
     if updates.context.options.rollouts is not None:
-        updates.rollouts(updates.context.rollouts.orders.replaced(event.orders), actions)
+        updates.rollouts(updates.context.rollouts.orders.replace_orders(event.orders), actions)
 
 
 @apply_update.register
 def _(event: ev.RolloutDecisionsReceived, updates: StateUpdates, now: float, actions: Actions) -> None:
     if updates.context.options.rollouts is not None:
-        updates.rollouts(updates.context.rollouts.orders.received(event.decisions, now), actions)
+        updates.rollouts(updates.context.rollouts.orders.receive_decisions(event.decisions, now), actions)
 
 
 @apply_update.register
 def _(event: ev.VersionsEstablished, updates: StateUpdates, now: float, actions: Actions) -> None:
-    updates.context.servers.versions.establish(event.versions)
+    updates.context.servers.versions.adopt_established(event.versions)
 
 
 @apply_update.register
--- a/src/yokesill/platform/rollouts.py
+++ b/src/yokesill/platform/rollouts.py
@@ -11,7 +11,7 @@
 from yokesill.platform.names import ROLLOUTS_KIND
 from yokesill.platform.store import MetadataStore, StoredItem, StoreView, item_of, timeline_of
 from yokesill.registry.feeds import Batch, Feed, RolloutRecords
-from yokesill.rollouts.orders import Overtaken, RolloutOrder, RolloutState
+from yokesill.rollouts.orders import RevisionConflict, RolloutOrder, RolloutState
 from yokesill.serving.object_fields import ObjectError, number, take, text, version
 from yokesill.verdict import Failure, Reason, Verdict
 
@@ -45,7 +45,7 @@
         self._store = store
         self._unix_clock = unix_clock
 
-    async def record(self, order: RolloutOrder) -> RolloutOrder | Overtaken | Failure:
+    async def record(self, order: RolloutOrder) -> RolloutOrder | RevisionConflict | Failure:
         """See ``RolloutRecords.record``."""
         status = _status_of(order, self._unix_clock)
         reply = await self._store.put_status(ROLLOUTS_KIND, order.service, order.position, status)
@@ -61,7 +61,7 @@
             detail = f"the record of {order.service}: {error!r}"
             return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, detail)
         current = None if item is None or item.gone else read_order(item, self._unix_clock)
-        return Overtaken(current) if current is None or reply.status == CONFLICT else current
+        return RevisionConflict(current) if current is None or reply.status == CONFLICT else current
 
 
 def read_order(item: StoredItem, unix_clock: Clock | None = None) -> RolloutOrder:
@@ -80,7 +80,7 @@
     state = _state(status, target)
     elapsed_s = max(_elapsed_s(status.get("elapsedMs")), _since_order_s(status, unix_clock))
     ordered = (item.name, target, duration_s, item.made, item.revision)
-    order = RolloutOrder(*ordered, problem=problem, numbered=numbered, timeline=item.timeline)
+    order = RolloutOrder(*ordered, problem=problem, numeric_target=numbered, timeline=item.timeline)
     if state is RolloutState.ORDERED:
         return order
     return order._replace(state=state, elapsed_s=elapsed_s, reason=str(status.get("reason", "")))
@@ -129,7 +129,7 @@
     ours: dict[str, Any] = {"stage": order.state.value, "elapsedMs": elapsed_ms, "reason": order.reason}
     if unix_clock is not None:
         ours["orderedAtMs"] = _unix_ms(unix_clock) - elapsed_ms
-    target = int(order.target) if order.numbered else order.target
+    target = int(order.target) if order.numeric_target else order.target
     return {"state": state, "targetVersion": target, **ours}
 
 
--- a/src/yokesill/registry/feeds.py
+++ b/src/yokesill/registry/feeds.py
@@ -10,7 +10,7 @@
 
 from yokesill.gateway.events import Event
 from yokesill.positions import Position
-from yokesill.rollouts.orders import Overtaken, RolloutOrder
+from yokesill.rollouts.orders import RevisionConflict, RolloutOrder
 from yokesill.verdict import Failure
 
 
@@ -114,12 +114,12 @@
     """Where the state of roll-outs is kept for good."""
 
     @abc.abstractmethod
-    async def record(self, order: RolloutOrder) -> RolloutOrder | Overtaken | Failure:
+    async def record(self, order: RolloutOrder) -> RolloutOrder | RevisionConflict | Failure:
         """Write an order's state, elapsed time and reason, if it is still at ``order.revision``.
 
         Returns
         -------
-        RolloutOrder or Overtaken or Failure
+        RolloutOrder or RevisionConflict or Failure
             The order as it stands now, at its new revision. A failure with verdict ``MAY_HAVE_RUN`` may
             still take effect later, as long as the revision stays. Nothing is written once the registry
             is on another timeline than the order: its revision may name another change there.
--- a/src/yokesill/registry/snapshots.py
+++ b/src/yokesill/registry/snapshots.py
@@ -141,8 +141,8 @@
 
 def order_to_wire(order: RolloutOrder) -> list[Any]:
     """Return the form in which nodes exchange a roll-out's order and its record."""
-    ordered = [order.service, order.target, order.duration_s, order.made, order.revision]
-    return [*ordered, order.state.value, order.elapsed_s, order.reason, order.problem, order.numbered]
+    ordered = [order.service, order.target, order.duration_s, order.created_revision, order.revision]
+    return [*ordered, order.state.value, order.elapsed_s, order.reason, order.problem, order.numeric_target]
 
 
 def order_from_wire(item: Any, timeline: int = 0) -> RolloutOrder:
--- a/src/yokesill/registry/view_check.py
+++ b/src/yokesill/registry/view_check.py
@@ -131,4 +131,4 @@
 
 @_digest.register
 def _(whole: RolloutsReplaced) -> int:
-    return digest_of(f"{each.service}/{each.made}" for each in whole.orders)
+    return digest_of(f"{each.service}/{each.created_revision}" for each in whole.orders)
--- a/src/yokesill/rollouts/canary.py
+++ b/src/yokesill/rollouts/canary.py
@@ -66,7 +66,9 @@
         """Return how late a request would become a canary of an order as its share rises; 64 bits."""
         hashed = self._hashes.get(order)
         if hashed is None:
-            hashed = self._hashes[order] = name_hash(f"{order.service} {order.made} {order.target}")
+            hashed = self._hashes[order] = name_hash(
+                f"{order.service} {order.created_revision} {order.target}"
+            )
         return weight(name_hash(request_id), hashed)
 
     def forget(self, order: OrderId) -> None:
--- a/src/yokesill/rollouts/datagrams.py
+++ b/src/yokesill/rollouts/datagrams.py
@@ -19,7 +19,7 @@
 _Entry = TypeVar("_Entry", OrderReport, OrderDecision)
 
 
-def in_datagrams(entries: Iterable[_Entry]) -> Iterator[tuple[_Entry, ...]]:
+def split_into_datagrams(entries: Iterable[_Entry]) -> Iterator[tuple[_Entry, ...]]:
     """Split the entries of a message into tuples that fit into one datagram each.
 
     An entry with many samples is sent in pieces with the same counts, which are totals: received twice, they
--- a/src/yokesill/rollouts/decider.py
+++ b/src/yokesill/rollouts/decider.py
@@ -12,7 +12,7 @@
 from yokesill.rollouts.messages import RolloutDecisions, RolloutReport
 from yokesill.rollouts.order_figures import OrderFigures
 from yokesill.rollouts.order_progress import OrderProgress
-from yokesill.rollouts.orders import Overtaken, RolloutLimits, RolloutOrder, RolloutState
+from yokesill.rollouts.orders import RevisionConflict, RolloutLimits, RolloutOrder, RolloutState
 from yokesill.rollouts.stages import DeciderView
 from yokesill.verdict import Failure
 
@@ -125,7 +125,7 @@
     def tick(self, now: float) -> list[RolloutOrder]:
         """Decide; return the orders whose state, time and reason are to be written.
 
-        Each is to be written on the condition of its revision, and ``recorded`` called with its outcome.
+        Each is to be written on the condition of its revision, and ``write_ended`` called with its outcome.
         Until then no other record of that service is returned.
         """
         orders = [each for each in self._orders.values() if each.is_announced(now)]
@@ -157,8 +157,8 @@
                 self._urgent = True
         return records
 
-    def recorded(
-        self, attempted: RolloutOrder, outcome: RolloutOrder | Overtaken | Failure, now: float
+    def write_ended(
+        self, attempted: RolloutOrder, outcome: RolloutOrder | RevisionConflict | Failure, now: float
     ) -> None:
         """Note how writing a record ended."""
         self._under_way.discard(attempted.service)
@@ -166,7 +166,7 @@
         if known is not None and known.order.id == attempted.id:
             known.write_ended(attempted, outcome, now)
             self._urgent |= isinstance(outcome, RolloutOrder)
-        if not isinstance(outcome, Overtaken):
+        if not isinstance(outcome, RevisionConflict):
             return
         if outcome.order is not None:
             self.set_order(outcome.order, now)
@@ -194,9 +194,9 @@
         """Whether decisions should go out at once."""
         return self._urgent and self._role.deciding
 
-    def reporting_to(self, now: float) -> tuple[str, ...]:
+    def report_targets(self, now: float) -> tuple[str, ...]:
         """Return the nodes to send reports to; none while no order is open."""
-        return self._role.reporting_to(now)
+        return self._role.report_targets(now)
 
     def figures(self, now: float) -> tuple[OrderFigures, ...]:
         """Return how each order stands, by service."""
--- a/src/yokesill/rollouts/decider_role.py
+++ b/src/yokesill/rollouts/decider_role.py
@@ -157,7 +157,7 @@
         reporting = sum(now - self._reported_at_s.get(node, float("-inf")) < LIVE_S for node in self._cores)
         return 2 * reporting >= len(self._cores)
 
-    def reporting_to(self, now: float) -> tuple[str, ...]:
+    def report_targets(self, now: float) -> tuple[str, ...]:
         """Return whom nodes report to: nodes that decided lately, and the next by rank up to two."""
         if self._group is None:
             return ()
--- a/src/yokesill/rollouts/node_orders.py
+++ b/src/yokesill/rollouts/node_orders.py
@@ -20,7 +20,7 @@
 class OrderChange(NamedTuple):
     """An order whose effective state, or (``recorded``) whose record's state, has changed for this node.
 
-    ``before`` is ``None`` for one that is new, and ``state`` for one that is gone. ``why`` is the record's
+    ``before`` is ``None`` for one that is new, and ``state`` for one that is gone. ``reason`` is the record's
     reason, or what is wrong with the order; or whether the effective state comes from the ``record`` or
     from a decider's ``word``.
     """
@@ -29,7 +29,7 @@
     before: RolloutState | None
     state: RolloutState | None
     recorded: bool
-    why: str = ""
+    reason: str = ""
 
 
 class NodeOrders:
@@ -53,12 +53,12 @@
         self._versions = versions
         self.canary = canary
 
-    def recorded(self) -> tuple[RolloutOrder, ...]:
+    def recorded_orders(self) -> tuple[RolloutOrder, ...]:
         """Return all orders as the registry has them; one that it may have lost is not told to others."""
         told = (each for each in self._known.values() if each.revision)
         return tuple(each for each in told if each.timeline == self._timeline)
 
-    def ordered(self, order: RolloutOrder) -> list[OrderChange]:
+    def set_order(self, order: RolloutOrder) -> list[OrderChange]:
         """Take an order and its record from the registry; an older one than is known is ignored."""
         before = self._known.get(order.service)
         if before is not None and _is_older(order, before):
@@ -78,26 +78,26 @@
         self._known[order.service] = order
         return changes + self._update_effective(order)
 
-    def withdrawn(self, service: str) -> list[OrderChange]:
+    def withdraw(self, service: str) -> list[OrderChange]:
         """Take that a service's order is gone."""
         before = self._known.get(service)
         if before is None:
             return []
         if before.revision:
-            self._gone[service] = max(before.made, self._gone.get(service, 0))
+            self._gone[service] = max(before.created_revision, self._gone.get(service, 0))
         changes = self._drop(before)
         self._versions.withdraw(service)
         return [*changes, OrderChange(before.id, before.state, None, True)] if before.revision else changes
 
-    def replaced(self, orders: Iterable[RolloutOrder]) -> list[OrderChange]:
+    def replace_orders(self, orders: Iterable[RolloutOrder]) -> list[OrderChange]:
         """Take all orders as of one moment."""
         orders = list(orders)
         self.synchronised = True
         gone = self._known.keys() - {each.service for each in orders}
-        changes = [change for service in sorted(gone) for change in self.withdrawn(service)]
-        return changes + [change for order in orders for change in self.ordered(order)]
+        changes = [change for service in sorted(gone) for change in self.withdraw(service)]
+        return changes + [change for order in orders for change in self.set_order(order)]
 
-    def received(self, message: RolloutDecisions, now: float) -> list[OrderChange]:
+    def receive_decisions(self, message: RolloutDecisions, now: float) -> list[OrderChange]:
         """Take a decider's message."""
         decisions = [each for each in message.orders if self._concerns(each.order)]
         self.canary.receive(message._replace(orders=tuple(decisions)), now)
@@ -109,7 +109,12 @@
             elif each.state in _BEFORE_RECORD:
                 changes += self._drop(known) if known is not None else []
                 order = RolloutOrder(
-                    each.order.service, each.order.target, 0.0, each.order.made, 0, timeline=self._timeline
+                    each.order.service,
+                    each.order.target,
+                    0.0,
+                    each.order.created_revision,
+                    0,
+                    timeline=self._timeline,
                 )
                 self._known[order.service] = order
                 changes += self._update_effective(order)
@@ -119,8 +124,8 @@
         """Whether a decision applies to this node: it is on its own order, or on one made later."""
         known = self._known.get(order.service)
         if known is not None:
-            return known.id == order or order.made > known.made
-        return order.made > self._gone.get(order.service, -1)
+            return known.id == order or order.created_revision > known.created_revision
+        return order.created_revision > self._gone.get(order.service, -1)
 
     def _update_effective(self, order: RolloutOrder) -> list[OrderChange]:
         """Join the record with decisions; only a recorded ``COMPLETED`` outweighs a decision to roll back."""
@@ -152,5 +157,5 @@
 
 def _is_older(order: RolloutOrder, known: RolloutOrder) -> bool:
     """Whether an order was overtaken by the one that is known; what was made when counts on one timeline."""
-    overtaken = order.timeline == known.timeline and order.made < known.made
+    overtaken = order.timeline == known.timeline and order.created_revision < known.created_revision
     return overtaken or order.position < known.position
--- a/src/yokesill/rollouts/order_progress.py
+++ b/src/yokesill/rollouts/order_progress.py
@@ -13,7 +13,7 @@
 from yokesill.rollouts.exposure import ExposureCounts, allowed_share
 from yokesill.rollouts.messages import OrderDecision, OrderReport
 from yokesill.rollouts.order_figures import OrderFigures
-from yokesill.rollouts.orders import Overtaken, RolloutLimits, RolloutOrder, RolloutState
+from yokesill.rollouts.orders import RevisionConflict, RolloutLimits, RolloutOrder, RolloutState
 from yokesill.rollouts.record_writes import RecordWrites, stagger_s
 from yokesill.rollouts.stages import FEED_S, DeciderView, OrderStatus, RecordChange, next_record, switch_at_s
 from yokesill.rollouts.version_answers import VersionAnswers
@@ -106,7 +106,7 @@
         self._writes.started(state)
 
     def write_ended(
-        self, attempted: RolloutOrder, outcome: RolloutOrder | Overtaken | Failure, now: float
+        self, attempted: RolloutOrder, outcome: RolloutOrder | RevisionConflict | Failure, now: float
     ) -> None:
         """Note how a write ended."""
         self._writes.ended()
@@ -114,7 +114,7 @@
             self._writes.failed(attempted.state, outcome, now)
             self._log_event("rollout_record_failed", state=attempted.state, why=outcome.detail)
             return
-        order = outcome.order if isinstance(outcome, Overtaken) else outcome
+        order = outcome.order if isinstance(outcome, RevisionConflict) else outcome
         if order is not None and order.id == self.order.id:
             self.update_record(order, now)
 
--- a/src/yokesill/rollouts/order_samples.py
+++ b/src/yokesill/rollouts/order_samples.py
@@ -4,7 +4,7 @@
 
 # Samples kept between two reports; a report of them fits two datagrams. A node has some requests a second for
 # each service; what a strong one drops of its hundreds it counts.
-MOST_NEW, MOST_OLD = 24, 12
+MAX_NEW_SAMPLES, MAX_OLD_SAMPLES = 24, 12
 
 
 class OrderSamples:
@@ -21,7 +21,7 @@
         self._old: list[Sample] = []
         self._new: list[Sample] = []
 
-    def sent(self, new: bool) -> None:
+    def count_sent(self, new: bool) -> None:
         """Count a request that is sent to a server of the new version, or of another."""
         if new:
             self.sent_new += 1
@@ -30,7 +30,7 @@
 
     def add(self, sample: Sample) -> None:
         """Keep how an attempt ended, or count it as dropped."""
-        kept, most = (self._new, MOST_NEW) if sample.new else (self._old, MOST_OLD)
+        kept, most = (self._new, MAX_NEW_SAMPLES) if sample.new else (self._old, MAX_OLD_SAMPLES)
         if len(kept) < most:
             kept.append(sample)
         else:
--- a/src/yokesill/rollouts/orders.py
+++ b/src/yokesill/rollouts/orders.py
@@ -1,4 +1,4 @@
-"""What operators order, and how far it has come."""
+"""Roll-out orders, their states and identities, and the contract's limits."""
 
 import enum
 from typing import NamedTuple
@@ -7,11 +7,11 @@
 
 
 class RolloutState(enum.StrEnum):
-    """How far a roll-out has come; the registry's record decides.
+    """State of a roll-out; the registry's record is authoritative.
 
-    ``ORDERED``: nobody has taken it up, the new version gets nothing. ``CANARY``: the new version gets the
-    share that the deciders announce. ``SWITCHING``: all new work goes to the new version, the old
-    servers still run. The last two are final.
+    ``ORDERED``: no decider has started it, and the new version gets no requests. ``CANARY``: the new version
+    gets the share that the deciders announce. ``SWITCHING``: all new requests go to the new version while the
+    old servers still run. ``COMPLETED`` and ``ROLLED_BACK`` are final.
     """
 
     ORDERED = "ordered"
@@ -22,12 +22,12 @@
 
     @property
     def final(self) -> bool:
-        """Whether it stays so."""
+        """Whether the state can no longer change."""
         return self in (RolloutState.COMPLETED, RolloutState.ROLLED_BACK)
 
     @property
     def rank(self) -> int:
-        """The order of states; a record never goes back to a lower one."""
+        """Position in the sequence of states; a record never returns to a state of lower rank."""
         return _RANKS[self]
 
 
@@ -41,73 +41,73 @@
 
 
 class OrderId(NamedTuple):
-    """Names one order: it stays the same while its record changes.
+    """Identity of one order, which stays the same while its record changes.
 
-    ``made`` is the registry's position at which the order's object was made. An order that is withdrawn
-    and made again, or replaced by one for another version, is another one.
+    ``created_revision`` is the registry revision at which the order object was created. Withdrawing an order
+    and creating it again, or replacing it with one for another version, gives a different order.
     """
 
     service: str
-    made: int
+    created_revision: int
     target: str
 
 
 class RolloutOrder(NamedTuple):
     """An order and its record, as the registry holds them at ``revision`` of ``timeline``.
 
-    ``target`` is the version to move to, within ``duration_s`` from the order. ``elapsed_s`` is how much of
-    that had passed when it was read or written, as far as the record tells; for an order that nobody has
-    taken up, 0. ``reason`` says why the state is what it is. ``problem``
-    says what is wrong with an order that can't be carried out; it is empty for a proper one. ``numbered``:
-    its target was written as a number, and so stands in the record.
+    ``target`` is the version to move to, within ``duration_s`` of the order's creation. ``elapsed_s`` is how
+    much of that time had passed when the record was read or written, according to the record; it is 0 for an
+    order that no decider has started. ``reason`` explains the state. ``problem`` says why an invalid order
+    can't be carried out; it is empty for a valid one. ``numeric_target`` means that the target was written as
+    a number, and is stored in the record as one.
     """
 
     service: str
     target: str
     duration_s: float
-    made: int
+    created_revision: int
     revision: int
     state: RolloutState = RolloutState.ORDERED
     elapsed_s: float = 0.0
     reason: str = ""
     problem: str = ""
-    numbered: bool = False
+    numeric_target: bool = False
     timeline: int = 0
 
     @property
     def position(self) -> Position:
-        """Where in the registry's history it stands so."""
+        """Position in the registry's history that this order was read or written at."""
         return Position(self.timeline, self.revision)
 
     @property
     def id(self) -> OrderId:
-        """What names it."""
-        return OrderId(self.service, self.made, self.target)
+        """Identity of the order."""
+        return OrderId(self.service, self.created_revision, self.target)
 
     def restored(self, known: "RolloutOrder") -> "RolloutOrder":
-        """Return this order of a restored registry with the state that was known of it, if that was further.
+        """Return this order, read from a restored registry, with the state ``known`` had if that is further.
 
-        The registry lost the record of it; the deciders write it again.
+        The restored registry has lost that record; the deciders write it again.
         """
         if self.id != known.id or known.state.rank <= self.state.rank:
             return self
         return self._replace(state=known.state, elapsed_s=known.elapsed_s, reason=known.reason)
 
 
-class Overtaken(NamedTuple):
-    """A record was not written: somebody changed it before.
+class RevisionConflict(NamedTuple):
+    """A record was not written because its revision had changed.
 
-    ``order`` is how it stands; ``None`` if it is gone.
+    ``order`` is the order as the registry holds it now, or ``None`` if it was deleted.
     """
 
     order: RolloutOrder | None
 
 
 class RolloutLimits(NamedTuple):
-    """The contract's figures.
+    """The contract's limits on a bad version.
 
-    A bad version may get ``canary_share`` of a service's requests and ``canary_slack`` requests more, over
-    all nodes from the order to its deadline; and nothing later than ``rollback_s`` after its 50th bad answer.
+    It may get ``canary_share`` of a service's requests plus ``canary_slack`` requests, counted over all nodes
+    from the order to its deadline, and none later than ``rollback_s`` after its 50th bad answer.
     """
 
     canary_share: float = 0.1
--- a/src/yokesill/rollouts/versions.py
+++ b/src/yokesill/rollouts/versions.py
@@ -40,7 +40,7 @@
         """Whether versions count at all."""
         return self._active
 
-    def listed(self, service: str, counts: Mapping[str, int], known: Iterable[str], now: float) -> None:
+    def set_listed(self, service: str, counts: Mapping[str, int], known: Iterable[str], now: float) -> None:
         """Take how many servers of each version are listed, and all versions that are still known of."""
         if self._active:
             kept = self._service(service)
@@ -61,7 +61,7 @@
             kept.forget_order()
             self._gate(service, kept)
 
-    def establish(self, versions: Mapping[str, Iterable[str]]) -> None:
+    def adopt_established(self, versions: Mapping[str, Iterable[str]]) -> None:
         """Take what another node holds for established, where this one does not know better."""
         for service, names in versions.items() if self._active else ():
             kept = self._service(service)
@@ -74,7 +74,7 @@
         kept = self._services.items()
         return {name: tuple(sorted(each.established)) for name, each in kept if each.sure}
 
-    def keep(self, services: Collection[str]) -> None:
+    def retain(self, services: Collection[str]) -> None:
         """Drop what is known of services that are named nowhere any more and have no servers."""
         for name, kept in list(self._services.items()):
             if name not in services and not kept.known and kept.order is None:
--- a/src/yokesill/serving/rollout_link.py
+++ b/src/yokesill/serving/rollout_link.py
@@ -14,7 +14,7 @@
 from yokesill.gateway.events import Event, RolloutOrdered, RolloutsReplaced, RolloutWithdrawn
 from yokesill.logs import get_logger
 from yokesill.registry.feeds import NodeContact, RolloutRecords
-from yokesill.rollouts.datagrams import in_datagrams
+from yokesill.rollouts.datagrams import split_into_datagrams
 from yokesill.rollouts.decider import RolloutDecider
 from yokesill.rollouts.messages import OrderReport, RolloutDecisions, RolloutReport, decode, encode
 from yokesill.serving.datagrams import DatagramSocket
@@ -185,8 +185,8 @@
         report = RolloutReport(self._own.node, self._incarnation, self._router.report())
         if not report.orders:
             return
-        datagrams = [encode(report._replace(orders=each)) for each in in_datagrams(report.orders)]
-        for node in decider.reporting_to(now):
+        datagrams = [encode(report._replace(orders=each)) for each in split_into_datagrams(report.orders)]
+        for node in decider.report_targets(now):
             if node == self._own.node:
                 decider.receive_report(report, now)
             for data in datagrams if node in self._addresses else ():
@@ -203,7 +203,7 @@
         self._announced_at_s = now
         self._router.apply_decisions(decisions)
         # A decider that can't reach the registry says so even when it has nothing to announce.
-        for orders in tuple(in_datagrams(decisions.orders)) or ((),):
+        for orders in tuple(split_into_datagrams(decisions.orders)) or ((),):
             data = encode(decisions._replace(orders=orders))
             for address in list(self._addresses.values()):
                 await send(address, data)
--- a/src/yokesill/serving/rollout_recorder.py
+++ b/src/yokesill/serving/rollout_recorder.py
@@ -61,7 +61,7 @@
         except BaseException as error:
             # The decider writes nothing else of this order before it knows how this write ended.
             failure = Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, repr(error))
-            self._decider.recorded(order, failure, anyio.current_time())
+            self._decider.write_ended(order, failure, anyio.current_time())
             raise
         now = anyio.current_time()
         if isinstance(outcome, Failure):
@@ -74,5 +74,5 @@
                 verdict=outcome.verdict.label,
                 detail=outcome.detail,
             )
-        self._decider.recorded(order, outcome, now)
+        self._decider.write_ended(order, outcome, now)
         self._wake()
--- a/src/yokesill/serving/state_snapshot.py
+++ b/src/yokesill/serving/state_snapshot.py
@@ -25,7 +25,7 @@
     follows = router.options.rollouts is not None
     if configuration is None or (follows and not router.rollouts.synchronised):
         return None
-    rollouts = (router.rollouts.recorded(), servers.versions.established())
+    rollouts = (router.rollouts.recorded_orders(), servers.versions.established())
     quarantined = router.quarantine.detector.quarantined
     return encode_snapshot(configuration, servers.records(), servers.evacuated, *rollouts, quarantined)
 
@@ -37,7 +37,7 @@
     if feed == EVACUATIONS:
         return EvacuationsReplaced(router.servers.evacuated)
     if feed == ROLLOUTS:
-        return RolloutsReplaced(router.rollouts.recorded())
+        return RolloutsReplaced(router.rollouts.recorded_orders())
     if feed == QUARANTINE:
         return QuarantineReplaced(router.quarantine.detector.recorded)
     configuration = router.configuration
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -176,14 +176,16 @@
 def _words(count: int) -> list[int]:
     order = orders.OrderId("service-with-a-name", 1764722678, "version-2")
     word = rollouts.OrderDecision(order, orders.RolloutState.CANARY, 0.1, 12.5)
-    return _sizes(rollout_datagrams.in_datagrams([word] * count))
+    return _sizes(rollout_datagrams.split_into_datagrams([word] * count))
 
 
 def _samples(count: int) -> list[int]:
     seen = (rollouts.Sample("wide", f"i-{number}", True, True, 0.0123) for number in range(count))
     order = orders.OrderId("s1", 5, "v2")
     report = rollouts.OrderReport(order, orders.RolloutState.CANARY, 90, 10, 3, tuple(seen))
-    return [_sizes(each.samples for each in piece) for piece in rollout_datagrams.in_datagrams([report])]
+    return [
+        _sizes(each.samples for each in piece) for piece in rollout_datagrams.split_into_datagrams([report])
+    ]
 
 
 def _rumors(count: int) -> int:
--- a/tests/gateway/test_rollout_canaries.py
+++ b/tests/gateway/test_rollout_canaries.py
@@ -20,7 +20,7 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Configuration, Route, ServerRecord, ServiceLimits
 from yokesill.gateway.limits.budget import BudgetLimits
-from yokesill.rollouts.order_samples import MOST_NEW, MOST_OLD
+from yokesill.rollouts.order_samples import MAX_NEW_SAMPLES, MAX_OLD_SAMPLES
 from yokesill.rollouts.orders import RolloutState
 from yokesill.verdict import Failure, Reason, Verdict
 
@@ -222,9 +222,12 @@
     harness = RolledOut(single_route())
     for share in (0.0, 1.0):
         harness.hear(CANARY, share)
-        harness.ask("/one/x", requests=2 * MOST_NEW)
+        harness.ask("/one/x", requests=2 * MAX_NEW_SAMPLES)
     samples = harness.report().samples
-    assert [sum(each.new is new for each in samples) for new in (True, False)] == [MOST_NEW, MOST_OLD]
+    assert [sum(each.new is new for each in samples) for new in (True, False)] == [
+        MAX_NEW_SAMPLES,
+        MAX_OLD_SAMPLES,
+    ]
 
 
 def test_an_order_is_reported_until_its_record_is_final() -> None:
--- a/tests/gateway/test_rollout_versions.py
+++ b/tests/gateway/test_rollout_versions.py
@@ -170,7 +170,7 @@
     listed = ev.ServersReplaced((*servers_of("s1", "v1", 2), *servers_of("s1", "v2", 3)))
     if source == "snapshot":
         router = before.router
-        orders = (router.rollouts.recorded(), router.servers.versions.established())
+        orders = (router.rollouts.recorded_orders(), router.servers.versions.established())
         configuration = router.configuration
         assert configuration is not None
         for event in decode_snapshot(encode_snapshot(configuration, [], frozenset(), *orders)):
--- a/tests/platform/test_rollout_records.py
+++ b/tests/platform/test_rollout_records.py
@@ -18,7 +18,7 @@
 from yokesill.positions import Position
 from yokesill.registry.api_client import ApiClient
 from yokesill.registry.feed_states import changes_from_wire, changes_to_wire, decode_state, encode_state
-from yokesill.registry.feeds import Batch, Overtaken
+from yokesill.registry.feeds import Batch, RevisionConflict
 from yokesill.rollouts.orders import RolloutLimits, RolloutOrder, RolloutState
 from yokesill.serving.settings import Address, GatewaySettings
 from yokesill.verdict import Failure, Verdict
@@ -95,7 +95,7 @@
 )
 def test_a_malformed_order_says_what_is_wrong_and_where(spec: Any, problem: str) -> None:
     order = stored(spec)
-    assert (order.service, order.made, order.revision) == ("s1", 5, 9)
+    assert (order.service, order.created_revision, order.revision) == ("s1", 5, 9)
     assert order.problem.startswith(problem)
 
 
@@ -207,7 +207,7 @@
         standin.put_status(KIND, "s1", {"state": "rolled_back", "targetVersion": "v2"})
         late = RolloutOrder("s1", "v2", 12.0, 5, 5, COMPLETED)
         stands = RolloutOrder("s1", "v2", 12.0, 5, 6, ROLLED_BACK)
-        assert await StoredRollouts(store).record(late) == Overtaken(stands)
+        assert await StoredRollouts(store).record(late) == RevisionConflict(stands)
         assert standin.objects[(KIND, "s1")]["status"]["state"] == "rolled_back"
 
     with_store(main)
@@ -217,7 +217,7 @@
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         standin.remove(KIND, "s1")
         late = RolloutOrder("s1", "v2", 12.0, 5, 5, CANARY)
-        assert await StoredRollouts(store).record(late) == Overtaken(None)
+        assert await StoredRollouts(store).record(late) == RevisionConflict(None)
 
     with_store(main)
 
@@ -243,7 +243,7 @@
         failure = await StoredRollouts(store).record(order)
         assert isinstance(failure, Failure)
         assert failure.verdict is Verdict.MAY_HAVE_RUN
-        assert await StoredRollouts(store).record(order) == Overtaken(order._replace(revision=6))
+        assert await StoredRollouts(store).record(order) == RevisionConflict(order._replace(revision=6))
 
     with_store(main)
 
--- a/tests/rollouts/test_decider.py
+++ b/tests/rollouts/test_decider.py
@@ -222,10 +222,10 @@
     fleet = ordered()
     fleet.until(COMPLETED)
     fleet.run(1.0)
-    made = fleet.registry.orders["svc"].made
+    made = fleet.registry.orders["svc"].created_revision
     fleet.registry.put("svc")
     overwritten = fleet.registry.orders["svc"]
-    fleet.registry.orders["svc"] = overwritten._replace(made=made)
+    fleet.registry.orders["svc"] = overwritten._replace(created_revision=made)
     fleet.run(1.5)
     assert fleet.state() is COMPLETED
 
--- a/tests/rollouts/test_decider_failures.py
+++ b/tests/rollouts/test_decider_failures.py
@@ -146,7 +146,7 @@
     record = fleet.registry.orders["svc"]
     fleet.until(COMPLETED)
     outcome = fleet.registry.write(paused.name, record._replace(state=ROLLED_BACK))
-    paused.decider.recorded(record._replace(state=ROLLED_BACK), outcome, fleet.now)
+    paused.decider.write_ended(record._replace(state=ROLLED_BACK), outcome, fleet.now)
     paused.paused = False
     fleet.run(2.0)
     (figures,) = paused.decider.figures(fleet.now)
--- a/tests/rollouts/test_decider_role.py
+++ b/tests/rollouts/test_decider_role.py
@@ -48,7 +48,7 @@
 def test_nobody_decides_while_there_is_nothing_to_decide() -> None:
     made = role(ranked()[0])
     made.update(False, 1.0)
-    assert not made.deciding and made.reporting_to(1.0) == ()
+    assert not made.deciding and made.report_targets(1.0) == ()
 
 
 def run(made: DeciderRole, seconds: float, speaking: list[str], reaches_registry: bool = True) -> float:
@@ -82,16 +82,16 @@
 def test_nodes_report_to_the_first_two_by_rank_until_others_speak() -> None:
     one, two, third, *_ = ranked()
     made = role(ranked()[-1])
-    assert set(made.reporting_to(0.1)) == {one, two}
+    assert set(made.report_targets(0.1)) == {one, two}
     now = run(made, PATIENCE_S + 1.0, [two, third])
-    assert set(made.reporting_to(now)) == {two, third}
+    assert set(made.report_targets(now)) == {two, third}
 
 
 def test_reports_go_past_a_decider_that_fell_silent_to_the_next() -> None:
     one, two, *_ = ranked()
     made = role(ranked()[-1])
     now = run(made, PATIENCE_S + 0.1, [two])
-    asked = made.reporting_to(now)
+    asked = made.report_targets(now)
     assert not made.deciding and len(asked) == 2 and two in asked and one not in asked
 
 
--- a/tests/rollouts/test_messages.py
+++ b/tests/rollouts/test_messages.py
@@ -4,7 +4,7 @@
 import pytest
 
 from yokesill.peers.chunks import DATAGRAM_BYTES
-from yokesill.rollouts.datagrams import in_datagrams
+from yokesill.rollouts.datagrams import split_into_datagrams
 from yokesill.rollouts.messages import (
     OrderDecision,
     OrderReport,
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("name", ["i", LONG])
 def test_no_report_is_too_large_and_none_loses_a_count(count: int, name: str) -> None:
     entries = [entry(f"{name}{number}", name=name) for number in range(count)]
-    batches = list(in_datagrams(entries))
+    batches = list(split_into_datagrams(entries))
     assert max(len(encode(RolloutReport(LONG, 2**40, batch))) for batch in batches) <= DATAGRAM_BYTES
     told = [each._replace(samples=()) for batch in batches for each in batch]
     assert told == [each._replace(samples=()) for each in entries]
@@ -64,7 +64,7 @@
 
 def test_all_samples_of_a_busy_node_arrive_those_of_the_new_version_too() -> None:
     samples = tuple(Sample("route", f"i{number}", number < 24, True, 0.01) for number in range(36))
-    batches = list(in_datagrams([entry("svc", 0)._replace(samples=samples)]))
+    batches = list(split_into_datagrams([entry("svc", 0)._replace(samples=samples)]))
     told = [each for batch in batches for each in batch]
     assert tuple(sample for each in told for sample in each.samples) == samples
     assert {each._replace(samples=()) for each in told} == {entry("svc", 0)}
@@ -79,7 +79,7 @@
 
 def test_the_oldest_samples_are_left_out_first() -> None:
     samples = tuple(Sample(LONG, LONG, True, True, number / 1000) for number in range(12))
-    ((kept,),) = in_datagrams([entry("svc", 0)._replace(samples=samples)])
+    ((kept,),) = split_into_datagrams([entry("svc", 0)._replace(samples=samples)])
     assert kept.samples == samples[-len(kept.samples) :] and 0 < len(kept.samples) < 12
 
 
@@ -87,7 +87,7 @@
     words = [
         OrderDecision(OrderId(f"{LONG}{n}", 2**40, LONG), RolloutState.CANARY, 1 / 3, 1e7) for n in range(90)
     ]
-    batches = list(in_datagrams(words))
+    batches = list(split_into_datagrams(words))
     assert max(len(encode(RolloutDecisions(LONG, True, 60.0, batch))) for batch in batches) <= DATAGRAM_BYTES
     assert [each for batch in batches for each in batch] == words
 
--- a/tests/rollouts/test_restored_records.py
+++ b/tests/rollouts/test_restored_records.py
@@ -73,24 +73,24 @@
 
 def test_a_node_keeps_the_state_that_a_restored_order_had_reached() -> None:
     node = NodeOrders(ServiceVersions(True, 2.0), Canary())
-    node.ordered(ORDER._replace(state=COMPLETED, revision=20))
-    node.ordered(ORDER._replace(state=CANARY, revision=12, timeline=2))
+    node.set_order(ORDER._replace(state=COMPLETED, revision=20))
+    node.set_order(ORDER._replace(state=CANARY, revision=12, timeline=2))
     assert node.effective["s"] is COMPLETED
-    assert [(each.state, each.revision) for each in node.recorded()] == [(COMPLETED, 12)]
+    assert [(each.state, each.revision) for each in node.recorded_orders()] == [(COMPLETED, 12)]
 
 
 def test_an_order_that_was_made_again_after_its_loss_is_another_one() -> None:
     node = NodeOrders(ServiceVersions(True, 2.0), Canary())
-    node.ordered(ORDER._replace(made=30, revision=31, state=SWITCHING))
-    node.ordered(ORDER._replace(made=25, revision=25, timeline=2))
+    node.set_order(ORDER._replace(created_revision=30, revision=31, state=SWITCHING))
+    node.set_order(ORDER._replace(created_revision=25, revision=25, timeline=2))
     assert node.effective["s"] is ORDERED
 
 
 def test_an_order_that_may_be_lost_is_not_told_to_others() -> None:
     node = NodeOrders(ServiceVersions(True, 2.0), Canary())
-    node.ordered(ORDER)
-    node.ordered(ORDER._replace(service="other", timeline=2, revision=7))
-    assert [each.service for each in node.recorded()] == ["other"]
+    node.set_order(ORDER)
+    node.set_order(ORDER._replace(service="other", timeline=2, revision=7))
+    assert [each.service for each in node.recorded_orders()] == ["other"]
     assert set(node.effective) == {"s", "other"}
 
 
@@ -102,6 +102,6 @@
 
 def test_a_record_of_the_timeline_before_changes_nothing() -> None:
     node = NodeOrders(ServiceVersions(True, 2.0), Canary())
-    node.ordered(ORDER._replace(timeline=2, revision=7))
-    assert node.ordered(ORDER._replace(state=CANARY, revision=99)) == []
+    node.set_order(ORDER._replace(timeline=2, revision=7))
+    assert node.set_order(ORDER._replace(state=CANARY, revision=99)) == []
     assert node.effective["s"] is ORDERED
--- a/tests/rollouts/test_service_versions.py
+++ b/tests/rollouts/test_service_versions.py
@@ -15,8 +15,8 @@
 
 def test_a_guess_is_not_told_to_nodes_that_start() -> None:
     versions = ServiceVersions(True, GRACE_S)
-    versions.listed("s", Counter(v1=2, v2=3), ("v1", "v2"), 100.0)
-    versions.listed("sure", Counter(v1=3), ("v1",), 100.0)
+    versions.set_listed("s", Counter(v1=2, v2=3), ("v1", "v2"), 100.0)
+    versions.set_listed("sure", Counter(v1=3), ("v1",), 100.0)
     assert versions.established() == {"sure": ("v1",)}
 
 
@@ -30,7 +30,7 @@
             self.list(*listed)
 
     def list(self, *listed: str, vanished: tuple[str, ...] = ()) -> None:
-        self.versions.listed("s", Counter(listed), (*listed, *vanished), self.now)
+        self.versions.set_listed("s", Counter(listed), (*listed, *vanished), self.now)
 
     def set_state(self, *states: RolloutState, order: OrderId = ORDER) -> None:
         for state in states:
@@ -120,7 +120,7 @@
 def test_the_way_back_can_be_ordered_after_it_was_completed() -> None:
     node = Versions("v1", "v2")
     node.set_state(SWITCHING, COMPLETED)
-    node.set_state(CANARY, order=ORDER._replace(target="v1", made=9))
+    node.set_state(CANARY, order=ORDER._replace(target="v1", created_revision=9))
     assert (node.old(), node.new()) == ({"v2"}, {"v1"})
 
 
@@ -214,7 +214,7 @@
 def test_a_start_is_told_what_is_established() -> None:
     node, starting = Versions("v1"), Versions()
     node.list("v1", "v2", "v2")
-    starting.versions.establish(node.versions.established())
+    starting.versions.adopt_established(node.versions.established())
     starting.list("v1", "v2", "v2")
     assert starting.old() == {"v1"}
 
@@ -231,20 +231,20 @@
 
 def test_where_nothing_is_rolled_out_versions_do_not_count() -> None:
     versions = ServiceVersions(False, GRACE_S)
-    versions.listed("s", {"v1": 2, "v2": 1}, ("v1", "v2"), 1.0)
+    versions.set_listed("s", {"v1": 2, "v2": 1}, ("v1", "v2"), 1.0)
     versions.set_state(ORDER, CANARY)
-    versions.establish({"s": ("v1",)})
+    versions.adopt_established({"s": ("v1",)})
     assert versions.gated == set()
 
 
 def test_what_is_named_nowhere_any_more_is_forgotten() -> None:
     node = Versions("v1")
     node.list(vanished=())
-    node.versions.keep({"s"})
+    node.versions.retain({"s"})
     assert node.versions.established() == {"s": ("v1",)}
     node.set_state(CANARY)
-    node.versions.keep(())
+    node.versions.retain(())
     assert node.versions.established() == {"s": ("v1",)}
     node.versions.withdraw("s")
-    node.versions.keep(())
+    node.versions.retain(())
     assert (node.versions.established(), node.versions.gated) == ({}, set())
--- a/tests/serving/fleet_of_nodes.py
+++ b/tests/serving/fleet_of_nodes.py
@@ -19,7 +19,7 @@
 from yokesill.gateway.messages import Attempt, GatewayRequest, ServerReply
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.router import GatewayRouter
-from yokesill.registry.feeds import NodeContact, Overtaken, RolloutRecords
+from yokesill.registry.feeds import NodeContact, RevisionConflict, RolloutRecords
 from yokesill.rollouts.decider import RolloutDecider
 from yokesill.rollouts.orders import RolloutLimits, RolloutOrder, RolloutState
 from yokesill.serving.driver import GatewayDriver
@@ -78,13 +78,13 @@
     def mode(self, node: str) -> str:
         return self.modes.get(node, self.modes.get("*", "up"))
 
-    async def record(self, node: str, order: RolloutOrder) -> RolloutOrder | Overtaken | Failure:
+    async def record(self, node: str, order: RolloutOrder) -> RolloutOrder | RevisionConflict | Failure:
         mode = self.mode(node)
         await anyio.sleep(2.0 if mode == "silent" else 0.01)
         if mode in ("down", "silent"):
             return DOWN
         if self.order is None or order.revision != self.order.revision:
-            return Overtaken(self.order)
+            return RevisionConflict(self.order)
         self.written.append((node, order))
         stored = self.put(order)
         return LOST if mode == "lossy" else stored
@@ -97,7 +97,7 @@
         self._registry = registry
         self._node = node
 
-    async def record(self, order: RolloutOrder) -> RolloutOrder | Overtaken | Failure:
+    async def record(self, order: RolloutOrder) -> RolloutOrder | RevisionConflict | Failure:
         return await self._registry.record(self._node, order)
 
 
@@ -227,7 +227,9 @@
     def order(self, duration_s: float = 12.0) -> None:
         """Order the new version, and start its servers."""
         self.ordered_at_s = anyio.current_time()
-        self.registry.put(RolloutOrder("desk", NEW, duration_s, made=self.registry.revision + 1, revision=0))
+        self.registry.put(
+            RolloutOrder("desk", NEW, duration_s, created_revision=self.registry.revision + 1, revision=0)
+        )
         for node in self.nodes:
             for record in self.servers(NEW):
                 node.learn(ev.ServerListed(record))
