--- a/src/yokesill/rollouts/__init__.py
+++ b/src/yokesill/rollouts/__init__.py
@@ -1,4 +1,5 @@
-"""Moves a service's traffic to servers of another version, by all nodes together; takes a bad one back.
+"""Moves a service's traffic to another version, coordinated over all nodes, and rolls back a bad version.
 
-Decisions only: no I/O and no clock, times are given in seconds. ``docs/design/rollouts.md`` has the design.
+Makes decisions only: no I/O and no clock, and times are passed in, in seconds. The design is described in
+``docs/design/rollouts.md``.
 """
--- a/src/yokesill/rollouts/barrier.py
+++ b/src/yokesill/rollouts/barrier.py
@@ -1,6 +1,6 @@
-"""When the switch is complete: no live node may still use the old version's servers.
+"""Decides when a switch is complete: when no live node can still use the old version's servers.
 
-Inputs: each node's reports (effective state, requests in flight at old servers) and which nodes live.
+Inputs: each node's reports (effective state, requests in flight at old servers) and the set of live nodes.
 """
 
 from collections.abc import Iterable
@@ -8,9 +8,9 @@
 
 from yokesill.rollouts.orders import RolloutState
 
-# A node that is silent for longer (six intervals of reports) is not waited for: it may be gone. One that is
-# only frozen wakes to a feed and decisions that send it to the new version.
-LIVE_S = 3.0
+# A node whose last report is older (six report intervals) may be gone and is not waited for. If it was only
+# suspended, the feed and the decisions move it to the new version when it resumes.
+NODE_TIMEOUT_S = 3.0
 
 
 class _NodeState(NamedTuple):
@@ -20,32 +20,32 @@
 
 
 class Barrier:
-    """Each node's effective state under one order, and its requests in flight at old servers."""
+    """Tracks each node's effective state under one order and its requests in flight at old servers."""
 
     def __init__(self) -> None:
         self._states: dict[str, _NodeState] = {}
-        self._earlier_starts: set[tuple[str, int]] = set()
+        self._past_incarnations: set[tuple[str, int]] = set()
 
     def report(self, node: str, incarnation: int, effective: RolloutState, old_in_flight: int) -> None:
-        """Take a node's report; one of a start that another one has followed changes nothing.
+        """Apply a node's report; a report from before the node's latest restart is ignored.
 
-        Starts are distinguished but not compared: the clock that names them may have been set back.
+        Incarnations are only tested for equality: they come from a clock that may have been set back.
         """
         before = self._states.get(node)
-        if (node, incarnation) in self._earlier_starts:
+        if (node, incarnation) in self._past_incarnations:
             return
         if before is not None and before.incarnation != incarnation:
-            self._earlier_starts.add((node, before.incarnation))
+            self._past_incarnations.add((node, before.incarnation))
         self._states[node] = _NodeState(incarnation, effective, old_in_flight)
 
     def waits_for(self, live: Iterable[str]) -> tuple[str, ...]:
-        """Return which of the live nodes may still use the old version.
+        """Return the live nodes that may still use the old version.
 
-        A live one that doesn't name the order has not received it and does.
+        A live node whose reports don't include the order has not received it, and still uses the old version.
         """
-        return tuple(sorted(node for node in live if not self._has_left(node)))
+        return tuple(sorted(node for node in live if not self._has_left_old_version(node)))
 
-    def _has_left(self, node: str) -> bool:
+    def _has_left_old_version(self, node: str) -> bool:
         known = self._states.get(node)
         if known is None or known.old_in_flight > 0:
             return False
--- a/src/yokesill/rollouts/canary.py
+++ b/src/yokesill/rollouts/canary.py
@@ -1,4 +1,4 @@
-"""Which requests are canaries, by the deciders' shares and a hash of each request."""
+"""Selects canary requests by the deciders' shares and a hash of each request ID."""
 
 from typing import NamedTuple
 
@@ -6,11 +6,11 @@
 from yokesill.rollouts.messages import OrderDecision, RolloutDecisions
 from yokesill.rollouts.orders import OrderId, RolloutState
 
-_WHOLE = 1 << 64
+_HASH_RANGE = 1 << 64
 
 
 class _Share(NamedTuple):
-    """One decider's share, and until when it holds in seconds of the node's clock."""
+    """One decider's share, and when it expires, in seconds of the node's clock."""
 
     share: float
     until_s: float
@@ -19,10 +19,10 @@
 class Canary:
     """The decisions received on orders; times in seconds of the node's clock.
 
-    A share holds as long as its message says: a node that receives nothing goes back to the old version. Of
-    several deciders' shares the least counts. An order's state was recorded before it was announced, so it
-    holds for good and never goes back, but for ``ROLLED_BACK``: after the first such decision no other
-    decision on the order counts.
+    A share is valid for the time given in its message, so a node that stops receiving decisions returns to
+    the old version. With shares from several deciders, the smallest applies. A state was recorded before it
+    was announced, so it does not expire and never moves backwards. ``ROLLED_BACK`` is the exception that need
+    not be recorded first: after the first such decision, all other decisions on the order are ignored.
     """
 
     __slots__ = ("_hashes", "_shares", "_states")
@@ -45,25 +45,26 @@
             self._states[decision.order] = decision.state
 
     def state(self, order: OrderId) -> RolloutState | None:
-        """Return the state that deciders announced; ``None`` where none did."""
+        """Return the furthest state that deciders have announced, or ``None`` if there is none."""
         return self._states.get(order)
 
     def share(self, order: OrderId, now: float) -> float:
-        """Return the share of the service's requests that may go to the new version now, 0 to 1."""
+        """Return the share (0 to 1) of the service's requests that may go to the new version now."""
         fresh = [each.share for each in self._shares.get(order, {}).values() if now < each.until_s]
         return min(fresh, default=0.0)
 
     def includes(self, request_id: str, order: OrderId, now: float) -> bool:
-        """Whether a request goes to the new version while the order is a canary.
+        """Whether a request goes to the new version while the order is in ``CANARY``.
 
-        By a hash of both names: no node keeps a state for it or calls another, and over all nodes the share
-        is right in the mean. Of 240 requests at a share of 0.1 that spreads by sqrt(240 * 0.1 * 0.9) = 5.
+        Decided by a hash of the request ID and the order, so that nodes need no state or coordination, and
+        the share over all nodes is right on average. For 240 requests at a share of 0.1 the standard
+        deviation is sqrt(240 * 0.1 * 0.9) = 5.
         """
         share = self.share(order, now)
-        return share > 0.0 and self.rank(request_id, order) < share * _WHOLE
+        return share > 0.0 and self.rank(request_id, order) < share * _HASH_RANGE
 
     def rank(self, request_id: str, order: OrderId) -> int:
-        """Return how late a request would become a canary of an order as its share rises; 64 bits."""
+        """Return a request's 64-bit rank; as the share rises, requests become canaries in order of rank."""
         hashed = self._hashes.get(order)
         if hashed is None:
             hashed = self._hashes[order] = name_hash(
@@ -72,7 +73,7 @@
         return weight(name_hash(request_id), hashed)
 
     def forget(self, order: OrderId) -> None:
-        """Drop what was received on an order that is gone."""
+        """Drop all decisions received on an order."""
         self._shares.pop(order, None)
         self._states.pop(order, None)
         self._hashes.pop(order, None)
--- a/src/yokesill/rollouts/decider_role.py
+++ b/src/yokesill/rollouts/decider_role.py
@@ -1,8 +1,8 @@
-"""Who decides on roll-outs, and so writes their records: the first two of all nodes by rank that report.
+"""Elects the deciders, which write the records of roll-outs: the first two nodes by rank that are available.
 
-Inputs: all nodes with their processors, deciders' messages (and whether they reach the registry), nodes'
-reports; times in seconds of the node's clock. Without a lease and without a vote: what a decider too many
-could do wrong is undone by the records' condition on their revision (``docs/design/rollouts.md``).
+Inputs: all nodes with their processor cores, the deciders' messages (and whether each reaches the registry),
+the nodes' reports; times in seconds of the node's clock. There is no lease and no vote: surplus deciders do
+no harm, because records are written on the condition of their revision (``docs/design/rollouts.md``).
 """
 
 import random
@@ -10,36 +10,40 @@
 
 from yokesill.peers.capacity_rank import strong_nodes
 from yokesill.peers.ranks import RankedGroup, RankTiming
-from yokesill.rollouts.barrier import LIVE_S
+from yokesill.rollouts.barrier import NODE_TIMEOUT_S
 
 RANK_SUBJECT = "rollout-decider"
-# One may be gone or partitioned. Each decider more costs another report of every node.
-DECIDERS = 2
-# Between two reports, and two messages of decisions: two lost in a row still leave half of the bound for
-# taking a version back (``RolloutLimits.rollback_s``, 5 s).
-INTERVAL_S = 0.5
-# 400 nodes tell two deciders 800 reports a second each, 0.1 ms of theirs; beyond, the interval grows.
-NODES_AT_INTERVAL = 400
-# After so many intervals without a message a decider counts as gone; reports are complete after as many.
-INTERVALS_MISSED = 3
-# How much longer each further rank waits, so that not all take over at once: a message's way and a turn.
-STEP_S = 0.1
-# A node that has not run for so long has missed two intervals of messages and reports.
-PAUSE_S = 1.0
-# For so long a node that woke up trusts nothing that it knew before: three intervals, as for a decider that
-# is gone.
-WAKE_S = 1.5
+# The second one covers for a decider that is gone or partitioned. Each further decider would cost another
+# report from every node.
+DECIDER_COUNT = 2
+# Between two reports, and between two messages of decisions. Two lost messages in a row still leave half of
+# the time allowed for a rollback (``RolloutLimits.rollback_s``, 5 s).
+REPORT_INTERVAL_S = 0.5
+# With 400 nodes each of the two deciders receives 800 reports a second, at 0.1 ms each; beyond that the
+# interval grows.
+MAX_NODES_AT_BASE_INTERVAL = 400
+# A decider is considered gone after this many intervals without a message; a new decider has complete counts
+# after the same time.
+TIMEOUT_INTERVALS = 3
+# Each further rank waits this much longer, for one message and one turn of the loop, so that not all take
+# over at once.
+TAKEOVER_STEP_S = 0.1
+# A node that has not run for this long has missed two intervals of messages and reports.
+SUSPENSION_S = 1.0
+# For this long after resuming, a node does not rely on what it knew before: three intervals, the same as the
+# timeout of a decider.
+RESUME_GRACE_S = 1.5
 
 
 class DeciderRole:
-    """One node's view of the deciders while there are open orders.
+    """One node's view of the deciders, maintained while there are open orders.
 
     Parameters
     ----------
     own
         This node's name.
     source
-        Not drawn from for deciding; the group wants one.
+        Random number generator that ``RankedGroup`` requires; decisions don't use it.
     now
         The node's clock, in seconds.
     """
@@ -49,52 +53,52 @@
         self._source = source
         self._cores: dict[str, float] = {own: 1.0}
         self._group: RankedGroup | None = None
-        self._began_at_s = now
+        self._started_at_s = now
         self._updated_at_s = now
         self._deciding_since_s: float | None = None
-        self._woke_at_s = float("-inf")
-        self._able_at_s: dict[str, float] = {}
-        self._unable_at_s: dict[str, float] = {}
+        self._resumed_at_s = float("-inf")
+        self._connected_at_s: dict[str, float] = {}
+        self._disconnected_at_s: dict[str, float] = {}
         self._reported_at_s: dict[str, float] = {}
         self._listed_at_s: dict[str, float] = {}
 
     @property
     def interval_s(self) -> float:
-        """How often reports and decisions go out."""
-        return INTERVAL_S * max(1.0, len(self._cores) / NODES_AT_INTERVAL)
+        """Interval between reports, and between decisions."""
+        return REPORT_INTERVAL_S * max(1.0, len(self._cores) / MAX_NODES_AT_BASE_INTERVAL)
 
     @property
-    def patience_s(self) -> float:
-        """After which silence a decider counts as gone."""
-        return INTERVALS_MISSED * self.interval_s
+    def timeout_s(self) -> float:
+        """Time without a message after which a decider is considered gone."""
+        return TIMEOUT_INTERVALS * self.interval_s
 
     @property
     def deciding(self) -> bool:
-        """Whether this node decides."""
+        """Whether this node is a decider."""
         return self._deciding_since_s is not None
 
     def set_nodes(self, cores: Mapping[str, float]) -> None:
-        """Set all nodes and their processors; this node counts in any case."""
+        """Set all nodes and their processor cores; this node is always included."""
         wanted = {self._own: 1.0, **cores}
         if wanted != self._cores:
             self._cores = wanted
             self._set_members()
 
-    def received(self, node: str, reaches_registry: bool, now: float) -> None:
-        """Note that another decider sent its decisions."""
+    def note_decisions(self, node: str, reaches_registry: bool, now: float) -> None:
+        """Record that another decider sent its decisions."""
         if node == self._own:
             return
-        (self._able_at_s if reaches_registry else self._unable_at_s)[node] = now
-        (self._unable_at_s if reaches_registry else self._able_at_s).pop(node, None)
+        (self._connected_at_s if reaches_registry else self._disconnected_at_s)[node] = now
+        (self._disconnected_at_s if reaches_registry else self._connected_at_s).pop(node, None)
         if self._group is not None:
             self._group.received(node, reaches_registry, True, now)
 
-    def reported(self, node: str, now: float) -> None:
-        """Note that a node reported."""
+    def note_report(self, node: str, now: float) -> None:
+        """Record that a node sent a report."""
         self._reported_at_s[node] = now
 
     def update(self, needed: bool, now: float) -> bool:
-        """Update who decides; return whether this node has just begun to.
+        """Update the set of deciders; return whether this node has just become one.
 
         Parameters
         ----------
@@ -103,15 +107,15 @@
         now
             The node's clock, in seconds.
         """
-        paused = now - self._updated_at_s > PAUSE_S
+        paused = now - self._updated_at_s > SUSPENSION_S
         self._updated_at_s = now
         if not needed:
             self._group = self._deciding_since_s = None
             return False
         if self._group is None:
-            self._begin(now)
+            self._start(now)
         elif paused:
-            self._woke_at_s = now
+            self._resumed_at_s = now
             self._deciding_since_s = None
         if len(self._listed_at_s) < len(self._cores):
             self._listed_at_s = {node: self._listed_at_s.get(node, now) for node in self._cores}
@@ -119,46 +123,49 @@
         if not self._group.acts(now):
             self._deciding_since_s = None
             return False
-        began = self._deciding_since_s is None
-        if began:
+        started = self._deciding_since_s is None
+        if started:
             self._deciding_since_s = now
-        return began
+        return started
 
-    def just_woken(self, now: float) -> bool:
-        """Whether this node has not run for a while until just now."""
-        return now - self._woke_at_s < WAKE_S or now - self._updated_at_s > PAUSE_S
+    def just_resumed(self, now: float) -> bool:
+        """Whether this node has recently resumed after not running for a while."""
+        return now - self._resumed_at_s < RESUME_GRACE_S or now - self._updated_at_s > SUSPENSION_S
 
-    def informed(self, now: float) -> bool:
-        """Whether it has decided for long enough to have received each node's totals."""
-        return self._deciding_since_s is not None and now - self._deciding_since_s >= self.patience_s
+    def counts_complete(self, now: float) -> bool:
+        """Whether this node has been a decider for long enough to have received every node's totals."""
+        return self._deciding_since_s is not None and now - self._deciding_since_s >= self.timeout_s
 
     def deciders_before(self, now: float) -> int:
-        """Return how many deciders that reach the registry rank before this one, silent ones not counted.
+        """Return how many live deciders that reach the registry rank before this node.
 
-        While nobody had time to send a message yet, the first by rank count.
+        Right after the start, before any decider had time to send a message, the first nodes by rank are
+        assumed to be deciders.
         """
-        is_start = now - self._began_at_s < self.patience_s
+        is_start = now - self._started_at_s < self.timeout_s
         above = self._ranked[: self._ranked.index(self._own)]
-        there = [node for node in above if self._is_deciding(node, now)]
+        present = [node for node in above if self._is_deciding(node, now)]
         if is_start:
-            there = [node for node in above[:DECIDERS] if node not in self._unable_at_s]
-        return len(there)
+            present = [node for node in above[:DECIDER_COUNT] if node not in self._disconnected_at_s]
+        return len(present)
 
-    def live(self, now: float) -> frozenset[str]:
-        """Return the nodes that are there: they reported lately, or were listed just now."""
-        reporting = {node for node, at_s in self._reported_at_s.items() if now - at_s < LIVE_S}
-        new = {node for node, at_s in self._listed_at_s.items() if now - at_s < LIVE_S}
+    def live_nodes(self, now: float) -> frozenset[str]:
+        """Return the live nodes: those that reported recently or were listed only recently."""
+        reporting = {node for node, at_s in self._reported_at_s.items() if now - at_s < NODE_TIMEOUT_S}
+        new = {node for node, at_s in self._listed_at_s.items() if now - at_s < NODE_TIMEOUT_S}
         return frozenset(reporting | (new & self._cores.keys()))
 
-    def hears_most_nodes(self, now: float) -> bool:
-        """Whether half of the listed nodes report, or had no time to yet."""
-        if now - self._began_at_s < self.patience_s:
+    def enough_nodes_report(self, now: float) -> bool:
+        """Whether at least half of the listed nodes report, or have not had time to."""
+        if now - self._started_at_s < self.timeout_s:
             return True
-        reporting = sum(now - self._reported_at_s.get(node, float("-inf")) < LIVE_S for node in self._cores)
+        reporting = sum(
+            now - self._reported_at_s.get(node, float("-inf")) < NODE_TIMEOUT_S for node in self._cores
+        )
         return 2 * reporting >= len(self._cores)
 
     def report_targets(self, now: float) -> tuple[str, ...]:
-        """Return whom nodes report to: nodes that decided lately, and the next by rank up to two."""
+        """Return the nodes to report to: the current deciders, filled up to two with the next by rank."""
         if self._group is None:
             return ()
         deciding = [
@@ -169,36 +176,36 @@
         rest = [
             node
             for rank, node in enumerate(self._ranked)
-            if node not in deciding and self._may_decide_soon(node, rank, now)
+            if node not in deciding and self._may_decide_next(node, rank, now)
         ]
-        return tuple((deciding + rest)[: max(DECIDERS, len(deciding))])
+        return tuple((deciding + rest)[: max(DECIDER_COUNT, len(deciding))])
 
     @property
     def _ranked(self) -> tuple[str, ...]:
         return self._group.ranked if self._group is not None else (self._own,)
 
     def _is_deciding(self, node: str, now: float) -> bool:
-        return now - self._able_at_s.get(node, float("-inf")) < self.patience_s
+        return now - self._connected_at_s.get(node, float("-inf")) < self.timeout_s
 
-    def _may_decide_soon(self, node: str, rank: int, now: float) -> bool:
-        """Whether a node that sent no decisions may be a decider soon."""
-        if node == self._own or now - self._began_at_s < self.patience_s:
+    def _may_decide_next(self, node: str, rank: int, now: float) -> bool:
+        """Whether a node that sends no decisions may become a decider soon."""
+        if node == self._own or now - self._started_at_s < self.timeout_s:
             return True
-        return rank >= DECIDERS and node not in self._able_at_s.keys() | self._unable_at_s
+        return rank >= DECIDER_COUNT and node not in self._connected_at_s.keys() | self._disconnected_at_s
 
-    def _begin(self, now: float) -> None:
+    def _start(self, now: float) -> None:
         timing = RankTiming(
-            takeover_s=self.patience_s,
-            step_s=STEP_S,
-            patience_s=self.patience_s,
+            takeover_s=self.timeout_s,
+            step_s=TAKEOVER_STEP_S,
+            patience_s=self.timeout_s,
             settle_s=0.0,
             strong_settle_s=0.0,
-            acting=DECIDERS,
+            acting=DECIDER_COUNT,
         )
         self._group = RankedGroup(self._own, RANK_SUBJECT, timing, self._source, now)
-        self._began_at_s = now
-        self._able_at_s.clear()
-        self._unable_at_s.clear()
+        self._started_at_s = now
+        self._connected_at_s.clear()
+        self._disconnected_at_s.clear()
         self._reported_at_s.clear()
         self._listed_at_s.clear()
         self._set_members()
--- a/src/yokesill/rollouts/exposure.py
+++ b/src/yokesill/rollouts/exposure.py
@@ -1,9 +1,9 @@
-"""How large a share of a service's requests its new version may get while it may still be bad.
+"""Computes the share of a service's requests that the new version may get while it may still be bad.
 
-Inputs: requests at servers of either version, over all nodes; the contract's limits; the time left. A node's
-counts are totals since its start: a lost report costs nothing, a repeated one adds nothing. The share spends
-what the contract allows evenly until the switch, less all that the switch needs and a margin. Constants were
-set by ``bench/rollout_verdicts.py``; its table is in ``docs/design/rollouts.md``.
+Inputs: the requests sent to each version over all nodes, the contract's limits and the time left. A node's
+counts are totals since its start, so lost and repeated reports do no harm. The requests that the contract
+allows, less those that the switch needs and a margin, are spread evenly over the time until the switch. The
+constants were set by ``bench/rollout_verdicts.py``; its table is in ``docs/design/rollouts.md``.
 """
 
 from collections import deque
@@ -11,43 +11,45 @@
 
 from yokesill.rollouts.orders import RolloutLimits
 
-# Beyond it the old version would have too few answers to be compared with.
-LARGEST_SHARE = 1 / 3
-# From the switch on everything goes to the new version until the order's time is over, also if it turns bad
-# just before that: the contract counts it all. The switch begins so long before the end: it takes 1.5 s (a
-# record and its announcement, 1.1 s under watch, another record; virtual time), and a registry that answers
-# in 0.25 s in place of 4 ms still fits. Of versions that fail one in ten at 20 requests a second, 2.5 s in
-# its place put up to 7 in 100 beyond the bound, with the contract's whole share before it 30; this none
-# (``bench/rollout_verdicts.py``, 40 plays a case), and no fewer are found.
-SWITCH_S = 2.2
-# Of the contract's share the canary gets so much at least: without answers a bad version would be found at
-# the switch only. Up to 26 requests a second over 12 s that and the whole switch keep to the bound.
-LEAST_SHARE_OF_LIMIT = 0.6
-# By how much reports and decisions lag behind: two intervals of reports.
-LAG_S = 1.0
-# Thinning is by chance: two standard deviations of 25 requests, and those that dying nodes never report.
+# With a larger share the old version would have too few answers to compare with.
+MAX_SHARE = 1 / 3
+# The switch begins this long before the order's deadline. From then on all requests go to the new version,
+# and the contract counts all of them even if it turns bad just before the deadline. The switch takes 1.5 s of
+# virtual time (a record and its announcement, 1.1 s under watch, another record), and still fits if the
+# registry answers in 0.25 s instead of 4 ms. Of versions that fail 1 in 10 requests at 20 requests a second,
+# 2.5 s put up to 7 in 100 over the limit, or 30 in 100 if the canary gets the contract's whole share; this
+# value puts none over it and finds no fewer (``bench/rollout_verdicts.py``, 40 plays per case).
+SWITCH_DURATION_S = 2.2
+# The canary gets at least this fraction of the contract's share: without any answers a bad version would be
+# found only at the switch. Up to 26 requests a second over 12 s, this and the whole switch stay within the
+# limit.
+MIN_SHARE_OF_LIMIT = 0.6
+# Delay of reports and decisions: two report intervals.
+REPORT_LAG_S = 1.0
+# Canaries are selected randomly: two standard deviations for 25 requests, and those that crashed nodes never
+# report.
 MARGIN_REQUESTS = 10.0
-# Over how long the rate of requests is measured, and the least time for a figure: eight intervals of reports,
-# and less than one of them.
-RATE_S, LEAST_RATE_S = 4.0, 0.4
-# Reports come by the dozen; the rate needs no more points than this.
-POINT_S = 0.1
+# The request rate is measured over this window, and known after the minimum: eight report intervals, and less
+# than one of them.
+RATE_WINDOW_S, MIN_RATE_WINDOW_S = 4.0, 0.4
+# Many reports arrive at once; the rate needs no finer resolution.
+RATE_POINT_INTERVAL_S = 0.1
 
 
 class Totals(NamedTuple):
-    """Requests sent to either version since the order."""
+    """Requests sent to each version since the order."""
 
     old: int = 0
     new: int = 0
 
     @property
     def all(self) -> int:
-        """Of both."""
+        """Requests sent to both versions."""
         return self.old + self.new
 
 
 class ExposureCounts:
-    """What all nodes sent to the versions of one service since its order."""
+    """Requests that all nodes sent to each version of one service since its order."""
 
     def __init__(self) -> None:
         self._by_start: dict[tuple[str, int], Totals] = {}
@@ -56,61 +58,61 @@
 
     @property
     def totals(self) -> Totals:
-        """Over all nodes and all their starts."""
+        """Totals over all nodes and all their incarnations."""
         return self._totals
 
     def report(self, node: str, incarnation: int, sent_old: int, sent_new: int, now: float) -> None:
-        """Take a node's totals since its start ``incarnation``; older ones change nothing."""
+        """Apply a node's totals since the start of ``incarnation``; older totals change nothing."""
         before = self._by_start.get((node, incarnation), Totals())
         after = Totals(max(before.old, sent_old), max(before.new, sent_new))
         self._by_start[node, incarnation] = after
         self._totals = Totals(
             self._totals.old + after.old - before.old, self._totals.new + after.new - before.new
         )
-        if not self._history or now - self._history[-1][0] >= POINT_S:
+        if not self._history or now - self._history[-1][0] >= RATE_POINT_INTERVAL_S:
             self._history.append((now, self._totals.all))
-        while len(self._history) > 2 and now - self._history[1][0] > RATE_S:
+        while len(self._history) > 2 and now - self._history[1][0] > RATE_WINDOW_S:
             self._history.popleft()
 
     def rate(self, now: float) -> float | None:
-        """Return how many requests a second reach the service; ``None`` when it isn't known yet."""
-        if not self._history or now - self._history[0][0] < LEAST_RATE_S:
+        """Return the service's requests per second, or ``None`` while it isn't known."""
+        if not self._history or now - self._history[0][0] < MIN_RATE_WINDOW_S:
             return None
         since, before = self._history[0]
         return (self._totals.all - before) / (now - since)
 
 
 def allowed_share(
-    counts: ExposureCounts, terms: RolloutLimits, canary_left_s: float, left_s: float, now: float
+    counts: ExposureCounts, limits: RolloutLimits, canary_left_s: float, left_s: float, now: float
 ) -> float:
-    """Return which share (0 to 1) of the requests may go to the new version from now on.
+    """Return the share (0 to 1) of the requests that may go to the new version from now on.
 
     Parameters
     ----------
     counts
-        What was sent so far.
-    terms
-        What the contract allows.
+        Requests sent so far.
+    limits
+        The contract's limits.
     canary_left_s
-        How long the share has to last.
+        Time until the switch, over which the share is spread.
     left_s
-        How long until the order's deadline: what comes until then raises the bound. No more than the
-        switch is counted on, so a long order does not spend at once what its last hour allows.
+        Time until the order's deadline: requests until then raise the limit. Only those up to the end of the
+        switch are counted on, so that a long order does not use up at once what its last hour allows.
     now
         The node's clock, in seconds.
     """
     rate = counts.rate(now)
     totals = counts.totals
-    slack = max(0.0, terms.canary_slack - MARGIN_REQUESTS)
+    slack = max(0.0, limits.canary_slack - MARGIN_REQUESTS)
     if rate is None:
-        return min(LARGEST_SHARE, terms.canary_share)
-    unreported = rate * LAG_S
-    if totals.new + terms.canary_share * unreported >= terms.canary_share * totals.all + slack:
+        return min(MAX_SHARE, limits.canary_share)
+    unreported = rate * REPORT_LAG_S
+    if totals.new + limits.canary_share * unreported >= limits.canary_share * totals.all + slack:
         return 0.0
-    counted_s = max(0.0, min(left_s, canary_left_s + SWITCH_S))
-    allowed = terms.canary_share * (totals.all + rate * counted_s) + slack
-    free = allowed - rate * SWITCH_S - totals.new
-    coming = rate * max(canary_left_s, LAG_S)
-    if coming <= 0.0:
-        return LARGEST_SHARE
-    return min(LARGEST_SHARE, max(LEAST_SHARE_OF_LIMIT * terms.canary_share, free / coming))
+    horizon_s = max(0.0, min(left_s, canary_left_s + SWITCH_DURATION_S))
+    allowed = limits.canary_share * (totals.all + rate * horizon_s) + slack
+    remaining = allowed - rate * SWITCH_DURATION_S - totals.new
+    expected = rate * max(canary_left_s, REPORT_LAG_S)
+    if expected <= 0.0:
+        return MAX_SHARE
+    return min(MAX_SHARE, max(MIN_SHARE_OF_LIMIT * limits.canary_share, remaining / expected))
--- a/src/yokesill/rollouts/listed_versions.py
+++ b/src/yokesill/rollouts/listed_versions.py
@@ -1,4 +1,4 @@
-"""How many servers of an order's target are listed, and since when there are none."""
+"""Tracks how many servers of an order's target are listed, and how long there have been none."""
 
 from collections.abc import Mapping
 
@@ -6,7 +6,7 @@
 
 
 class ListedVersions:
-    """The listed servers of services with an order, by version; times in seconds of the node's clock."""
+    """Listed servers of services with an order, by version; times in seconds of the node's clock."""
 
     def __init__(self) -> None:
         self._counts: dict[str, Mapping[str, int]] = {}
@@ -17,14 +17,14 @@
         self._counts[service] = dict(counts)
 
     def drop(self, service: str) -> None:
-        """Forget a service."""
+        """Drop a service."""
         self._counts.pop(service, None)
         self._gone_since_s.pop(service, None)
 
     def of_target(self, order: RolloutOrder, now: float) -> tuple[int | None, float]:
-        """Return how many servers the target has, and for how long it has had none beside others.
+        """Return the target's number of servers, and how long it has had none while other versions had.
 
-        The number is ``None`` while nothing is known of the service.
+        The number is ``None`` while the service's servers are unknown.
         """
         counts = self._counts.get(order.service)
         servers = None if counts is None else counts.get(order.target, 0)
--- a/src/yokesill/rollouts/messages.py
+++ b/src/yokesill/rollouts/messages.py
@@ -1,8 +1,8 @@
-"""What nodes and deciders send each other in roll-outs: reports and decisions.
+"""Messages of roll-outs: reports from nodes to deciders, and decisions from deciders to nodes.
 
-Nothing depends on the arrival of one datagram: counts are totals, decisions are repeated, and a lost report
-costs some samples. ``rollouts/datagrams`` splits them. Whether times were measured stands behind the
-decisions, one an order, where releases that don't know it pass it over.
+No single datagram has to arrive: counts are totals, decisions are repeated, and a lost report costs only some
+samples. ``rollouts/datagrams`` splits messages into datagrams. Whether each order's time was measured follows
+the decisions as an extension, which older releases skip.
 """
 
 from collections.abc import Callable
@@ -22,10 +22,10 @@
 
 
 class Sample(NamedTuple):
-    """How one attempt ended.
+    """Outcome of one attempt.
 
-    ``latency_s`` is the server's own time, without the way there; ``None`` where it says nothing: after a
-    failure, and of a cold server.
+    ``latency_s`` is the server's processing time, without the network; it is ``None`` where it is not
+    meaningful, after a failure or from a cold server.
     """
 
     route: str
@@ -36,11 +36,11 @@
 
 
 class OrderReport(NamedTuple):
-    """What one node did and saw under one order since it knows it.
+    """One node's requests and samples under one order since it received the order.
 
-    ``state`` is the order's effective state at the node. ``sent_old`` and ``sent_new`` are totals
-    of requests sent to servers of the old and of the new version, and ``old_in_flight`` how many are under
-    way at old ones.
+    ``state`` is the order's effective state at the node. ``sent_old`` and ``sent_new`` are the total requests
+    sent to servers of the old and the new version, and ``old_in_flight`` the requests in flight at old
+    servers.
     """
 
     order: OrderId
@@ -52,7 +52,7 @@
 
 
 class RolloutReport(NamedTuple):
-    """A node's sign of life to the deciders; ``incarnation`` distinguishes its starts."""
+    """A node's periodic report to the deciders; ``incarnation`` distinguishes the node's starts."""
 
     node: str
     incarnation: int
@@ -60,12 +60,13 @@
 
 
 class OrderDecision(NamedTuple):
-    """What holds for one order.
+    """A decider's decision on one order.
 
     ``share`` (0 to 1) of the service's requests goes to the new version while ``state`` is ``CANARY``.
-    ``state`` was recorded in the registry before it is announced, but for ``ROLLED_BACK``: nothing more goes
-    to the new version from the moment at which anybody says so. ``elapsed_s`` has passed since the order;
-    ``time_measured``: by the sender's steady clock or another decider's, not by what the record tells.
+    ``state`` is recorded in the registry before it is announced, except for ``ROLLED_BACK``: as soon as any
+    decider announces that, no more requests go to the new version. ``elapsed_s`` is the time since the order;
+    ``time_measured`` means that it comes from the monotonic clock of the sender or of another decider, not
+    from the record.
     """
 
     order: OrderId
@@ -76,9 +77,10 @@
 
 
 class RolloutDecisions(NamedTuple):
-    """A decider's decisions on orders, which hold for ``valid_s`` from their arrival.
+    """A decider's decisions on orders, valid for ``valid_s`` from their arrival.
 
-    ``reaches_registry``: it can reach the registry, so that others may leave deciding to it.
+    ``reaches_registry`` means that the decider can reach the registry, so that others may leave deciding to
+    it.
     """
 
     node: str
@@ -92,8 +94,8 @@
 
 @singledispatch
 def encode(message: Any) -> bytes:
-    """Return a message's datagram."""
-    raise TypeError(f"no datagram for {type(message).__name__}")
+    """Return a message as a datagram."""
+    raise TypeError(f"cannot encode a {type(message).__name__}: expected a RolloutReport or RolloutDecisions")
 
 
 @encode.register
@@ -113,8 +115,8 @@
 
 @singledispatch
 def entry_to_wire(entry: Any) -> list[Any]:
-    """Return one order's entry as its message carries it."""
-    raise TypeError(f"no entry of a datagram: {type(entry).__name__}")
+    """Return one order's entry in wire format."""
+    raise TypeError(f"cannot encode a {type(entry).__name__}: expected an OrderReport or OrderDecision")
 
 
 @entry_to_wire.register
@@ -130,12 +132,12 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read a datagram.
+    """Decode a datagram.
 
     Raises
     ------
     ValueError
-        It is no message of this version.
+        The datagram is not a valid message of this protocol version.
     """
     message = decode_frame(data, _READERS)
     if not isinstance(message, RolloutDecisions):
@@ -146,7 +148,7 @@
 
 def _with_times(message: RolloutDecisions, measured: Any) -> RolloutDecisions:
     if not isinstance(measured, list) or len(measured) != len(message.orders):
-        raise ValueError(f"{measured!r} as how the times of {len(message.orders)} orders are known")
+        raise ValueError(f"time_measured is {measured!r}, expected a list of {len(message.orders)} items")
     orders = zip(message.orders, measured, strict=True)
     return message._replace(orders=tuple(each._replace(time_measured=bool(known)) for each, known in orders))
 
@@ -180,7 +182,7 @@
 
 def _decision(order: Any, state: Any, share: Any, elapsed_ms: Any) -> OrderDecision:
     if not 0.0 <= float(share) <= 1.0:
-        raise ValueError(f"a share of {share!r}")
+        raise ValueError(f"share is {share!r}, expected a number from 0 to 1")
     return OrderDecision(_order(order), RolloutState(state), float(share), count(elapsed_ms) / 1000)
 
 
--- a/src/yokesill/rollouts/order_figures.py
+++ b/src/yokesill/rollouts/order_figures.py
@@ -1,4 +1,4 @@
-"""How an order stands, as operators see it."""
+"""Status of an order as shown to operators."""
 
 from typing import NamedTuple
 
@@ -6,7 +6,7 @@
 
 
 class OrderFigures(NamedTuple):
-    """How an order stands at one decider: ``share`` (0 to 1) is what it announces to the nodes."""
+    """Status of an order at one decider; ``share`` (0 to 1) is what the decider announces to the nodes."""
 
     order: OrderId
     state: RolloutState
--- a/src/yokesill/rollouts/order_samples.py
+++ b/src/yokesill/rollouts/order_samples.py
@@ -1,17 +1,17 @@
-"""What one node sent under an order, and samples of the outcomes, until they are reported."""
+"""Counts the requests that one node sent under an order, and keeps samples of their outcomes to report."""
 
 from yokesill.rollouts.messages import Sample
 
-# Samples kept between two reports; a report of them fits two datagrams. A node has some requests a second for
-# each service; what a strong one drops of its hundreds it counts.
+# Samples kept between two reports, which fit into two datagrams. Most nodes have a few requests a second per
+# service; a strong node, which has hundreds, counts the samples that it drops.
 MAX_NEW_SAMPLES, MAX_OLD_SAMPLES = 24, 12
 
 
 class OrderSamples:
-    """One node's requests under one order since it knows it.
+    """One node's requests under one order since it received the order.
 
-    ``sent_old`` and ``sent_new`` are totals of everything that was sent to either version, whatever came
-    of it; ``dropped`` is how many samples were over the limit.
+    ``sent_old`` and ``sent_new`` are the total requests sent to each version, regardless of their outcome;
+    ``dropped`` is the number of samples over the limit.
     """
 
     __slots__ = ("_new", "_old", "dropped", "sent_new", "sent_old")
@@ -22,16 +22,16 @@
         self._new: list[Sample] = []
 
     def count_sent(self, new: bool) -> None:
-        """Count a request that is sent to a server of the new version, or of another."""
+        """Count a request sent to a server of the new version, or of another one."""
         if new:
             self.sent_new += 1
         else:
             self.sent_old += 1
 
     def add(self, sample: Sample) -> None:
-        """Keep how an attempt ended, or count it as dropped."""
-        kept, most = (self._new, MAX_NEW_SAMPLES) if sample.new else (self._old, MAX_OLD_SAMPLES)
-        if len(kept) < most:
+        """Keep the outcome of an attempt, or count it as dropped."""
+        kept, limit = (self._new, MAX_NEW_SAMPLES) if sample.new else (self._old, MAX_OLD_SAMPLES)
+        if len(kept) < limit:
             kept.append(sample)
         else:
             self.dropped += 1
--- a/src/yokesill/rollouts/version_answers.py
+++ b/src/yokesill/rollouts/version_answers.py
@@ -1,43 +1,46 @@
-"""What both versions of a service answered lately, and what that makes the new one's answers worth."""
+"""Keeps recent answers of both versions of a service, and assesses the new version by them."""
 
 from collections import defaultdict, deque
 from collections.abc import Iterable, Iterator, Mapping
 from typing import NamedTuple
 
-from yokesill.rollouts.assessment import LATEST_TURNS, Cell, Kind, VersionAssessment, assess
+from yokesill.rollouts.assessment import CHANGE_POINTS, Cell, FaultKind, VersionAssessment, assess
 from yokesill.rollouts.messages import Sample
 
-# Answers are compared with the old version's of the same two seconds: what hits both (a zone cut off, a
-# burst) says nothing of a version. Shorter slices hold too few: 20 requests a second make 40.
-SLICE_S = 2.0
-# Older answers say nothing of today's version or load.
-KEPT_SLICES = 30
-# Slices before the latest ones are taken together: nothing is asked of them apart.
-SLICES_APART = LATEST_TURNS
-# Good answers speak against a bad version, so what was found needs renewing for their sake only now and
-# then; a bad one is weighed at once. At 2 ms each, 90 roll-outs of good versions then cost 0.09 of a core.
-RENEW_S = 2.0
-# A slice's own share of bad answers counts as much as the whole time's from this many answers on.
-SLICE_PRIOR = 10.0
-# Before the old version has answered: one failure in 100 requests, as good as this many answers seen.
+# Answers are compared with the old version's within the same slice, since what affects both versions (a
+# partitioned zone, a burst) says nothing about either. Shorter slices hold too few answers: 20 requests a
+# second make 40.
+SLICE_DURATION_S = 2.0
+# Older answers don't reflect the current version or load.
+MAX_SLICES = 30
+# Older slices than these are merged, since they are no change points of the test.
+SEPARATE_SLICES = CHANGE_POINTS
+# Good answers only weaken the evidence, so that after them the assessment is renewed only at this interval,
+# but immediately after a bad one. At 2 ms each, 90 roll-outs of good versions then cost 0.09 of a core.
+REASSESS_INTERVAL_S = 2.0
+# With this many answers, a slice's own share of bad answers counts as much as that of the whole time.
+SLICE_PRIOR_ANSWERS = 10.0
+# Prior before the old version has answered: 1 failure in 100 requests, weighted like this many answers.
 FAILING_PRIOR, FAILING_PRIOR_ANSWERS = 0.01, 100.0
-# Nor is less expected of any version, however sound the old one was: lost answers, connections that a
-# server forgot. With less a single failure would be proof.
-LEAST_FAILING = 0.005
-# One answer in ten is beyond the bound by its definition where latencies spread widely.
+# Lower bound on the expected share of failures, however healthy the old version: answers get lost, and
+# servers drop connections. With a lower one a single failure would be proof.
+MIN_EXPECTED_FAILING = 0.005
+# Where latencies vary widely, 1 answer in 10 is slow by the definition of the bound.
 SLOW_PRIOR, SLOW_PRIOR_ANSWERS = 0.1, 10.0
-# A sound server's own work takes twice its median now and then, whatever few answers showed.
-LEAST_SLOW = 0.05
-# Slow is beyond twice the old version's median, and beyond its 90th centile where they spread widely: the
-# mildest fault to be found doubles latencies, which puts half of the answers there.
-SLOW_FACTOR, SLOW_CENTILE = 2.0, 0.9
-# A median of fewer is not trusted; at a tenth of the requests the old version has them first.
-LEAST_LATENCIES = 8
-# Bounds of memory for one roll-out: samples of each version and route, and routes.
-OLD_KEPT, NEW_KEPT, ROUTES_KEPT = 600, 2000, 32
-
-
-class _Seen(NamedTuple):
+# Lower bound on the expected share of slow answers: a healthy server's processing time occasionally reaches
+# twice its median, even if the few answers seen don't show it.
+MIN_EXPECTED_SLOW = 0.05
+# An answer is slow above twice the old version's median, and above its 90th percentile where latencies vary
+# widely. The mildest fault to detect doubles latencies, which makes half of the answers slow.
+SLOW_FACTOR, SLOW_QUANTILE = 2.0, 0.9
+# A median of fewer latencies is not reliable; with a canary share of a tenth, the old version reaches this
+# first.
+MIN_LATENCIES = 8
+# Memory limits for one roll-out: samples per version and route, and the number of routes.
+OLD_ANSWERS_PER_ROUTE, NEW_ANSWERS_PER_ROUTE, MAX_ROUTES = 600, 2000, 32
+
+
+class _Answer(NamedTuple):
     slice: int
     instance: str
     succeeded: bool
@@ -45,90 +48,95 @@
 
 
 class VersionAnswers:
-    """The answers of a service's two versions during one roll-out."""
+    """Recent answers of a service's two versions during one roll-out."""
 
     def __init__(self) -> None:
-        self._old: dict[str, deque[_Seen]] = {}
-        self._new: dict[str, deque[_Seen]] = {}
+        self._old: dict[str, deque[_Answer]] = {}
+        self._new: dict[str, deque[_Answer]] = {}
         self._assessment = VersionAssessment()
         self._assessed_at_s = float("-inf")
-        self._added = self._suspect = False
+        self._answer_added = self._bad_answer_added = False
         self._bounds_s: dict[str, float | None] = {}
-        self._now_slice = 0
+        self._current_slice = 0
         self.old_answers = 0
         self.new_answers = 0
         self.new_failures = 0
 
     def add(self, samples: Iterable[Sample], now: float) -> None:
-        """Take answers that were reported at ``now``."""
-        self._now_slice = int(now / SLICE_S)
+        """Add answers that were reported at ``now``."""
+        self._current_slice = int(now / SLICE_DURATION_S)
         for sample in samples:
             self._add(sample)
 
     def assessment(self, now: float) -> VersionAssessment:
-        """Return what all answers so far say of the new version."""
-        suspect = self._suspect or (self._added and self._assessment.leaning_bad)
-        if suspect or (self._added and now - self._assessed_at_s >= RENEW_S):
+        """Return the assessment of the new version by the answers so far."""
+        reassess_now = self._bad_answer_added or (self._answer_added and self._assessment.probably_bad)
+        if reassess_now or (self._answer_added and now - self._assessed_at_s >= REASSESS_INTERVAL_S):
             self._bounds_s = {route: _slow_bound_s(answers) for route, answers in self._old.items()}
             self._assessment = assess(list(self._cells()))
             self._assessed_at_s = now
-            self._added = self._suspect = False
+            self._answer_added = self._bad_answer_added = False
         return self._assessment
 
-    def kept(self) -> dict[str, int]:
-        """Return how many answers are kept, by route."""
+    def stored_answers(self) -> dict[str, int]:
+        """Return the number of stored answers by route."""
         routes = {*self._old, *self._new}
         return {route: len(self._old.get(route, ())) + len(self._new.get(route, ())) for route in routes}
 
     def _add(self, sample: Sample) -> None:
-        side, kept = (self._new, NEW_KEPT) if sample.new else (self._old, OLD_KEPT)
+        side, max_answers = (
+            (self._new, NEW_ANSWERS_PER_ROUTE) if sample.new else (self._old, OLD_ANSWERS_PER_ROUTE)
+        )
         if sample.route not in side:
-            if len(side) >= ROUTES_KEPT:
+            if len(side) >= MAX_ROUTES:
                 return
-            side[sample.route] = deque(maxlen=kept)
+            side[sample.route] = deque(maxlen=max_answers)
         latency_s = sample.latency_s if sample.succeeded else None
-        side[sample.route].append(_Seen(self._now_slice, sample.instance, sample.succeeded, latency_s))
-        self._added = True
+        side[sample.route].append(_Answer(self._current_slice, sample.instance, sample.succeeded, latency_s))
+        self._answer_added = True
         if sample.new:
             self.new_answers += 1
             self.new_failures += not sample.succeeded
             bound_s = self._bounds_s.get(sample.route)
             slow = latency_s is not None and bound_s is not None and latency_s > bound_s
-            self._suspect |= slow or not sample.succeeded
+            self._bad_answer_added |= slow or not sample.succeeded
         else:
             self.old_answers += 1
 
     def _cells(self) -> Iterator[Cell]:
-        oldest = self._now_slice - KEPT_SLICES
+        oldest = self._current_slice - MAX_SLICES
         old = [(route, each) for route, answers in self._old.items() for each in answers]
         new = [(route, each) for route, answers in self._new.items() for each in answers]
         new = [(route, each) for route, each in new if each.slice >= oldest]
-        apart = self._now_slice - SLICES_APART
+        oldest_separate = self._current_slice - SEPARATE_SLICES
         failing = _Baseline(
             ((route, each.slice, not each.succeeded) for route, each in old),
             FAILING_PRIOR,
             FAILING_PRIOR_ANSWERS,
-            LEAST_FAILING,
+            MIN_EXPECTED_FAILING,
         )
         yield from _count(
-            Kind.FAILING, apart, failing, ((route, each, not each.succeeded) for route, each in new)
+            FaultKind.FAILING,
+            oldest_separate,
+            failing,
+            ((route, each, not each.succeeded) for route, each in new),
         )
         slow = _Baseline(
             ((route, each.slice, late) for route, each, late in _timed(old, self._bounds_s)),
             SLOW_PRIOR,
             SLOW_PRIOR_ANSWERS,
-            LEAST_SLOW,
+            MIN_EXPECTED_SLOW,
         )
-        yield from _count(Kind.SLOW, apart, slow, _timed(new, self._bounds_s))
+        yield from _count(FaultKind.SLOW, oldest_separate, slow, _timed(new, self._bounds_s))
 
 
 class _Baseline:
-    """How often the old version's answers are bad, by route and slice of time."""
+    """Share of bad answers of the old version, by route and time slice."""
 
     def __init__(
-        self, answers: Iterable[tuple[str, int, bool]], prior: float, weight: float, least: float
+        self, answers: Iterable[tuple[str, int, bool]], prior: float, weight: float, floor: float
     ) -> None:
-        self._least = least
+        self._floor = floor
         self._prior, self._weight = prior, weight
         self._counts: dict[tuple[str | None, int | None], list[int]] = defaultdict(lambda: [0, 0])
         for route, number, bad in answers:
@@ -138,15 +146,15 @@
                 entry[1] += bad
 
     def at(self, route: str, number: int) -> float:
-        """Return the chance of a bad answer on a route in a slice.
+        """Return the probability of a bad answer on a route in a slice.
 
-        Few answers there count beside those of the whole slice, or of the route's whole time where that
-        is worse: what hits a zone hits all routes, and some routes always fail more often.
+        The prior is the share of the whole slice, or of the route over the whole time if that is higher: a
+        zone's failure affects all routes, and some routes always fail more often.
         """
-        always = self._chance(None, None, self._prior, self._weight)
-        of_slice = self._chance(None, number, always, SLICE_PRIOR)
-        of_route = self._chance(route, None, always, self._weight)
-        return max(self._least, self._chance(route, number, max(of_slice, of_route), SLICE_PRIOR))
+        overall = self._chance(None, None, self._prior, self._weight)
+        of_slice = self._chance(None, number, overall, SLICE_PRIOR_ANSWERS)
+        of_route = self._chance(route, None, overall, self._weight)
+        return max(self._floor, self._chance(route, number, max(of_slice, of_route), SLICE_PRIOR_ANSWERS))
 
     def _chance(self, route: str | None, number: int | None, prior: float, weight: float) -> float:
         answers, bad = self._counts.get((route, number), (0, 0))
@@ -154,31 +162,31 @@
 
 
 def _timed(
-    answers: Iterable[tuple[str, _Seen]], bounds_s: Mapping[str, float | None]
-) -> Iterator[tuple[str, _Seen, bool]]:
-    """Return the answers whose time is known and can be judged, and whether they are slow."""
+    answers: Iterable[tuple[str, _Answer]], bounds_s: Mapping[str, float | None]
+) -> Iterator[tuple[str, _Answer, bool]]:
+    """Yield the answers with a latency on routes with a bound, and whether each is slow."""
     for route, each in answers:
         bound_s = bounds_s.get(route)
         if bound_s is not None and each.latency_s is not None:
             yield route, each, each.latency_s > bound_s
 
 
-def _slow_bound_s(answers: Iterable[_Seen]) -> float | None:
+def _slow_bound_s(answers: Iterable[_Answer]) -> float | None:
     ordered = sorted(each.latency_s for each in answers if each.latency_s is not None)
-    if len(ordered) < LEAST_LATENCIES:
+    if len(ordered) < MIN_LATENCIES:
         return None
-    return max(SLOW_FACTOR * ordered[len(ordered) // 2], ordered[int(SLOW_CENTILE * len(ordered))])
+    return max(SLOW_FACTOR * ordered[len(ordered) // 2], ordered[int(SLOW_QUANTILE * len(ordered))])
 
 
 def _count(
-    kind: Kind, apart: int, baseline: _Baseline, answers: Iterable[tuple[str, _Seen, bool]]
+    kind: FaultKind, oldest_separate: int, baseline: _Baseline, answers: Iterable[tuple[str, _Answer, bool]]
 ) -> Iterator[Cell]:
     counts: dict[tuple[int, str, str], list[float]] = defaultdict(lambda: [0, 0, 0.0])
     chances: dict[tuple[str, int], float] = {}
     for route, seen, bad in answers:
         if (route, seen.slice) not in chances:
             chances[route, seen.slice] = baseline.at(route, seen.slice)
-        entry = counts[max(seen.slice, apart), route, seen.instance]
+        entry = counts[max(seen.slice, oldest_separate), route, seen.instance]
         entry[0] += 1
         entry[1] += bad
         entry[2] += chances[route, seen.slice]
--- a/tests/rollouts/test_assessment.py
+++ b/tests/rollouts/test_assessment.py
@@ -2,7 +2,7 @@
 
 import random
 
-from yokesill.rollouts.assessment import Finding, Kind
+from yokesill.rollouts.assessment import FaultKind, Finding
 from yokesill.rollouts.messages import Sample
 from yokesill.rollouts.version_answers import VersionAnswers
 
@@ -48,7 +48,7 @@
     assessment = answers.seen.assessment(answers.now)
     assert (assessment.finding, assessment.kind, assessment.bad, assessment.answers) == (
         Finding.BAD,
-        Kind.FAILING,
+        FaultKind.FAILING,
         9,
         18,
     )
@@ -60,7 +60,7 @@
     answers.old(40)
     answers.new(12, latency_s=0.06)
     assessment = answers.seen.assessment(answers.now)
-    assert (assessment.finding, assessment.kind) == (Finding.BAD, Kind.SLOW)
+    assert (assessment.finding, assessment.kind) == (Finding.BAD, FaultKind.SLOW)
 
 
 def test_a_version_as_good_as_the_old_one_is_good() -> None:
@@ -74,7 +74,7 @@
     answers = Answers()
     answers.old(200)
     answers.new(1, fails=1)
-    assert not answers.seen.assessment(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).probably_bad
 
 
 def test_a_server_that_fails_everything_makes_no_bad_version() -> None:
@@ -82,7 +82,7 @@
     answers.old(60)
     answers.new(20, fails=20, servers=("a",))
     answers.new(20, servers=("b", "c"))
-    assert not answers.seen.assessment(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).probably_bad
 
 
 def test_a_slow_server_makes_no_bad_version() -> None:
@@ -90,14 +90,14 @@
     answers.old(60)
     answers.new(20, latency_s=0.2, servers=("a",))
     answers.new(20, servers=("b", "c"))
-    assert not answers.seen.assessment(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).probably_bad
 
 
 def test_the_first_answers_of_one_server_prove_nothing() -> None:
     answers = Answers()
     answers.old(60)
     answers.new(4, fails=4, servers=("a",))
-    assert not answers.seen.assessment(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).probably_bad
 
 
 def test_a_version_of_a_single_server_can_be_bad() -> None:
@@ -111,7 +111,7 @@
     answers = Answers()
     answers.old(60, fails=18)
     answers.new(20, fails=6)
-    assert not answers.seen.assessment(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).probably_bad
 
 
 def test_what_hits_both_versions_for_two_seconds_is_not_the_new_ones_fault() -> None:
@@ -121,7 +121,7 @@
     answers.now += 2.0
     answers.old(40, fails=20)
     answers.new(10, fails=5)
-    assert not answers.seen.assessment(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).probably_bad
 
 
 def test_a_route_that_is_slow_by_its_nature_is_compared_with_itself() -> None:
@@ -138,7 +138,7 @@
         answers.old(40, latency_s=latency_s, route=route)
         answers.new(20, latency_s=new_s, route=route)
     assessment = answers.seen.assessment(answers.now)
-    assert (assessment.finding, assessment.kind, assessment.route) == (Finding.BAD, Kind.SLOW, "quick")
+    assert (assessment.finding, assessment.kind, assessment.route) == (Finding.BAD, FaultKind.SLOW, "quick")
 
 
 def test_a_fault_on_one_of_three_routes_is_found_there() -> None:
@@ -164,14 +164,14 @@
     answers = Answers()
     answers.old(5)
     answers.new(30, latency_s=0.5)
-    assert not answers.seen.assessment(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).probably_bad
 
 
 def test_answers_without_a_time_are_not_called_slow() -> None:
     answers = Answers()
     answers.old(40)
     answers.seen.add([Sample("r", server, True, True, None) for server in SERVERS * 5], answers.now)
-    assert not answers.seen.assessment(answers.now).leaning_bad
+    assert not answers.seen.assessment(answers.now).probably_bad
 
 
 def test_what_is_kept_of_answers_is_bounded() -> None:
@@ -179,4 +179,4 @@
     for number in range(5000):
         answers.old(1, route=f"r{number % 100}")
         answers.new(1, route=f"r{number % 100}")
-    assert len(answers.seen.kept()) == 32 and max(answers.seen.kept().values()) <= 2600
+    assert len(answers.seen.stored_answers()) == 32 and max(answers.seen.stored_answers().values()) <= 2600
--- a/tests/rollouts/test_decider_failures.py
+++ b/tests/rollouts/test_decider_failures.py
@@ -8,7 +8,7 @@
 from yokesill.rollouts.messages import OrderReport, RolloutReport, Sample
 from yokesill.rollouts.order_figures import OrderFigures
 from yokesill.rollouts.orders import RolloutOrder, RolloutState
-from yokesill.rollouts.stages import FEED_S
+from yokesill.rollouts.stages import FEED_LAG_S
 
 CANARY, SWITCHING = RolloutState.CANARY, RolloutState.SWITCHING
 COMPLETED, ROLLED_BACK = RolloutState.COMPLETED, RolloutState.ROLLED_BACK
@@ -484,7 +484,7 @@
     times = {
         round(each.elapsed_s, 1) for node in fleet.nodes.values() for each in figures_of(fleet, node.name)
     }
-    assert max(times) <= fleet.now - ORDERED_AT_S + FEED_S
+    assert max(times) <= fleet.now - ORDERED_AT_S + FEED_LAG_S
     assert fleet.state() is CANARY
     assert fleet.until(COMPLETED) <= ENDS_S and order.id in fleet.registry.finals
 
--- a/tests/rollouts/test_decider_role.py
+++ b/tests/rollouts/test_decider_role.py
@@ -2,10 +2,10 @@
 
 import random
 
-from yokesill.rollouts.decider_role import INTERVAL_S, PAUSE_S, DeciderRole
+from yokesill.rollouts.decider_role import REPORT_INTERVAL_S, SUSPENSION_S, DeciderRole
 
 NAMES = [f"n{number}" for number in range(6)]
-PATIENCE_S = 3 * INTERVAL_S
+PATIENCE_S = 3 * REPORT_INTERVAL_S
 
 
 def role(own: str, cores: dict[str, float] | None = None) -> DeciderRole:
@@ -56,7 +56,7 @@
     while now < seconds:
         now = round(now + 0.1, 1)
         for node in speaking:
-            made.received(node, reaches_registry, now)
+            made.note_decisions(node, reaches_registry, now)
         made.update(True, now)
     return now
 
@@ -74,7 +74,7 @@
 def test_the_third_decides_when_the_first_cant_reach_the_registry() -> None:
     one, two, third, *_ = ranked()
     made = role(third)
-    made.received(one, False, 0.1)
+    made.note_decisions(one, False, 0.1)
     run(made, PATIENCE_S + 2.0, [two])
     assert made.deciding
 
@@ -98,31 +98,31 @@
 def test_a_node_that_woke_up_does_not_trust_what_it_knew() -> None:
     made = role(ranked()[0])
     now = run(made, 3.0, [])
-    assert made.informed(now) and not made.just_woken(now)
-    now += PAUSE_S + 0.5
-    assert made.just_woken(now)
+    assert made.counts_complete(now) and not made.just_resumed(now)
+    now += SUSPENSION_S + 0.5
+    assert made.just_resumed(now)
     made.update(True, now)
-    assert made.just_woken(now + 0.5) and not made.informed(now + 0.5)
+    assert made.just_resumed(now + 0.5) and not made.counts_complete(now + 0.5)
 
 
 def test_a_node_that_hears_few_of_the_listed_ones_knows_it() -> None:
     made = role(ranked()[0])
     now = run(made, 4.0, [])
-    assert not made.hears_most_nodes(now)
+    assert not made.enough_nodes_report(now)
     for node in NAMES[:3]:
-        made.reported(node, now)
-    assert made.hears_most_nodes(now)
+        made.note_report(node, now)
+    assert made.enough_nodes_report(now)
 
 
 def test_a_node_that_was_just_listed_is_waited_for() -> None:
     made = role(ranked()[0])
     now = run(made, 4.0, [])
-    assert made.live(now) == frozenset()
+    assert made.live_nodes(now) == frozenset()
     made.set_nodes(dict.fromkeys([*NAMES, "new"], 1.0))
     made.update(True, now)
-    assert made.live(now) == {"new"}
+    assert made.live_nodes(now) == {"new"}
 
 
 def test_a_large_fleet_reports_less_often() -> None:
     made = role("n0", {f"n{number}": 1.0 for number in range(770)})
-    assert INTERVAL_S < made.interval_s < 2 * INTERVAL_S
+    assert REPORT_INTERVAL_S < made.interval_s < 2 * REPORT_INTERVAL_S
--- a/tests/rollouts/test_exposure.py
+++ b/tests/rollouts/test_exposure.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from yokesill.rollouts.exposure import LARGEST_SHARE, SWITCH_S, ExposureCounts, Totals, allowed_share
+from yokesill.rollouts.exposure import MAX_SHARE, SWITCH_DURATION_S, ExposureCounts, Totals, allowed_share
 from yokesill.rollouts.orders import RolloutLimits
 
 TERMS = RolloutLimits()
@@ -46,10 +46,10 @@
 
 @pytest.mark.parametrize("rate", [4.0, 10.0, 20.0, 26.0])
 def test_the_canary_and_the_switch_together_keep_to_the_bound(rate: float) -> None:
-    share = allowed_share(counts(rate, 0, 1.0), TERMS, 8.0, 8.0 + SWITCH_S, 1.0)
-    allowed = TERMS.canary_share * rate * (9.0 + SWITCH_S) + TERMS.canary_slack
+    share = allowed_share(counts(rate, 0, 1.0), TERMS, 8.0, 8.0 + SWITCH_DURATION_S, 1.0)
+    allowed = TERMS.canary_share * rate * (9.0 + SWITCH_DURATION_S) + TERMS.canary_slack
     assert share >= 0.6 * TERMS.canary_share
-    assert share * rate * 8.0 + rate * SWITCH_S <= allowed
+    assert share * rate * 8.0 + rate * SWITCH_DURATION_S <= allowed
 
 
 def test_what_a_long_order_still_allows_is_not_spent_before_its_requests_come() -> None:
@@ -57,7 +57,7 @@
 
 
 def test_a_quiet_service_keeps_an_old_version_to_compare_with() -> None:
-    assert allowed_share(counts(2.0, 0), TERMS, 5.0, 8.0, 4.0) == LARGEST_SHARE
+    assert allowed_share(counts(2.0, 0), TERMS, 5.0, 8.0, 4.0) == MAX_SHARE
 
 
 def test_a_long_order_spends_nothing_of_what_its_last_hour_allows() -> None:
--- a/tests/rollouts/test_messages.py
+++ b/tests/rollouts/test_messages.py
@@ -48,7 +48,7 @@
 def test_times_that_are_not_told_for_each_order_are_refused(behind: object) -> None:
     entry_of = OrderDecision(OrderId("svc", 3, "v2"), RolloutState.CANARY, 0.25, 4.5)
     data = encode(RolloutDecisions("n1", True, 1.5, (entry_of, entry_of))) + cbor2.dumps(behind)
-    with pytest.raises(ValueError, match="how the times"):
+    with pytest.raises(ValueError, match=r"time_measured is .*, expected a list of 2 items"):
         decode(data)
 
 
