--- a/bench/rollout_fleet.py
+++ b/bench/rollout_fleet.py
@@ -1,7 +1,7 @@
-"""Nodes that decide on roll-outs, their registry, their network and a service, in virtual time.
+"""Simulates nodes that decide on roll-outs, with their registry, network and services, in virtual time.
 
-Used by the tests of the roll-outs' decisions and by ``rollout_verdicts.py``. Nodes obey words and records
-in the plainest way; what they do with requests in earnest is tested with the router.
+Used by the tests of roll-out decisions and by ``rollout_verdicts.py``. The nodes follow decisions and records
+in a simplified way; their real handling of requests is tested with the router.
 """
 
 import random
@@ -19,7 +19,7 @@
 
 @dataclass
 class Node:
-    """A node with its part of deciding, and what it obeys."""
+    """A node with its decider, and the records and decisions that it follows."""
 
     name: str
     decider: RolloutDecider
@@ -27,47 +27,47 @@
     alive: bool = True
     paused: bool = False
     records: dict[str, RolloutOrder] = field(default_factory=dict)
-    words: dict[str, dict[str, tuple[OrderDecision, float]]] = field(default_factory=dict)
-    said: dict[OrderId, set[RolloutState]] = field(default_factory=dict)
+    decisions: dict[str, dict[str, tuple[OrderDecision, float]]] = field(default_factory=dict)
+    announced_states: dict[OrderId, set[RolloutState]] = field(default_factory=dict)
     sent: dict[OrderId, list[int]] = field(default_factory=dict)
     samples: dict[str, list[Sample]] = field(default_factory=dict)
-    under_way: list[tuple[float, str, Sample]] = field(default_factory=list)
+    in_flight: list[tuple[float, str, Sample]] = field(default_factory=list)
     reported_at_s: float = -1.0
-    spoke_at_s: float = -1.0
+    announced_at_s: float = -1.0
 
     @property
     def running(self) -> bool:
-        """Whether it does anything."""
+        """Whether the node is neither dead nor paused."""
         return self.alive and not self.paused
 
-    def obeys(self, service: str) -> RolloutState:
-        """Return the state that it keeps to."""
+    def effective_state(self, service: str) -> RolloutState:
+        """Return the effective state of a service's order at this node."""
         record = self.records[service]
-        said = self.said.get(record.id, set())
-        if record.state.final or RolloutState.COMPLETED in said:
+        announced = self.announced_states.get(record.id, set())
+        if record.state.final or RolloutState.COMPLETED in announced:
             return record.state if record.state.final else RolloutState.COMPLETED
-        if RolloutState.ROLLED_BACK in said:
+        if RolloutState.ROLLED_BACK in announced:
             return RolloutState.ROLLED_BACK
-        return max((record.state, *said), key=lambda state: state.rank)
+        return max((record.state, *announced), key=lambda state: state.rank)
 
     def share(self, service: str, now: float) -> float:
-        """Return the chance of a request to go to the new version."""
+        """Return the probability that a request goes to the new version."""
         order = self.records.get(service)
         if order is None:
             return 0.0
-        state = self.obeys(service)
+        state = self.effective_state(service)
         if state in (RolloutState.SWITCHING, RolloutState.COMPLETED):
             return 1.0
         fresh = [
-            word.share
-            for word, until in self.words.get(service, {}).values()
-            if now < until and word.order == order.id
+            decision.share
+            for decision, until in self.decisions.get(service, {}).values()
+            if now < until and decision.order == order.id
         ]
         return min(fresh, default=0.0) if state is RolloutState.CANARY else 0.0
 
 
 class Fleet:
-    """Nodes, a registry and one or more services that all have the same servers' behaviour."""
+    """Nodes, a registry and one or more services, whose servers all behave alike."""
 
     def __init__(
         self, count: int = 9, rate: float = 20.0, seed: int = 1, routes: Iterable[str] = ("r",)
@@ -80,16 +80,16 @@
         self.services = ["svc"]
         self.servers = [Server(f"{version}-{n}", version) for version in (OLD, NEW) for n in range(3)]
         self.nodes = {f"n{number}": self._start(f"n{number}", 1) for number in range(count)}
-        self.cut: set[tuple[str, str]] = set()
+        self.cut_links: set[tuple[str, str]] = set()
         self.loss = 0.0
-        self.feed_s = 0.3
-        self.held_s = 0.0
+        self.feed_delay_s = 0.3
+        self.old_version_delay_s = 0.0
         self.sent_new = self.bad_new = self.old_after_completed = self.new_after_rollback = 0
         self.bad_seen_at_s: list[float] = []
-        self._feed: list[tuple[float, str, RolloutOrder | None]] = []
-        self._fed: dict[str, RolloutOrder] = {}
+        self._feed_queue: list[tuple[float, str, RolloutOrder | None]] = []
+        self._published: dict[str, RolloutOrder] = {}
         self._ordered_at_s: dict[OrderId, float] = {}
-        self.time_of_day_off_s = 0.0
+        self.wall_clock_offset_s = 0.0
 
     def _start(self, name: str, incarnation: int) -> Node:
         decider = RolloutDecider(name, incarnation, RolloutLimits(), random.Random(1), self.now)
@@ -97,62 +97,62 @@
         return Node(name, decider, incarnation)
 
     def restart(self, name: str) -> None:
-        """Start a node anew; it knows what the feed has told."""
+        """Restart a node, which then knows everything published by the feed."""
         self.nodes[name] = self._start(name, self.nodes[name].incarnation + 1)
-        for service, order in self._fed.items():
-            self._learn(self.nodes[name], service, order)
+        for service, order in self._published.items():
+            self._apply_order(self.nodes[name], service, order)
 
     def deciders(self) -> list[str]:
-        """Return who decides."""
+        """Return the names of the current deciders."""
         return [node.name for node in self.nodes.values() if node.alive and node.decider.deciding]
 
     def state(self, service: str = "svc") -> RolloutState:
-        """Return the recorded state."""
+        """Return the recorded state of a service's order."""
         return self.registry.orders[service].state
 
     def cut_off(self, name: str) -> None:
-        """Let a node hear and be heard by no other."""
-        self.cut |= {(name, other) for other in self.nodes if other != name}
+        """Cut all links between a node and the others."""
+        self.cut_links |= {(name, other) for other in self.nodes if other != name}
 
     def run(self, seconds: float) -> "Fleet":
-        """Let time pass."""
+        """Advance time by a number of seconds."""
         for _ in range(round(seconds / STEP_S)):
             self.step()
         return self
 
-    def until(self, state: RolloutState, limit_s: float = 30.0) -> float:
-        """Let time pass until a state is recorded; return when."""
+    def run_until(self, state: RolloutState, limit_s: float = 30.0) -> float:
+        """Advance time until a state is recorded or ``limit_s`` has passed; return the time."""
         ends = self.now + limit_s
         while self.state() is not state and self.now < ends:
             self.step()
         return self.now
 
     def step(self) -> None:
-        """Let one step of time pass."""
+        """Advance time by one step."""
         self.now = round(self.now + STEP_S, 3)
-        self._tell_feed()
+        self._deliver_feed()
         self._serve()
         for node in self.nodes.values():
             if node.running:
-                self._act(node)
+                self._run_node(node)
 
-    def _tell_feed(self) -> None:
-        for service in {*self.registry.orders, *self._fed}:
+    def _deliver_feed(self) -> None:
+        for service in {*self.registry.orders, *self._published}:
             order = self.registry.orders.get(service)
-            if order != self._fed.get(service):
-                self._feed.append((self.now + self.feed_s, service, order))
+            if order != self._published.get(service):
+                self._feed_queue.append((self.now + self.feed_delay_s, service, order))
                 if order is None:
-                    del self._fed[service]
+                    del self._published[service]
                 else:
-                    self._fed[service] = order
-        due = [each for each in self._feed if each[0] <= self.now]
-        self._feed = [each for each in self._feed if each[0] > self.now]
+                    self._published[service] = order
+        due = [each for each in self._feed_queue if each[0] <= self.now]
+        self._feed_queue = [each for each in self._feed_queue if each[0] > self.now]
         for _, service, order in due:
             for node in self.nodes.values():
-                if node.alive and node.name not in self.registry.refuses:
-                    self._learn(node, service, order)
+                if node.alive and node.name not in self.registry.unreachable_from:
+                    self._apply_order(node, service, order)
 
-    def _learn(self, node: Node, service: str, order: RolloutOrder | None) -> None:
+    def _apply_order(self, node: Node, service: str, order: RolloutOrder | None) -> None:
         if order is None:
             node.records.pop(service, None)
             node.decider.withdraw(service, self.now)
@@ -163,12 +163,12 @@
         node.decider.set_order(self._as_read(order), self.now)
 
     def _as_read(self, order: RolloutOrder) -> RolloutOrder:
-        """Return an order with the time since its making that its record tells a reader now."""
+        """Return an order with the elapsed time that a reader derives from its record now."""
         ordered_at_s = self._ordered_at_s.get(order.id)
         if ordered_at_s is None or order.state is RolloutState.ORDERED:
             return order
-        by_time_of_day_s = self.now + self.time_of_day_off_s - ordered_at_s
-        return order._replace(elapsed_s=max(order.elapsed_s, by_time_of_day_s))
+        by_wall_clock_s = self.now + self.wall_clock_offset_s - ordered_at_s
+        return order._replace(elapsed_s=max(order.elapsed_s, by_wall_clock_s))
 
     def _serve(self) -> None:
         running = [node for node in self.nodes.values() if node.running]
@@ -178,8 +178,8 @@
             for _ in range(count if running else 0):
                 self._request(self.source.choice(running), service)
         for node in running:
-            ended = [each for each in node.under_way if each[0] <= self.now]
-            node.under_way = [each for each in node.under_way if each[0] > self.now]
+            ended = [each for each in node.in_flight if each[0] <= self.now]
+            node.in_flight = [each for each in node.in_flight if each[0] > self.now]
             for _, service, sample in ended:
                 node.samples.setdefault(service, []).append(sample)
 
@@ -194,9 +194,9 @@
         order = node.records.get(service)
         if order is not None:
             node.sent.setdefault(order.id, [0, 0])[new] += 1
-        held_s = 0.0 if new else self.held_s
+        delay_s = 0.0 if new else self.old_version_delay_s
         sample = Sample(route, server.name, new, good, latency_s if good else None)
-        node.under_way.append((self.now + latency_s + held_s, service, sample))
+        node.in_flight.append((self.now + latency_s + delay_s, service, sample))
         bad = not good or latency_s > 0.05
         self.sent_new += new
         self.bad_new += new and bad
@@ -205,10 +205,10 @@
             self.old_after_completed += not new and recorded.state is RolloutState.COMPLETED
             self.new_after_rollback += new and recorded.state is RolloutState.ROLLED_BACK
 
-    def _act(self, node: Node) -> None:
+    def _run_node(self, node: Node) -> None:
         decider = node.decider
         decider.set_nodes({name: 1.0 for name, each in self.nodes.items() if each.alive})
-        decider.set_registry(node.name not in self.registry.refuses, self.now)
+        decider.set_registry(node.name not in self.registry.unreachable_from, self.now)
         counts = {OLD: 0, NEW: 0}
         for server in self.servers:
             counts[server.version] += 1
@@ -219,38 +219,38 @@
             outcome = self.registry.write(node.name, record)
             decider.write_ended(record, outcome, self.now)
             if isinstance(outcome, RolloutOrder):
-                self._learn(node, record.service, outcome)
+                self._apply_order(node, record.service, outcome)
         if self.now - node.reported_at_s >= decider.interval_s:
             node.reported_at_s = self.now
             report = self._report(node)
             for name in decider.report_targets(self.now) if report.orders else ():
                 self._send(node.name, name, report)
-        if decider.urgent(self.now) or self.now - node.spoke_at_s >= decider.interval_s:
-            word = decider.decisions(self.now)
-            if word is not None:
-                node.spoke_at_s = self.now
+        if decider.urgent(self.now) or self.now - node.announced_at_s >= decider.interval_s:
+            decisions = decider.decisions(self.now)
+            if decisions is not None:
+                node.announced_at_s = self.now
                 for name in self.nodes:
-                    self._send(node.name, name, word)
+                    self._send(node.name, name, decisions)
 
     def _report(self, node: Node) -> RolloutReport:
         orders = []
         for service, record in node.records.items():
             old, new = node.sent.get(record.id, [0, 0])
-            in_flight = sum(not sample.new for _, of, sample in node.under_way if of == service)
+            in_flight = sum(not sample.new for _, of, sample in node.in_flight if of == service)
             samples = tuple(node.samples.pop(service, ()))[-12:]
-            orders.append(OrderReport(record.id, node.obeys(service), old, new, in_flight, samples))
+            orders.append(OrderReport(record.id, node.effective_state(service), old, new, in_flight, samples))
         return RolloutReport(node.name, node.incarnation, tuple(orders))
 
     def _send(self, sender: str, to: str, message: RolloutReport | RolloutDecisions) -> None:
         node = self.nodes[to]
-        lost = (sender, to) in self.cut or (to, sender) in self.cut
+        lost = (sender, to) in self.cut_links or (to, sender) in self.cut_links
         if not node.running or lost or (sender != to and self.source.random() < self.loss):
             return
         if isinstance(message, RolloutReport):
             node.decider.receive_report(message, self.now)
             return
         node.decider.receive_decisions(message, self.now)
-        for word in message.orders:
+        for decision in message.orders:
             until = self.now + message.valid_s
-            node.words.setdefault(word.order.service, {})[message.node] = (word, until)
-            node.said.setdefault(word.order, set()).add(word.state)
+            node.decisions.setdefault(decision.order.service, {})[message.node] = (decision, until)
+            node.announced_states.setdefault(decision.order, set()).add(decision.state)
--- a/soak/rollout_checkers.py
+++ b/soak/rollout_checkers.py
@@ -1,4 +1,4 @@
-"""Promises about roll-outs: who may reach a version that was ordered, and how an order ends."""
+"""Checks the promises about roll-outs: which requests may reach an ordered version, and how an order ends."""
 
 from collections import defaultdict
 from collections.abc import Iterator
@@ -9,11 +9,11 @@
 from soak.record import Record
 
 COMPLETED, ROLLED_BACK = "completed", "rolled_back"
-BAD_ANSWERS = 50
+BAD_ANSWERS_BEFORE_ROLLBACK = 50
 
 
 class Order(NamedTuple):
-    """An order, its states in the order of their writing, and whether its version is bad."""
+    """An order, its states in the order in which they were written, and whether its version is bad."""
 
     service: str
     version: str
@@ -23,7 +23,7 @@
     bad: bool
 
     def final_s(self, state: str) -> float:
-        """When a state was recorded; infinite if never."""
+        """Return the time at which a state was recorded; infinity if it never was."""
         return next((at_s for at_s, each in self.states if each == state), float("inf"))
 
 
@@ -45,10 +45,10 @@
 
 
 def only_ordered_versions(record: Record) -> Checked:
-    """A version that nobody ordered gets nothing, and one that was taken back nothing new.
+    """A version without an order gets no requests, and one that was rolled back gets no new ones.
 
-    An order that the store lost is made again for the same version: each request is judged by the making
-    that was the last one then.
+    An order that the store lost is created again for the same version, so each request is checked against the
+    latest order created before it.
     """
     ordered: dict[str, list[Order]] = defaultdict(list)
     for order in orders(record):
@@ -59,10 +59,10 @@
         for each in record.arrivals:
             if each.version == FIRST_VERSION or each.refused_as_another:
                 continue
-            made = [order for order in ordered[each.version] if order.at_s <= each.at_s]
-            if not made:
-                yield each.at_s, f"{each.id} at version {each.version}, which nobody ordered"
-            elif each.at_s > made[-1].final_s(ROLLED_BACK) + rollback_s:
+            created = [order for order in ordered[each.version] if order.at_s <= each.at_s]
+            if not created:
+                yield each.at_s, f"{each.id} at version {each.version}, which was never ordered"
+            elif each.at_s > created[-1].final_s(ROLLED_BACK) + rollback_s:
                 yield each.at_s, f"{each.id} at version {each.version}, which was rolled back"
             else:
                 yield each.at_s, ""
@@ -71,31 +71,33 @@
 
 
 def bad_version_exposure(record: Record) -> Checked:
-    """A bad version gets a small share at most, and nothing soon after its 50th bad answer."""
+    """A bad version gets a limited share of the requests, and none soon after its 50th bad answer."""
     bounds = record.bounds
 
     def cases() -> Iterator[Case]:
         for order in orders(record):
             if not order.bad:
                 continue
-            mine = [each for each in record.arrivals if each.service == order.service]
-            within = [each for each in mine if order.at_s <= each.at_s <= order.deadline_s]
+            to_service = [each for each in record.arrivals if each.service == order.service]
+            within = [each for each in to_service if order.at_s <= each.at_s <= order.deadline_s]
             reached = [each for each in within if each.version == order.version]
             allowed = bounds.canary_share * len(within) + bounds.canary_slack
-            over = f"{order.version}: {len(reached)} of {len(within)} requests, {allowed:.0f} allowed"
-            yield order.at_s, over if len(reached) > allowed else ""
-            failed = [record.done[x.signature] for x in reached if x.signature in record.done]
+            excess = f"{order.version}: {len(reached)} of {len(within)} requests, {allowed:.0f} allowed"
+            yield order.at_s, excess if len(reached) > allowed else ""
+            failed = [
+                record.done[arrival.signature] for arrival in reached if arrival.signature in record.done
+            ]
             failed_s = sorted(at_s for at_s, status in failed if status != 200)
-            if len(failed_s) >= BAD_ANSWERS:
-                end_s = failed_s[BAD_ANSWERS - 1] + bounds.rollback_s
-                late = [each for each in mine if each.version == order.version and each.at_s > end_s]
-                yield end_s, f"{order.version}: {len(late)} requests too late" if late else ""
+            if len(failed_s) >= BAD_ANSWERS_BEFORE_ROLLBACK:
+                end_s = failed_s[BAD_ANSWERS_BEFORE_ROLLBACK - 1] + bounds.rollback_s
+                late = [each for each in to_service if each.version == order.version and each.at_s > end_s]
+                yield end_s, f"{order.version}: {len(late)} requests after the rollback time" if late else ""
 
     return judge("bad_version_exposure", cases())
 
 
 def one_final_state(record: Record) -> Checked:
-    """An order ends once and in time: completed or rolled back, never both, and the right one."""
+    """An order reaches exactly one final state by its deadline, and a bad version is never completed."""
     last_s = max((ask.asked_s for ask in record.asks), default=0.0)
 
     def cases() -> Iterator[Case]:
@@ -106,7 +108,7 @@
             elif finals and order.states[-1][1] != finals[0]:
                 yield order.at_s, f"{order.version}: {finals[0]}, then {order.states[-1][1]}"
             elif order.bad and COMPLETED in finals:
-                yield order.at_s, f"{order.version}: bad, and completed"
+                yield order.at_s, f"{order.version}: bad version was completed"
             elif finals:
                 yield order.at_s, ""
             elif last_s > order.deadline_s and record.core_stable(order.at_s, order.deadline_s):
@@ -116,7 +118,7 @@
 
 
 def completed_cuts_nothing(record: Record) -> Checked:
-    """When old servers stop at once, nothing of a node in touch is under way there."""
+    """When old servers stop right after completion, no request of a connected node is in flight there."""
     done_s = {signature: at_s for signature, (at_s, _) in record.done.items()}
     nodes = {ask.id: ask.node for ask in record.asks}
     under_way = defaultdict(list)
@@ -139,6 +141,6 @@
                     and record.node_in_touch(nodes[each.id], order.at_s, ended_s)
                     and record.core_stable(completed_s, ended_s)
                 ]
-                yield ended_s, f"{server} stopped with {cut}" if cut else ""
+                yield ended_s, f"{server} stopped with requests in flight: {cut}" if cut else ""
 
     return judge("completed_cuts_nothing", cases())
--- a/tests/rollouts/test_decider_role.py
+++ b/tests/rollouts/test_decider_role.py
@@ -1,128 +1,130 @@
-"""Who decides on roll-outs, and whom nodes report to."""
+"""Election of the deciders of roll-outs, and the nodes that reports go to."""
 
 import random
 
 from yokesill.rollouts.decider_role import REPORT_INTERVAL_S, SUSPENSION_S, DeciderRole
 
 NAMES = [f"n{number}" for number in range(6)]
-PATIENCE_S = 3 * REPORT_INTERVAL_S
+TIMEOUT_S = 3 * REPORT_INTERVAL_S
 
 
-def role(own: str, cores: dict[str, float] | None = None) -> DeciderRole:
-    made = DeciderRole(own, random.Random(1), 0.0)
-    made.set_nodes(cores or dict.fromkeys(NAMES, 1.0))
-    made.update(True, 0.0)
-    return made
+def create_role(own: str, cores: dict[str, float] | None = None) -> DeciderRole:
+    decider_role = DeciderRole(own, random.Random(1), 0.0)
+    decider_role.set_nodes(cores or dict.fromkeys(NAMES, 1.0))
+    decider_role.update(True, 0.0)
+    return decider_role
 
 
 def ranked() -> list[str]:
-    """All names by rank, found by asking who would decide alone among ever fewer."""
+    """Return all names by rank, found by repeatedly taking the first decider among the remaining names."""
     rest, order = list(NAMES), []
     while rest:
-        first = min(rest, key=lambda name: role(name, dict.fromkeys(rest, 1.0)).deciders_before(0.0))
+        first = min(rest, key=lambda name: create_role(name, dict.fromkeys(rest, 1.0)).deciders_before(0.0))
         order.append(first)
         rest.remove(first)
     return order
 
 
-def test_the_first_two_decide_at_once_and_know_their_order() -> None:
+def test_first_two_by_rank_decide_immediately_and_know_their_order() -> None:
     order = ranked()
-    assert [role(name).deciders_before(0.0) for name in order[:2]] == [0, 1]
+    assert [create_role(name).deciders_before(0.0) for name in order[:2]] == [0, 1]
 
 
-def test_the_time_before_there_was_an_order_counts_for_nobodys_silence() -> None:
+def test_time_without_an_order_does_not_count_towards_decider_timeouts() -> None:
     _, two, third, *_ = ranked()
-    made = {name: DeciderRole(name, random.Random(1), 0.0) for name in (two, third)}
-    for each in made.values():
+    roles = {name: DeciderRole(name, random.Random(1), 0.0) for name in (two, third)}
+    for each in roles.values():
         each.set_nodes(dict.fromkeys(NAMES, 1.0))
         each.update(False, 100.0)
         each.update(True, 100.1)
-    assert made[two].deciders_before(100.2) == 1 and not made[third].deciding
+    assert roles[two].deciders_before(100.2) == 1 and not roles[third].deciding
 
 
-def test_strong_nodes_come_first() -> None:
+def test_strong_nodes_rank_first() -> None:
     cores = {**dict.fromkeys(NAMES, 1.0), "n4": 3.0, "n2": 3.0}
-    assert {name for name in NAMES if role(name, cores).deciding} == {"n2", "n4"}
+    assert {name for name in NAMES if create_role(name, cores).deciding} == {"n2", "n4"}
 
 
-def test_nobody_decides_while_there_is_nothing_to_decide() -> None:
-    made = role(ranked()[0])
-    made.update(False, 1.0)
-    assert not made.deciding and made.report_targets(1.0) == ()
+def test_no_node_decides_without_open_orders() -> None:
+    decider_role = create_role(ranked()[0])
+    decider_role.update(False, 1.0)
+    assert not decider_role.deciding and decider_role.report_targets(1.0) == ()
 
 
-def run(made: DeciderRole, seconds: float, speaking: list[str], reaches_registry: bool = True) -> float:
+def run(
+    decider_role: DeciderRole, seconds: float, announcing: list[str], reaches_registry: bool = True
+) -> float:
     now = 0.0
     while now < seconds:
         now = round(now + 0.1, 1)
-        for node in speaking:
-            made.note_decisions(node, reaches_registry, now)
-        made.update(True, now)
+        for node in announcing:
+            decider_role.note_decisions(node, reaches_registry, now)
+        decider_role.update(True, now)
     return now
 
 
-def test_the_third_decides_only_when_one_of_the_first_falls_silent() -> None:
+def test_third_decides_only_after_one_of_the_first_two_times_out() -> None:
     one, two, third, *_ = ranked()
-    heard = role(third)
-    run(heard, 5.0, [one, two])
-    assert not heard.deciding
-    silent = role(third)
-    run(silent, PATIENCE_S + 2.0, [two])
-    assert silent.deciding
+    idle = create_role(third)
+    run(idle, 5.0, [one, two])
+    assert not idle.deciding
+    promoted = create_role(third)
+    run(promoted, TIMEOUT_S + 2.0, [two])
+    assert promoted.deciding
 
 
-def test_the_third_decides_when_the_first_cant_reach_the_registry() -> None:
+def test_third_decides_when_the_first_cannot_reach_the_registry() -> None:
     one, two, third, *_ = ranked()
-    made = role(third)
-    made.note_decisions(one, False, 0.1)
-    run(made, PATIENCE_S + 2.0, [two])
-    assert made.deciding
+    decider_role = create_role(third)
+    decider_role.note_decisions(one, False, 0.1)
+    run(decider_role, TIMEOUT_S + 2.0, [two])
+    assert decider_role.deciding
 
 
-def test_nodes_report_to_the_first_two_by_rank_until_others_speak() -> None:
+def test_nodes_report_to_the_first_two_by_rank_until_other_deciders_announce() -> None:
     one, two, third, *_ = ranked()
-    made = role(ranked()[-1])
-    assert set(made.report_targets(0.1)) == {one, two}
-    now = run(made, PATIENCE_S + 1.0, [two, third])
-    assert set(made.report_targets(now)) == {two, third}
+    decider_role = create_role(ranked()[-1])
+    assert set(decider_role.report_targets(0.1)) == {one, two}
+    now = run(decider_role, TIMEOUT_S + 1.0, [two, third])
+    assert set(decider_role.report_targets(now)) == {two, third}
 
 
-def test_reports_go_past_a_decider_that_fell_silent_to_the_next() -> None:
+def test_reports_skip_a_timed_out_decider_for_the_next_by_rank() -> None:
     one, two, *_ = ranked()
-    made = role(ranked()[-1])
-    now = run(made, PATIENCE_S + 0.1, [two])
-    asked = made.report_targets(now)
-    assert not made.deciding and len(asked) == 2 and two in asked and one not in asked
+    decider_role = create_role(ranked()[-1])
+    now = run(decider_role, TIMEOUT_S + 0.1, [two])
+    targets = decider_role.report_targets(now)
+    assert not decider_role.deciding and len(targets) == 2 and two in targets and one not in targets
 
 
-def test_a_node_that_woke_up_does_not_trust_what_it_knew() -> None:
-    made = role(ranked()[0])
-    now = run(made, 3.0, [])
-    assert made.counts_complete(now) and not made.just_resumed(now)
+def test_resumed_node_does_not_rely_on_its_earlier_counts() -> None:
+    decider_role = create_role(ranked()[0])
+    now = run(decider_role, 3.0, [])
+    assert decider_role.counts_complete(now) and not decider_role.just_resumed(now)
     now += SUSPENSION_S + 0.5
-    assert made.just_resumed(now)
-    made.update(True, now)
-    assert made.just_resumed(now + 0.5) and not made.counts_complete(now + 0.5)
+    assert decider_role.just_resumed(now)
+    decider_role.update(True, now)
+    assert decider_role.just_resumed(now + 0.5) and not decider_role.counts_complete(now + 0.5)
 
 
-def test_a_node_that_hears_few_of_the_listed_ones_knows_it() -> None:
-    made = role(ranked()[0])
-    now = run(made, 4.0, [])
-    assert not made.enough_nodes_report(now)
+def test_enough_nodes_report_only_from_half_of_the_listed_nodes() -> None:
+    decider_role = create_role(ranked()[0])
+    now = run(decider_role, 4.0, [])
+    assert not decider_role.enough_nodes_report(now)
     for node in NAMES[:3]:
-        made.note_report(node, now)
-    assert made.enough_nodes_report(now)
+        decider_role.note_report(node, now)
+    assert decider_role.enough_nodes_report(now)
 
 
-def test_a_node_that_was_just_listed_is_waited_for() -> None:
-    made = role(ranked()[0])
-    now = run(made, 4.0, [])
-    assert made.live_nodes(now) == frozenset()
-    made.set_nodes(dict.fromkeys([*NAMES, "new"], 1.0))
-    made.update(True, now)
-    assert made.live_nodes(now) == {"new"}
+def test_newly_listed_node_counts_as_live() -> None:
+    decider_role = create_role(ranked()[0])
+    now = run(decider_role, 4.0, [])
+    assert decider_role.live_nodes(now) == frozenset()
+    decider_role.set_nodes(dict.fromkeys([*NAMES, "new"], 1.0))
+    decider_role.update(True, now)
+    assert decider_role.live_nodes(now) == {"new"}
 
 
-def test_a_large_fleet_reports_less_often() -> None:
-    made = role("n0", {f"n{number}": 1.0 for number in range(770)})
-    assert REPORT_INTERVAL_S < made.interval_s < 2 * REPORT_INTERVAL_S
+def test_large_fleet_reports_less_often() -> None:
+    decider_role = create_role("n0", {f"n{number}": 1.0 for number in range(770)})
+    assert REPORT_INTERVAL_S < decider_role.interval_s < 2 * REPORT_INTERVAL_S
--- a/tests/rollouts/test_rollout_faults.py
+++ b/tests/rollouts/test_rollout_faults.py
@@ -1,4 +1,4 @@
-"""Roll-outs under faults drawn from a seed, several at a time."""
+"""Roll-outs under several random faults at a time, drawn from a seed."""
 
 import random
 
@@ -9,8 +9,8 @@
 from yokesill.rollouts.orders import RolloutState
 
 
-def disturb(fleet: Fleet, source: random.Random) -> None:
-    """Let one thing fail, or be well again."""
+def inject_fault(fleet: Fleet, source: random.Random) -> None:
+    """Inject or repair one random fault."""
     name = source.choice(sorted(fleet.nodes))
     node = fleet.nodes[name]
     kind = source.randrange(8)
@@ -21,18 +21,20 @@
     elif kind == 3:
         node.paused = not node.paused
     elif kind == 4:
-        fleet.cut = set() if fleet.cut else {(name, other) for other in fleet.nodes if other != name}
+        fleet.cut_links = (
+            set() if fleet.cut_links else {(name, other) for other in fleet.nodes if other != name}
+        )
     elif kind == 5:
-        fleet.registry.refuses ^= {name}
+        fleet.registry.unreachable_from ^= {name}
     elif kind == 6:
         state = source.choice([*RolloutState][1:])
-        fleet.registry.lost.append((state, source.random() < 0.5))
-    elif fleet.registry.late:
-        fleet.registry.apply("late", fleet.registry.late.pop())
+        fleet.registry.lost_answers.append((state, source.random() < 0.5))
+    elif fleet.registry.delayed_writes:
+        fleet.registry.apply("late", fleet.registry.delayed_writes.pop())
 
 
 @pytest.mark.parametrize("seed", range(24))
-def test_whatever_fails_there_is_one_end(seed: int) -> None:
+def test_random_faults_leave_exactly_one_final_state(seed: int) -> None:
     source = random.Random(seed)
     fleet = Fleet(6, seed=seed)
     fleet.loss = 0.1
@@ -41,20 +43,20 @@
     bad = seed % 2 == 1
     for server in fleet.servers:
         if bad and server.version == NEW:
-            server.fails = lambda _now, _route: 0.6
+            server.failure_rate = lambda _now, _route: 0.6
     for _ in range(24):
         fleet.run(0.5)
-        disturb(fleet, source)
-    fleet.cut = set()
-    fleet.registry.refuses.clear()
-    fleet.registry.lost.clear()
+        inject_fault(fleet, source)
+    fleet.cut_links = set()
+    fleet.registry.unreachable_from.clear()
+    fleet.registry.lost_answers.clear()
     for name, node in fleet.nodes.items():
         node.paused = False
         if not node.alive:
             fleet.restart(name)
     fleet.run(16.0)
-    (ends,) = fleet.registry.finals.values()
-    assert len(ends) == 1 and fleet.state() in ends
-    assert {node.obeys("svc") for node in fleet.nodes.values()} == ends
+    (final_states,) = fleet.registry.final_states.values()
+    assert len(final_states) == 1 and fleet.state() in final_states
+    assert {node.effective_state("svc") for node in fleet.nodes.values()} == final_states
     if bad:
-        assert ends == {RolloutState.ROLLED_BACK}
+        assert final_states == {RolloutState.ROLLED_BACK}
--- a/tests/rollouts/test_service_versions.py
+++ b/tests/rollouts/test_service_versions.py
@@ -1,4 +1,4 @@
-"""Which versions of a service may be reached in each state of an order, and after a start in each."""
+"""Versions of a service that may be used in each state of an order, also after a node's start."""
 
 from collections import Counter
 from typing import Any
@@ -13,23 +13,23 @@
 ORDERED, CANARY, SWITCHING, COMPLETED, ROLLED_BACK = RolloutState
 
 
-def test_a_guess_is_not_told_to_nodes_that_start() -> None:
+def test_guessed_version_is_not_sent_to_starting_nodes() -> None:
     versions = ServiceVersions(True, GRACE_S)
     versions.set_listed("s", Counter(v1=2, v2=3), ("v1", "v2"), 100.0)
-    versions.set_listed("sure", Counter(v1=3), ("v1",), 100.0)
-    assert versions.established() == {"sure": ("v1",)}
+    versions.set_listed("certain", Counter(v1=3), ("v1",), 100.0)
+    assert versions.established() == {"certain": ("v1",)}
 
 
 class Versions:
-    """What one node holds for allowed; ``now`` in seconds."""
+    """One node's allowed versions of service ``s``; ``now`` is in seconds."""
 
     def __init__(self, *listed: str) -> None:
         self.now = 100.0
         self.versions = ServiceVersions(True, GRACE_S)
         if listed:
-            self.list(*listed)
+            self.set_listed(*listed)
 
-    def list(self, *listed: str, vanished: tuple[str, ...] = ()) -> None:
+    def set_listed(self, *listed: str, vanished: tuple[str, ...] = ()) -> None:
         self.versions.set_listed("s", Counter(listed), (*listed, *vanished), self.now)
 
     def set_state(self, *states: RolloutState, order: OrderId = ORDER) -> None:
@@ -48,22 +48,24 @@
         return set(self.versions.allowed("s", new, self.now))
 
 
-def test_without_an_order_nothing_goes_to_a_version_that_came_later() -> None:
+def test_later_version_gets_nothing_without_an_order() -> None:
     node = Versions("v1", "v1")
     assert node.old() == {"anything"}
-    node.list("v1", "v1", "v2", "v2", "v2")
+    node.set_listed("v1", "v1", "v2", "v2", "v2")
     assert (node.old(), node.new()) == ({"v1"}, set())
 
 
 @pytest.mark.parametrize(
-    ("listed", "serves"),
+    ("listed", "serving"),
     [(("v2", "v1", "v1"), "v1"), (("v2", "v1"), "v1"), (("10", "9"), "9"), (("v2", "v2", "v1"), "v2")],
 )
-def test_with_nobody_to_tell_the_version_of_most_servers_serves(listed: tuple[str, ...], serves: str) -> None:
-    assert Versions(*listed).old() == {serves}
+def test_version_of_most_servers_serves_without_other_information(
+    listed: tuple[str, ...], serving: str
+) -> None:
+    assert Versions(*listed).old() == {serving}
 
 
-TABLE: list[Any] = [
+ALLOWED_VERSIONS: list[Any] = [
     (ORDERED, {"v1"}, set()),
     (CANARY, {"v1"}, {"v2"}),
     (SWITCHING, {"v1"}, {"v2"}),
@@ -72,67 +74,67 @@
 ]
 
 
-@pytest.mark.parametrize(("state", "old", "new"), TABLE)
-def test_what_each_state_lets_reach(state: RolloutState, old: set[str], new: set[str]) -> None:
+@pytest.mark.parametrize(("state", "old", "new"), ALLOWED_VERSIONS)
+def test_allowed_versions_in_each_state(state: RolloutState, old: set[str], new: set[str]) -> None:
     node = Versions("v1", "v1")
-    node.list("v1", "v1", "v2", "v2")
+    node.set_listed("v1", "v1", "v2", "v2")
     node.set_state(state)
     assert (node.old(), node.new()) == (old, new)
 
 
 @pytest.mark.parametrize("servers_first", [True, False])
-@pytest.mark.parametrize(("state", "old", "new"), TABLE)
-def test_a_node_that_starts_in_it_does_the_same(
+@pytest.mark.parametrize(("state", "old", "new"), ALLOWED_VERSIONS)
+def test_starting_node_allows_the_same_versions_in_each_state(
     state: RolloutState, old: set[str], new: set[str], servers_first: bool
 ) -> None:
     node = Versions(*(("v1", "v2", "v2") if servers_first else ()))
     node.set_state(state)
-    node.list("v1", "v2", "v2")
+    node.set_listed("v1", "v2", "v2")
     assert (node.old(), node.new()) == (old, new)
 
 
 @pytest.mark.parametrize(("listed", "old"), [(("v1", "v2"), {"v1"}), (("v2",), {"v2"})])
-def test_a_withdrawn_order_leaves_what_served(listed: tuple[str, ...], old: set[str]) -> None:
+def test_withdrawn_order_keeps_the_serving_version(listed: tuple[str, ...], old: set[str]) -> None:
     node = Versions("v1", "v2")
     node.set_state(CANARY)
     node.versions.withdraw("s")
-    node.list(*listed)
+    node.set_listed(*listed)
     node.now += GRACE_S
-    node.list(*listed)
+    node.set_listed(*listed)
     assert node.old() == old
 
 
-def test_a_withdrawn_order_that_was_completed_stays_so() -> None:
+def test_withdrawn_completed_order_stays_completed() -> None:
     node = Versions("v1", "v2")
     node.set_state(SWITCHING, COMPLETED)
     node.versions.withdraw("s")
     assert node.old() == {"v2"}
 
 
-def test_an_order_for_another_version_takes_the_place_of_the_first() -> None:
+def test_order_for_another_version_replaces_the_first() -> None:
     node = Versions("v1")
-    node.list("v1", "v2", "v3")
+    node.set_listed("v1", "v2", "v3")
     node.set_state(SWITCHING)
     node.set_state(CANARY, order=ORDER._replace(target="v3"))
     assert (node.old(), node.new()) == ({"v1"}, {"v3"})
 
 
-def test_the_way_back_can_be_ordered_after_it_was_completed() -> None:
+def test_return_to_the_old_version_can_be_ordered_after_completion() -> None:
     node = Versions("v1", "v2")
     node.set_state(SWITCHING, COMPLETED)
     node.set_state(CANARY, order=ORDER._replace(target="v1", created_revision=9))
     assert (node.old(), node.new()) == ({"v2"}, {"v1"})
 
 
-def test_an_order_that_is_repeated_after_one_that_was_missed_begins_anew() -> None:
+def test_order_repeated_after_a_missed_one_starts_over() -> None:
     node = Versions("v1", "v2")
     node.set_state(CANARY, ROLLED_BACK, ORDERED, CANARY)
     assert (node.old(), node.new()) == ({"v1"}, {"v2"})
     node.set_state(COMPLETED)
-    node.list("v3")
+    node.set_listed("v3")
     node.now += GRACE_S
     assert node.old() == {"v3"}
-    node.list("v3", "v2")
+    node.set_listed("v3", "v2")
     node.set_state(CANARY)
     assert (node.old(), node.new()) == ({"v3"}, {"v2"})
 
@@ -141,95 +143,95 @@
     ("state", "old"),
     [(ORDERED, {"v1", "v2"}), (CANARY, {"v1", "v2"}), (SWITCHING, {"v1", "v2"}), (ROLLED_BACK, {"v1"})],
 )
-def test_with_every_old_entry_gone_the_new_version_serves_unless_it_is_halted(
+def test_new_version_serves_without_old_entries_unless_rolled_back(
     state: RolloutState, old: set[str]
 ) -> None:
     node = Versions("v1")
-    node.list("v1", "v2")
+    node.set_listed("v1", "v2")
     node.set_state(state)
-    node.list("v2", vanished=("v1",))
+    node.set_listed("v2", vanished=("v1",))
     assert node.old() == {"v1"}
     node.now += GRACE_S
     assert node.old() == old
 
 
-def test_entries_that_lapse_for_a_moment_establish_nothing() -> None:
+def test_briefly_lapsed_entries_do_not_change_the_established_version() -> None:
     node = Versions("v1")
-    node.list("v1", "v2")
-    node.list("v2", vanished=("v1",))
+    node.set_listed("v1", "v2")
+    node.set_listed("v2", vanished=("v1",))
     node.now += GRACE_S / 2
     assert node.old() == {"v1"}
-    node.list("v1", "v2")
+    node.set_listed("v1", "v2")
     node.now += GRACE_S
     assert node.old() == {"v1"}
 
 
-def test_what_is_left_serves_in_the_place_of_what_is_gone_until_that_is_back() -> None:
+def test_remaining_version_serves_until_the_lost_one_returns() -> None:
     node = Versions("v1")
-    node.list("v2", vanished=("v1",))
+    node.set_listed("v2", vanished=("v1",))
     node.now += GRACE_S
     assert node.old() == {"v2"}
-    node.list("v1", "v2")
+    node.set_listed("v1", "v2")
     assert node.old() == {"v1"}
 
 
-def test_an_order_for_what_took_the_place_of_others_finds_them_again() -> None:
+def test_order_for_a_replacement_version_restores_the_replaced_one() -> None:
     node = Versions("v1")
-    node.list("v2", vanished=("v1",))
+    node.set_listed("v2", vanished=("v1",))
     node.now += GRACE_S
     assert node.old() == {"v2"}
     node.set_state(ORDERED)
-    node.list("v1", "v2")
+    node.set_listed("v1", "v2")
     assert (node.old(), node.new()) == ({"v1"}, set())
 
 
-def test_a_version_that_was_taken_back_never_takes_the_place_of_others() -> None:
+def test_rolled_back_version_never_replaces_others() -> None:
     node = Versions("v1", "v2")
     node.set_state(CANARY, ROLLED_BACK)
-    node.list("v2")
+    node.set_listed("v2")
     node.now += 10 * GRACE_S
     assert node.old().isdisjoint({"v2"})
-    node.list("v2", "v3")
+    node.set_listed("v2", "v3")
     node.now += GRACE_S
     assert node.old() == {"v3"}
 
 
-def test_what_was_left_never_takes_the_place_of_the_target() -> None:
+def test_old_version_never_replaces_a_completed_target() -> None:
     node = Versions("v1")
-    node.list("v1", "v2")
+    node.set_listed("v1", "v2")
     node.set_state(CANARY, SWITCHING, COMPLETED)
-    node.list("v1", vanished=("v2",))
+    node.set_listed("v1", vanished=("v2",))
     node.now += 10 * GRACE_S
     assert node.old() == {"v2"}
 
 
 @pytest.mark.parametrize("state", [ORDERED, CANARY, SWITCHING, ROLLED_BACK, COMPLETED])
-def test_an_order_for_what_serves_changes_nothing(state: RolloutState) -> None:
+def test_order_for_the_serving_version_changes_nothing(state: RolloutState) -> None:
     node = Versions("v2")
     node.set_state(ORDERED, state)
-    node.list("v1", "v2")
+    node.set_listed("v1", "v2")
     assert node.old() == {"v2"}
 
 
-def test_a_start_is_told_what_is_established() -> None:
-    node, starting = Versions("v1"), Versions()
-    node.list("v1", "v2", "v2")
-    starting.versions.adopt_established(node.versions.established())
-    starting.list("v1", "v2", "v2")
-    assert starting.old() == {"v1"}
+def test_starting_node_adopts_established_versions() -> None:
+    node, starting_node = Versions("v1"), Versions()
+    node.set_listed("v1", "v2", "v2")
+    starting_node.versions.adopt_established(node.versions.established())
+    starting_node.set_listed("v1", "v2", "v2")
+    assert starting_node.old() == {"v1"}
 
 
-def test_a_service_that_is_served_by_one_version_again_costs_nothing() -> None:
+def test_service_with_a_single_version_again_is_not_gated() -> None:
     node = Versions("v1")
-    node.list("v1", "v2")
+    node.set_listed("v1", "v2")
     node.set_state(CANARY, ROLLED_BACK)
-    node.list("v1", vanished=("v2",))
+    node.set_listed("v1", vanished=("v2",))
     assert node.old() == {"v1"}
-    node.list("v1")
+    node.set_listed("v1")
     assert node.old() == {"anything"}
 
 
-def test_where_nothing_is_rolled_out_versions_do_not_count() -> None:
+def test_inactive_versions_are_not_enforced() -> None:
     versions = ServiceVersions(False, GRACE_S)
     versions.set_listed("s", {"v1": 2, "v2": 1}, ("v1", "v2"), 1.0)
     versions.set_state(ORDER, CANARY)
@@ -237,9 +239,9 @@
     assert versions.gated == set()
 
 
-def test_what_is_named_nowhere_any_more_is_forgotten() -> None:
+def test_unused_services_are_dropped() -> None:
     node = Versions("v1")
-    node.list(vanished=())
+    node.set_listed(vanished=())
     node.versions.retain({"s"})
     assert node.versions.established() == {"s": ("v1",)}
     node.set_state(CANARY)
--- a/tests/serving/fleet_of_nodes.py
+++ b/tests/serving/fleet_of_nodes.py
@@ -1,6 +1,6 @@
-"""Many gateway nodes that roll a service out together, in virtual time, with model servers and a registry.
+"""Simulates gateway nodes that roll out a service together, in virtual time.
 
-Each node has a real router, driver, decider and link; datagrams, the registry and servers are models.
+Each node has a real router, driver, decider and link; datagrams, the registry and servers are simulated.
 """
 
 import itertools
@@ -28,15 +28,15 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 OLD, NEW = "v1", "v2"
-ROLLOUT_TERMS = RolloutLimits(canary_share=0.1, canary_slack=50.0, rollback_s=5.0)
+ROLLOUT_LIMITS = RolloutLimits(canary_share=0.1, canary_slack=50.0, rollback_s=5.0)
 FEED_DELAY_S = 0.35
-SERVER_S = 0.02
+SERVER_LATENCY_S = 0.02
 DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "down")
 LOST = Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, "the answer was lost")
 
 
 class Arrival(NamedTuple):
-    """A request that reached a server: when (s), from which node, which version's."""
+    """A request that reached a server: the time in seconds, the sending node and the server's version."""
 
     at_s: float
     node: str
@@ -45,7 +45,7 @@
 
 @dataclass
 class Quality:
-    """How a version's servers answer: a share of failures, times ``slow``, from ``bad_from_s`` on."""
+    """Behaviour of servers from ``bad_from_s`` on: share of failures and latency factor (``slow``)."""
 
     fails: float = 0.0
     slow: float = 1.0
@@ -54,44 +54,44 @@
 
 
 class Registry:
-    """Holds orders; ``modes`` by node: ``up``, ``down``, ``silent``, ``lossy`` (done, not answered)."""
+    """Holds the order; ``modes`` by node: ``up``, ``down``, ``silent``, ``lossy`` (applied, answer lost)."""
 
     def __init__(self, fleet: "Fleet") -> None:
         self.fleet = fleet
         self.order: RolloutOrder | None = None
         self.revision = 100
         self.modes: dict[str, str] = {}
-        self.written: list[tuple[str, RolloutOrder]] = []
+        self.writes: list[tuple[str, RolloutOrder]] = []
 
     def put(self, order: RolloutOrder) -> RolloutOrder:
         self.revision += 1
         self.order = order._replace(revision=self.revision)
-        self.fleet.tasks.start_soon(self._tell, self.order)
+        self.fleet.tasks.start_soon(self._publish, self.order)
         return self.order
 
-    async def _tell(self, order: RolloutOrder) -> None:
+    async def _publish(self, order: RolloutOrder) -> None:
         await anyio.sleep(FEED_DELAY_S)
         for node in self.fleet.nodes:
-            if self.mode(node.name) == "up":
-                node.learn(ev.RolloutOrdered(order))
+            if self.mode_of(node.name) == "up":
+                node.apply_event(ev.RolloutOrdered(order))
 
-    def mode(self, node: str) -> str:
+    def mode_of(self, node: str) -> str:
         return self.modes.get(node, self.modes.get("*", "up"))
 
     async def record(self, node: str, order: RolloutOrder) -> RolloutOrder | RevisionConflict | Failure:
-        mode = self.mode(node)
+        mode = self.mode_of(node)
         await anyio.sleep(2.0 if mode == "silent" else 0.01)
         if mode in ("down", "silent"):
             return DOWN
         if self.order is None or order.revision != self.order.revision:
             return RevisionConflict(self.order)
-        self.written.append((node, order))
+        self.writes.append((node, order))
         stored = self.put(order)
         return LOST if mode == "lossy" else stored
 
 
 class Records(RolloutRecords):
-    """One node's way to the registry."""
+    """One node's access to the registry."""
 
     def __init__(self, registry: Registry, node: str) -> None:
         self._registry = registry
@@ -102,7 +102,7 @@
 
 
 class ModelClient:
-    """Answers each attempt as its server's version does."""
+    """Answers each attempt according to the quality of its server or version."""
 
     def __init__(self, fleet: "Fleet", node: str) -> None:
         self.connections_changed: Callable[[str, int], None] = lambda _instance, _count: None
@@ -129,11 +129,11 @@
         started = anyio.current_time()
         fleet.arrivals.append(Arrival(started, self._node, attempt.server.version))
         quality = fleet.quality_of(attempt)
-        await anyio.sleep(SERVER_S * quality.slow * fleet.source.uniform(0.7, 1.4))
+        await anyio.sleep(SERVER_LATENCY_S * quality.slow * fleet.source.uniform(0.7, 1.4))
         if attempt.number in self._cancelled:
             return
         if attempt.server.instance in fleet.stopped:
-            fleet.cut.append(Arrival(started, self._node, attempt.server.version))
+            fleet.cut_requests.append(Arrival(started, self._node, attempt.server.version))
             done(ev.AttemptFailed(attempt.number, LOST))
             return
         status = 500 if fleet.source.random() < quality.fails else 200
@@ -141,7 +141,7 @@
 
 
 class FleetNode:
-    """One node. ``paused``: nothing of it runs; ``cut``: no datagram reaches or leaves it."""
+    """One node. If ``dead``, it does not run; if ``cut``, no datagram reaches or leaves it."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
         self.name = f"n{number}"
@@ -149,18 +149,18 @@
         self.fleet = fleet
         self.cut = self.dead = False
         now = anyio.current_time()
-        options = GatewayOptions("z1", self.name, budget=TERMS, rollouts=ROLLOUT_TERMS)
+        options = GatewayOptions("z1", self.name, budget=TERMS, rollouts=ROLLOUT_LIMITS)
         source = random.Random(1000 + number)
         self.router = GatewayRouter(options, source, now - 100.0)
         self.driver = GatewayDriver(self.router, ModelClient(fleet, self.name), lambda _note: None)
-        self.decider = RolloutDecider(self.name, number, ROLLOUT_TERMS, source, now)
+        self.decider = RolloutDecider(self.name, number, ROLLOUT_LIMITS, source, now)
         self.contact = NodeContact(self.name, "z1", rollouts=self.address)
         self.link = RolloutLink(
             self.contact, number, self.decider, RouterPort(self.driver), Records(fleet.registry, self.name)
         )
         self.scope = anyio.CancelScope()
 
-    def learn(self, event: ev.Event) -> None:
+    def apply_event(self, event: ev.Event) -> None:
         if not self.dead:
             self.driver.feed(event)
             self.link.apply_update(event)
@@ -185,14 +185,14 @@
 
 
 class Fleet:
-    """Nodes, servers, callers; ``arrivals`` at servers, and ``cut``: what stopped servers broke off."""
+    """Nodes, servers and callers; ``cut_requests`` are the ``arrivals`` that a stopped server cut off."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, nodes: int, seed: int, routes: tuple[Route, ...]) -> None:
         self.tasks = tasks
         self.source = random.Random(seed)
         self.loss = 0.0
         self.arrivals: list[Arrival] = []
-        self.cut: list[Arrival] = []
+        self.cut_requests: list[Arrival] = []
         self.stopped: set[str] = set()
         self.outcomes: Counter[str] = Counter()
         self.quality: dict[str, Quality] = {}
@@ -202,15 +202,15 @@
         self.routes = routes
         self.nodes = [FleetNode(self, number) for number in range(nodes)]
         for node in self.nodes:
-            self.welcome(node)
+            self.initialise(node)
 
-    def welcome(self, node: FleetNode) -> None:
-        """Tell a node what it needs to serve."""
+    def initialise(self, node: FleetNode) -> None:
+        """Give a node everything that it needs to serve."""
         node.link.set_nodes(each.contact for each in self.nodes)
-        node.learn(ev.NodesCounted(len(self.nodes)))
-        node.learn(ev.ConfigurationLearnt(configuration(1, *self.routes)))
-        node.learn(ev.RolloutsReplaced(()))
-        node.learn(ev.ServersReplaced(tuple(self.servers(OLD))))
+        node.apply_event(ev.NodesCounted(len(self.nodes)))
+        node.apply_event(ev.ConfigurationLearnt(configuration(1, *self.routes)))
+        node.apply_event(ev.RolloutsReplaced(()))
+        node.apply_event(ev.ServersReplaced(tuple(self.servers(OLD))))
 
     def servers(self, version: str) -> list[ServerRecord]:
         return [
@@ -225,24 +225,24 @@
         return quality if attempt.request.path.startswith(quality.path) else Quality()
 
     def order(self, duration_s: float = 12.0) -> None:
-        """Order the new version, and start its servers."""
+        """Order the new version and start its servers."""
         self.ordered_at_s = anyio.current_time()
         self.registry.put(
             RolloutOrder("desk", NEW, duration_s, created_revision=self.registry.revision + 1, revision=0)
         )
         for node in self.nodes:
             for record in self.servers(NEW):
-                node.learn(ev.ServerListed(record))
+                node.apply_event(ev.ServerListed(record))
 
     async def finish(self) -> None:
-        """Stop or drain servers as the platform does once the registry holds a final state."""
+        """Stop the old servers, as the platform does, once the registry holds a completed order."""
         while self.registry.order is None or not self.registry.order.state.final:
             await anyio.sleep(0.005)
         if self.registry.order.state is RolloutState.COMPLETED:
             self.stopped.update(each.instance for each in self.servers(OLD))
 
     async def call(self, per_s: float, for_s: float, path: str = "/one/x") -> None:
-        """Let callers come at random nodes."""
+        """Send requests to random nodes at a mean rate of ``per_s``."""
         numbers = itertools.count(self.source.randrange(1 << 30))
         end = anyio.current_time() + for_s
         while anyio.current_time() < end:
@@ -257,8 +257,8 @@
         good = isinstance(final, ev.PassOn) and final.reply.succeeded
         self.outcomes["good" if good else "bad"] += 1
 
-    def sent(self, version: str, since_s: float = 0.0, until_s: float = float("inf")) -> int:
-        """How many requests reached a version's servers, between two times since the order."""
+    def requests_sent(self, version: str, since_s: float = 0.0, until_s: float = float("inf")) -> int:
+        """Return how many requests reached a version's servers between two times since the order."""
         return sum(
             each.version == version and since_s <= each.at_s - self.ordered_at_s < until_s
             for each in self.arrivals
@@ -276,7 +276,7 @@
     seed: int = 1,
     routes: tuple[Route, ...] = (replace(single_route(attempts=3), objective_s=0.2),),
 ) -> None:
-    """Run ``body`` beside a fleet that serves."""
+    """Run ``body`` with a serving fleet."""
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
