--- a/bench/rollout_fleet.py
+++ b/bench/rollout_fleet.py
@@ -149,7 +149,7 @@
         self._feed_queue = [each for each in self._feed_queue if each[0] > self.now]
         for _, service, order in due:
             for node in self.nodes.values():
-                if node.alive and node.name not in self.registry.unreachable_from:
+                if node.alive and node.name not in self.registry.refused_nodes:
                     self._apply_order(node, service, order)
 
     def _apply_order(self, node: Node, service: str, order: RolloutOrder | None) -> None:
@@ -208,7 +208,7 @@
     def _run_node(self, node: Node) -> None:
         decider = node.decider
         decider.set_nodes({name: 1.0 for name, each in self.nodes.items() if each.alive})
-        decider.set_registry(node.name not in self.registry.unreachable_from, self.now)
+        decider.set_registry(node.name not in self.registry.refused_nodes, self.now)
         counts = {OLD: 0, NEW: 0}
         for server in self.servers:
             counts[server.version] += 1
--- a/bench/rollout_verdicts.py
+++ b/bench/rollout_verdicts.py
@@ -130,17 +130,17 @@
     case.setup(fleet)
     fleet.run(ORDERED_AT_S)
     fleet.registry.put("svc", duration_s=DURATION_S)
-    taken_back_s = DURATION_S
+    final_after_s = DURATION_S
     while fleet.now < ORDERED_AT_S + DURATION_S:
         fleet.step()
         if fleet.state().final:
-            taken_back_s = fleet.now - ORDERED_AT_S
+            final_after_s = fleet.now - ORDERED_AT_S
             break
     arrivals = RATE * DURATION_S
     completed = fleet.state() is RolloutState.COMPLETED
-    requests = fleet.sent_new + (RATE * (DURATION_S - taken_back_s) if completed else 0.0)
+    requests = fleet.sent_new + (RATE * (DURATION_S - final_after_s) if completed else 0.0)
     over_limit = case.bad and requests > LIMITS.canary_share * arrivals + LIMITS.canary_slack
-    return fleet.state(), round(requests), fleet.bad_new, over_limit, taken_back_s
+    return fleet.state(), round(requests), fleet.bad_new, over_limit, final_after_s
 
 
 def measure(case: Case, plays: int) -> Row:
--- a/bench/rollout_world.py
+++ b/bench/rollout_world.py
@@ -42,7 +42,7 @@
         self.orders: dict[str, RolloutOrder] = {}
         self.revision = 10
         self.timeline = 0
-        self.unreachable_from: set[str] = set()
+        self.refused_nodes: set[str] = set()
         self.lost_answers: list[tuple[RolloutState, bool]] = []
         self.delayed_writes: list[RolloutOrder] = []
         self.writes: list[tuple[str, RolloutState, bool]] = []
@@ -64,7 +64,7 @@
 
     def write(self, node: str, order: RolloutOrder) -> RolloutOrder | RevisionConflict | Failure:
         """Write on the condition of the order's revision; the answer may be lost or the write delayed."""
-        if node in self.unreachable_from:
+        if node in self.refused_nodes:
             return Failure(Reason.OVERLOADED, Verdict.NOT_RUN, "refused")
         for lost in self.lost_answers:
             if lost[0] is order.state:
--- a/tests/rollouts/test_decider.py
+++ b/tests/rollouts/test_decider.py
@@ -71,7 +71,7 @@
 
 @pytest.mark.parametrize(("share", "least"), [(0.3, 17), (0.6, 20)])
 def test_version_bad_only_under_load_is_rolled_back_within_the_limit(share: float, least: int) -> None:
-    taken_back = 0
+    rolled_back = 0
     for seed in range(20):
         fleet = order_roll_out(seed=seed)
         for server in servers(fleet):
@@ -79,8 +79,8 @@
                 share if of.state() is RolloutState.SWITCHING else 0.0
             )
         fleet.run(13.0)
-        taken_back += fleet.state() is ROLLED_BACK and fleet.sent_new < MAX_NEW_REQUESTS
-    assert taken_back >= least
+        rolled_back += fleet.state() is ROLLED_BACK and fleet.sent_new < MAX_NEW_REQUESTS
+    assert rolled_back >= least
 
 
 def test_version_bad_on_one_of_three_routes_is_rolled_back() -> None:
--- a/tests/rollouts/test_decider_failures.py
+++ b/tests/rollouts/test_decider_failures.py
@@ -159,7 +159,7 @@
     name = first_decider(fleet)
     paused = fleet.nodes[name]
     paused.paused = True
-    fleet.registry.unreachable_from.add(name)
+    fleet.registry.refused_nodes.add(name)
     fleet.run_until(COMPLETED)
     fleet.run(4.0)
     paused.paused = False
@@ -243,11 +243,11 @@
     while fleet.state() is not COMPLETED:
         fleet.step()
     name = fleet.registry.writes[-1][0]
-    fleet.registry.unreachable_from |= fleet.nodes.keys()
+    fleet.registry.refused_nodes |= fleet.nodes.keys()
     report_failures(fleet, name)
     fleet.run(2.0)
     assert announced_states(fleet, name) == {SWITCHING}
-    fleet.registry.unreachable_from.clear()
+    fleet.registry.refused_nodes.clear()
     fleet.run(3.0)
     assert final_states(fleet) == [{COMPLETED}] and fleet.old_after_completed == 0
 
@@ -256,7 +256,7 @@
     fleet = order_roll_out()
     fleet.run(3.0)
     name = first_decider(fleet)
-    fleet.registry.unreachable_from.add(name)
+    fleet.registry.refused_nodes.add(name)
     report_failures(fleet, name)
     fleet.step()
     fleet.nodes[name].alive = False
@@ -291,12 +291,12 @@
     fleet = order_roll_out()
     fleet.run_until(SWITCHING)
     fleet.run(0.2)
-    fleet.registry.unreachable_from |= fleet.nodes.keys()
+    fleet.registry.refused_nodes |= fleet.nodes.keys()
     name = second_decider(fleet)
     report_failures(fleet, name)
     fleet.run(0.5)
     assert ROLLED_BACK not in announced_states(fleet, name)
-    fleet.registry.unreachable_from.clear()
+    fleet.registry.refused_nodes.clear()
     fleet.run(0.4)
     assert final_states(fleet) == [{ROLLED_BACK}] and announced_states(fleet, name) == {ROLLED_BACK}
 
@@ -304,7 +304,7 @@
 def test_rollback_during_the_canary_is_announced_immediately() -> None:
     fleet = order_roll_out()
     fleet.run(3.0)
-    fleet.registry.unreachable_from |= fleet.nodes.keys()
+    fleet.registry.refused_nodes |= fleet.nodes.keys()
     name = second_decider(fleet)
     report_failures(fleet, name)
     fleet.step()
@@ -318,13 +318,13 @@
     fleet = order_roll_out()
     fleet.run_until(SWITCHING)
     fleet.run(0.2)
-    fleet.registry.unreachable_from |= fleet.nodes.keys()
+    fleet.registry.refused_nodes |= fleet.nodes.keys()
     report_failures(fleet, *fleet.deciders())
     fleet.run(1.5)
     sent = fleet.sent_new
     fleet.run(3.0)
     assert fleet.sent_new == sent and fleet.state() is SWITCHING
-    fleet.registry.unreachable_from.clear()
+    fleet.registry.refused_nodes.clear()
     assert fleet.run_until(ROLLED_BACK) < 20.0
 
 
@@ -343,7 +343,7 @@
     fleet = order_roll_out()
     fleet.run(1.0)
     refused = first_decider(fleet)
-    fleet.registry.unreachable_from.add(refused)
+    fleet.registry.refused_nodes.add(refused)
     fleet.run(1.0)
     decisions = fleet.nodes[refused].decider.decisions(fleet.now)
     assert decisions is not None and not decisions.reaches_registry and not decisions.orders
@@ -354,9 +354,9 @@
 def test_late_switch_is_watched_for_less_time_and_completes_in_time() -> None:
     fleet = order_roll_out()
     fleet.run(9.0)
-    fleet.registry.unreachable_from |= fleet.nodes.keys()
+    fleet.registry.refused_nodes |= fleet.nodes.keys()
     fleet.run(1.2)
-    fleet.registry.unreachable_from.clear()
+    fleet.registry.refused_nodes.clear()
     fleet.run_until(SWITCHING)
     assert fleet.now > ORDERED_AT_S + 9.0 and fleet.run_until(COMPLETED) <= DEADLINE_S
 
@@ -364,10 +364,10 @@
 def test_bad_version_stays_within_the_limit_while_the_registry_does_not_answer() -> None:
     fleet = order_roll_out(bad=True)
     fleet.run_until(CANARY)
-    fleet.registry.unreachable_from |= fleet.nodes.keys()
+    fleet.registry.refused_nodes |= fleet.nodes.keys()
     fleet.run(8.0)
     assert fleet.sent_new < MAX_NEW_REQUESTS
-    fleet.registry.unreachable_from.clear()
+    fleet.registry.refused_nodes.clear()
     assert fleet.run_until(ROLLED_BACK) < 25.0
 
 
--- a/tests/rollouts/test_rollout_faults.py
+++ b/tests/rollouts/test_rollout_faults.py
@@ -25,7 +25,7 @@
             set() if fleet.cut_links else {(name, other) for other in fleet.nodes if other != name}
         )
     elif kind == 5:
-        fleet.registry.unreachable_from ^= {name}
+        fleet.registry.refused_nodes ^= {name}
     elif kind == 6:
         state = source.choice([*RolloutState][1:])
         fleet.registry.lost_answers.append((state, source.random() < 0.5))
@@ -48,7 +48,7 @@
         fleet.run(0.5)
         inject_fault(fleet, source)
     fleet.cut_links = set()
-    fleet.registry.unreachable_from.clear()
+    fleet.registry.refused_nodes.clear()
     fleet.registry.lost_answers.clear()
     for name, node in fleet.nodes.items():
         node.paused = False
