--- a/src/yokesill/rollouts/order_progress.py
+++ b/src/yokesill/rollouts/order_progress.py
@@ -41,7 +41,7 @@
 
 
 class _PendingRollback(NamedTuple):
-    """A rollback of the new version that is not recorded yet."""
+    """A rollback that this decider started or received from a peer, which may not be recorded yet."""
 
     reason: str
     at_s: float
@@ -250,7 +250,7 @@
 
     @property
     def _record_is_lost(self) -> bool:
-        """Whether the record fell back, because the order was overwritten or the registry restored."""
+        """Whether the record fell back: the order was overwritten with itself, or the registry restored."""
         return self.order.state.rank < self._recorded.rank
 
     def _assess(self, now: float) -> None:
