--- a/src/yokesill/rollouts/decider.py
+++ b/src/yokesill/rollouts/decider.py
@@ -175,10 +175,10 @@
             self.withdraw(attempted.service, now)
 
     def decisions(self, now: float) -> RolloutDecisions | None:
-        """Return the decisions to announce to all nodes; ``None`` without decisions or from a non-decider.
+        """Return the decisions to announce to all nodes; ``None`` if this node has nothing to announce.
 
-        A decider that can't reach the registry announces no shares, so that they expire unless another
-        decider announces them.
+        A decider that can't reach the registry says so even without decisions, and announces no shares, so
+        that they expire unless another decider announces them.
         """
         self._urgent = False
         if not self._role.deciding:
