--- a/src/yokesill/gateway/context.py
+++ b/src/yokesill/gateway/context.py
@@ -146,7 +146,7 @@
             name: kept for name, kept in self._longest_timeout_s.items() if name in routes
         }
         self._budgets = {name: kept for name, kept in self._budgets.items() if name in services}
-        self.servers.versions.keep(services)
+        self.servers.versions.retain(services)
 
     def estimate_count(self) -> int:
         """Return the number of estimates and budgets that are kept for routes and services."""
