--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -64,7 +64,7 @@
         near_servers = {each.node for each in contacts if each.zone in zones}
         return gathering & near_servers or gathering
 
-    def knows(self, host: str) -> bool:
+    def is_remote_node(self, host: str) -> bool:
         """Whether a host is a node of another zone of this region."""
         return host in self._hosts
 
--- a/src/yokesill/registry/following.py
+++ b/src/yokesill/registry/following.py
@@ -128,7 +128,7 @@
             if self._watch is not None:
                 task_group.start_soon(keep_running, "watch", self._link.run, self._watch, self._watch_alone)
 
-    def lacks(self, event: Event) -> bool:
+    def awaits_first_answer(self, event: Event) -> bool:
         """Whether the registry has not answered yet what a peer's event says.
 
         A peer's list may be older than the one known here, and changes continue the registry's list.
--- a/src/yokesill/registry/node_presence.py
+++ b/src/yokesill/registry/node_presence.py
@@ -27,7 +27,7 @@
 READ_INTERVAL_S = 10.0
 # After the registry came back from an older copy all nodes announce themselves again within this time: 154
 # writes a second at 770 nodes.
-ANNOUNCED_AGAIN_S = 5.0
+REANNOUNCE_SPREAD_S = 5.0
 # Pause before a failed heartbeat is sent again.
 RETRY_INTERVAL_S = 1.0
 
@@ -102,7 +102,7 @@
         with anyio.move_on_after(HEARTBEAT_INTERVAL_S * (0.8 + 0.4 * self._random.random())):
             await self._lost.wait()
             self._lost = anyio.Event()
-            await anyio.sleep(ANNOUNCED_AGAIN_S * self._random.random())
+            await anyio.sleep(REANNOUNCE_SPREAD_S * self._random.random())
 
     async def _read_directory(self) -> None:
         for pause_s in EARLY_PAUSES_S:
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -184,7 +184,7 @@
     updates, following = registry.updates, registry.following
 
     def apply_from_peer(event: Event) -> None:
-        if following.lacks(event):
+        if following.awaits_first_answer(event):
             updates.apply(event)
 
     return PeerBootstrap(core.settings.seeds, connect_tcp, updates.synchronised, apply_from_peer, core.source)
@@ -201,7 +201,7 @@
     router, following, rollouts = core.router, registry.following, exchanges.rollouts
 
     def is_peer(host: str) -> bool:
-        return following.is_member(host) or registry.remote_coordinators.knows(host)
+        return following.is_member(host) or registry.remote_coordinators.is_remote_node(host)
 
     version = partial(configuration_version, router)
     coordinator = CoordinatorApplication(callers.application, is_peer, version, lambda: router.lateness_s)
--- a/tests/platform/test_following_the_store.py
+++ b/tests/platform/test_following_the_store.py
@@ -16,7 +16,7 @@
 from yokesill.registry.api_client import ApiClient
 from yokesill.registry.feeds import NodeContact
 from yokesill.registry.follower import FeedFollower
-from yokesill.registry.node_presence import ANNOUNCED_AGAIN_S, NodePresence
+from yokesill.registry.node_presence import REANNOUNCE_SPREAD_S, NodePresence
 from yokesill.serving.settings import Address
 from yokesill.verdict import Failure
 
@@ -389,7 +389,7 @@
                 assert counts == {f"n{number}": 4 for number in range(4)}
             for node in nodes:
                 node.announce_again()
-            await anyio.sleep(ANNOUNCED_AGAIN_S + 0.1)
+            await anyio.sleep(REANNOUNCE_SPREAD_S + 0.1)
             assert len([name for of, name in standin.objects if of == "yokesill-nodes"]) == 4
             tasks.cancel_scope.cancel()
 
--- a/tests/serving/test_remote_coordinators.py
+++ b/tests/serving/test_remote_coordinators.py
@@ -70,7 +70,7 @@
 def test_nodes_of_other_regions_are_neither_asked_nor_listened_to() -> None:
     near = near_servers(zones="abx")
     assert all(node[0] in "ab" for node in near.coordinators(ROUTE, 10.0))
-    assert near.knows("a.5") and not near.knows("x.1") and not near.knows("e.1")
+    assert near.is_remote_node("a.5") and not near.is_remote_node("x.1") and not near.is_remote_node("e.1")
 
 
 def test_a_hop_that_takes_too_much_of_the_aim_is_only_measured_now_and_then() -> None:
