--- a/src/yokesill/coordinators/__init__.py
+++ b/src/yokesill/coordinators/__init__.py
@@ -1,1 +1,1 @@
-"""Forwards wide requests to the strongest nodes of a zone, its coordinators; serves those of other nodes."""
+"""Forwards wide requests to a zone's coordinators, its strongest nodes, and serves those of other nodes."""
--- a/src/yokesill/coordinators/client.py
+++ b/src/yokesill/coordinators/client.py
@@ -1,8 +1,9 @@
 """Sends a wide request to a coordinator over HTTP/1.1 and waits for its answer.
 
-A coordinator acknowledges at once by the head of its reply; the body follows when the answer is complete.
-Without an acknowledgement, or when the connection breaks, the call fails; ``forwarding`` decides what next.
-Owns the idle connections to coordinators. Relies on ``upstreams.connections`` for the bytes.
+A coordinator acknowledges a request immediately by sending the head of its reply; the body follows when the
+answer is complete. Without an acknowledgement, or when the connection breaks, the call fails and
+``forwarding`` decides what to do next. Owns the idle connections to coordinators; ``upstreams.connections``
+does the I/O.
 """
 
 import anyio
@@ -15,15 +16,15 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 COORDINATE_PATH = "/coordinate"
-# Bounds what a dead coordinator costs a request: the hop to another zone is counted as 12 ms until it is
-# measured.
+# Bounds the delay that a dead coordinator adds to a request. The hop to another zone is assumed to take 12 ms
+# until it has been measured.
 CONNECT_TIMEOUT_S = 0.04
 # Less than the 15 s after which a coordinator closes an idle connection (``callers.listener``).
 IDLE_LIMIT_S = 8.0
 
 
 class CoordinatorClient:
-    """Calls coordinators over HTTP/1.1; idle connections are kept for a while."""
+    """Calls coordinators over HTTP/1.1 and keeps idle connections for reuse."""
 
     def __init__(self, dial: Dial = dial_tcp) -> None:
         self._dial = dial
@@ -45,36 +46,36 @@
         acknowledge_within_s
             How long the coordinator may take to acknowledge the request.
         deadline_at_s
-            When to give the call up, in seconds of the node's clock.
+            When the call times out, in seconds of the node's clock.
 
         Returns
         -------
         GatheredAnswer or Failure
-            A failure with verdict ``NOT_RUN`` if the coordinator sent nothing to servers.
+            A failure has the verdict ``NOT_RUN`` if the coordinator sent nothing to servers.
         """
         connection = await self._connect(address)
         if isinstance(connection, Failure):
             return connection
-        ended = anyio.Event()
+        completed = anyio.Event()
         outcome: list[HttpReplyReader | Exception] = []
 
-        def end(result: HttpReplyReader | Exception) -> None:
+        def complete(result: HttpReplyReader | Exception) -> None:
             outcome.append(result)
-            ended.set()
+            completed.set()
 
         reusable = False
         try:
-            connection.start(_encode(address, message), False, end)
+            connection.start(_encode_request(address, message), False, complete)
             with anyio.move_on_after(acknowledge_within_s):
-                await ended.wait()
+                await completed.wait()
             if not connection.reply_begun and not outcome:
                 self._close_idle(address)
-                return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, "no acknowledgement")
+                return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, "no acknowledgement in time")
             with anyio.move_on_after(deadline_at_s - anyio.current_time()):
-                await ended.wait()
+                await completed.wait()
             if not outcome:
-                return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, "no answer in time")
-            answer = _read(outcome[0], request_id)
+                return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, "no answer before the deadline")
+            answer = _decode_reply(outcome[0], request_id)
             reusable = isinstance(outcome[0], HttpReplyReader) and outcome[0].keep_alive
             return answer
         finally:
@@ -91,7 +92,7 @@
             if now < connection.reusable_until and connection.quiet():
                 return connection
             connection.close()
-        connection = ServerConnection(self._closed)
+        connection = ServerConnection(self._on_closed)
         host, _, port = address.rpartition(":")
         try:
             with anyio.fail_after(CONNECT_TIMEOUT_S):
@@ -105,22 +106,22 @@
         self._idle.setdefault(address, []).append(connection)
 
     def _close_idle(self, address: str) -> None:
-        """Close the idle connections to a coordinator: they may have gone silent like the one just used."""
+        """Close a coordinator's idle connections, which may be as unresponsive as the one just used."""
         for connection in self._idle.pop(address, []):
             connection.close()
 
-    def _closed(self, connection: ServerConnection) -> None:
+    def _on_closed(self, connection: ServerConnection) -> None:
         for idle in self._idle.values():
             if connection in idle:
                 idle.remove(connection)
 
 
-def _encode(address: str, message: bytes) -> bytes:
+def _encode_request(address: str, message: bytes) -> bytes:
     head = f"POST {COORDINATE_PATH} HTTP/1.1\r\nhost: {address}\r\ncontent-length: {len(message)}\r\n\r\n"
     return head.encode() + message
 
 
-def _read(outcome: HttpReplyReader | Exception, request_id: str) -> GatheredAnswer | Failure:
+def _decode_reply(outcome: HttpReplyReader | Exception, request_id: str) -> GatheredAnswer | Failure:
     if isinstance(outcome, Exception):
         return Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, repr(outcome))
     if outcome.status != OK:
--- a/src/yokesill/coordinators/coordinator.py
+++ b/src/yokesill/coordinators/coordinator.py
@@ -1,8 +1,8 @@
-"""Serves wide requests that other nodes forward to this one, its coordinator.
+"""Serves wide requests that other nodes forward to this one as their coordinator.
 
-Admission stands here alone: a request is refused before anything is sent to servers if its sender is no node
-of the region, or this node is stopping, has an older configuration, or is too busy. Relies on
-``callers.application`` to run what is accepted.
+Admission control of forwarded requests: a request is refused before anything is sent to servers if its sender
+is not a node of the region, or if this node is stopping, has an older configuration, or is overloaded.
+``callers.application`` runs the accepted ones.
 """
 
 from collections.abc import Callable
@@ -20,10 +20,10 @@
 from yokesill.comm.http_status import BAD_REQUEST, FORBIDDEN, OK, UNAVAILABLE
 from yokesill.coordinators.messages import GatheredAnswer, decode_forwarded, encode_answer
 
-# Bounds the memory that one message can use.
+# Bounds the memory that one message may use.
 MESSAGE_LIMIT_BYTES = 4 * 1024 * 1024
-# Beyond either limit this node's processor makes all its requests late; a node whose request is refused
-# gathers it itself: a wide request uses some ten milliseconds of a core.
+# Beyond either limit the lack of CPU time delays all requests of this node. A node whose request is refused
+# gathers it itself, which takes about ten milliseconds of a core.
 IN_FLIGHT_LIMIT = 12
 LATENESS_LIMIT_S = 0.02
 
@@ -36,15 +36,15 @@
     application
         Runs requests.
     is_member
-        Whether a host is a node of this zone, or of another one of this region.
+        Returns whether a host is a node of this zone or of another zone in this region.
     version
-        Returns the version of the configuration in force here; 0 without one.
+        Returns the version of the configuration in force here; 0 if there is none.
     lateness_s
         Returns by how much this node's own timers are late, in seconds.
 
     Notes
     -----
-    ``in_flight`` counts requests without an answer, for a planned stop to wait for; ``accepted`` counts those
+    ``in_flight`` counts unanswered requests, which a planned stop waits for; ``accepted`` counts the requests
     that were not refused.
     """
 
@@ -72,7 +72,7 @@
         try:
             await self._coordinate(receive, send)
         except CallerGoneError:
-            # Not logged here: the forwarding node logs it, as ``coordinator_missed``.
+            # Not logged here: the forwarding node logs ``coordinator_missed``.
             pass
         finally:
             self.in_flight -= 1
@@ -90,7 +90,7 @@
             await _refuse(send, UNAVAILABLE, refusal)
             return
         self.accepted += 1
-        # The head is the acknowledgement; the answer follows.
+        # The head is the acknowledgement; the body follows when the answer is complete.
         await send({"type": "http.response.start", "status": OK, "headers": []})
         answer = await self._application.run(forwarded.request, receive)
         if answer is not None:
@@ -99,7 +99,10 @@
             await send({"type": "http.response.body", "body": body})
 
     def _refusal(self, version: int) -> str:
-        """Return why a request forwarded under configuration ``version`` is refused; empty if accepted."""
+        """Return why a request forwarded under configuration ``version`` is refused; empty if accepted.
+
+        The text is the body of the reply.
+        """
         if self._application.stopping:
             return "stopping"
         if self._version() < version:
@@ -111,8 +114,8 @@
         return ""
 
 
-async def _refuse(send: Send, status: int, why: str) -> None:
-    body = f"{why}\n".encode()
+async def _refuse(send: Send, status: int, detail: str) -> None:
+    body = f"{detail}\n".encode()
     headers = [(b"content-length", str(len(body)).encode())]
     await send({"type": "http.response.start", "status": status, "headers": headers})
     await send({"type": "http.response.body", "body": body})
--- a/src/yokesill/coordinators/fallback.py
+++ b/src/yokesill/coordinators/fallback.py
@@ -1,9 +1,8 @@
-"""Decides whether a coordinator's refusal goes to the caller, or another node runs the request.
+"""Decides whether a coordinator's refusal is returned to the caller or another node runs the request.
 
-A coordinator whose list of servers is incomplete refuses requests that other nodes could serve. Its refusal
-is final only where theirs would be the same: when servers failed or are ejected, of which it knows more than
-a node that sees few wide requests. Inputs: the refusal, the route, the time left in seconds. Reason and
-cases: ``docs/design/placement.md``.
+A coordinator whose list of servers is incomplete refuses requests that other nodes could serve. A refusal is
+final only if other nodes would refuse as well: when servers failed or are ejected, of which a coordinator has
+more evidence than a node that sees few wide requests. Rationale and cases: ``docs/design/placement.md``.
 """
 
 from yokesill.callers.answers import HttpAnswer
@@ -11,10 +10,10 @@
 from yokesill.gateway.documents import Route
 from yokesill.verdict import Reason, Verdict
 
-# The coordinator knows no server of a service, or no configuration. A request that it sent to servers has
-# been counted towards the budget of extra attempts and must not be counted as new again.
+# Outcomes of a coordinator that has no server of a service, or no configuration. A request that it sent to
+# servers is already counted towards the budget of extra attempts and must not be counted as new again.
 INCOMPLETE_VIEW = frozenset({Reason.NO_REPLICA.value, Reason.NOT_READY.value})
-# Share of the latency objective that a second run needs; with less time left the refusal is final.
+# Share of the latency objective that another run needs; with less time left the refusal is final.
 RERUN_SHARE = 0.5
 
 
@@ -28,7 +27,7 @@
     route
         The request's route.
     left_s
-        How long the caller still waits, in seconds.
+        Time until the deadline of the answer, in seconds.
     """
     if left_s < RERUN_SHARE * route.objective_s:
         return None
--- a/src/yokesill/coordinators/forwarding.py
+++ b/src/yokesill/coordinators/forwarding.py
@@ -1,9 +1,9 @@
-"""Forwards wide requests to coordinators, and returns them to this node when no coordinator serves them.
+"""Forwards wide requests to coordinators, and returns them to this node if no coordinator serves them.
 
-Decides in this order: does the request run here; which coordinator gets it (of another zone first, if this
-zone has no servers of the route, then of this zone); is the coordinator's answer final (``fallback``); may a
-second coordinator be tried. Times in seconds of the node's clock. Relies on ``gateway.forwarding`` for the
-choice among coordinators and on ``client`` for the call.
+The decisions, in order: whether the request must run here; which coordinator gets it (one of another zone
+first if this zone has no servers of the route, then one of this zone); whether the coordinator's answer is
+final (``fallback``); whether a second coordinator may be tried. Times are in seconds of the node's clock.
+``gateway.forwarding`` chooses among coordinators and ``client`` makes the call.
 """
 
 from collections.abc import Callable, Mapping
@@ -24,17 +24,17 @@
 from yokesill.telemetry.observer import CoordinatedEnding, Observer
 from yokesill.verdict import Failure, Reason, Verdict
 
-# Time kept before the deadline to answer the caller, whatever the coordinator does.
+# Time reserved before the deadline for answering the caller even if the coordinator doesn't answer.
 ANSWER_MARGIN_S = 0.012
 # Share of the latency objective within which a coordinator must acknowledge a request: the rest must be
 # enough to gather it here. Also the share within which a second coordinator may be tried.
 ACKNOWLEDGE_SHARE = 0.35
-# Each coordinator that doesn't serve a request costs a hop; a third would answer after the objective.
-COORDINATORS_TRIED = 2
+# Each coordinator that doesn't serve a request costs a hop. A third would answer after the objective.
+MAX_COORDINATORS = 2
 
 
 class _Target(NamedTuple):
-    """A coordinator, and the choice that it came from, which learns how the call went."""
+    """A coordinator and the ``CoordinatorChoice`` that selected it and records the call's outcome."""
 
     node: str
     coordinator: Coordinator
@@ -42,25 +42,25 @@
 
 
 class Forwarder:
-    """Runs a request at a coordinator if one should and does serve it.
+    """Runs a request at a coordinator, if one should serve it and does.
 
     Parameters
     ----------
     choice
-        Decides which coordinator of this zone, if any.
+        Selects a coordinator of this zone, or none.
     client
-        Calls it.
+        Calls coordinators.
     coordinators
         Returns the zone's live coordinators.
     configuration
         Returns the configuration in force here.
     observer
-        Logs and counts how requests ended.
+        Logs and counts the outcomes of requests.
     remote_coordinators
-        Knows the coordinators of zones that have a request's servers, if this node's zone has none.
+        Returns coordinators in the zones that have a request's servers, if this node's zone has none.
     runs_here
-        Whether a request must not be forwarded, since servers may have crashed under it: if the coordinator
-        failed, two nodes would send it.
+        Returns whether a request must not be forwarded because it is suspected of crashing servers: if the
+        coordinator failed, two nodes would send it.
     """
 
     def __init__(
@@ -82,16 +82,16 @@
         self._runs_here = runs_here
 
     async def __call__(self, request: GatewayRequest) -> HttpAnswer | GatewayRequest:
-        """Return a coordinator's final answer, or the request as this node must run it itself."""
+        """Return a coordinator's final answer, or the request in the form in which this node must run it."""
         configuration = self._configuration()
         route = configuration.find(request.host, request.path) if configuration else None
         if configuration is None or route is None or self._runs_here(request):
             return request
-        for number in range(COORDINATORS_TRIED):
+        for attempt in range(MAX_COORDINATORS):
             now = anyio.current_time()
-            if number and now - request.arrived_at_s > ACKNOWLEDGE_SHARE * route.objective_s:
+            if attempt and now - request.arrived_at_s > ACKNOWLEDGE_SHARE * route.objective_s:
                 return request
-            target = self._select(route, number == 0, now)
+            target = self._select(route, attempt == 0, now)
             if target is None:
                 return request
             reply = await self._send(target, request, route, configuration.version, now)
@@ -104,13 +104,13 @@
         return request
 
     def _select(self, route: Route, first: bool, now: float) -> _Target | None:
-        """Return the coordinator to try: near the servers if they are elsewhere, else of this zone."""
+        """Return the coordinator to try: near the servers if they are in other zones, else of this zone."""
         remote = self._remote_coordinators
         if first and remote is not None and is_wide(route):
-            elsewhere = remote.coordinators(route, now)
-            node = remote.choice.choose(route, elsewhere, now)
+            remote_candidates = remote.coordinators(route, now)
+            node = remote.choice.choose(route, remote_candidates, now)
             if node is not None:
-                return _Target(node, elsewhere[node], remote.choice)
+                return _Target(node, remote_candidates[node], remote.choice)
         coordinators = self._coordinators()
         node = self._choice.choose(route, coordinators, now)
         return None if node is None else _Target(node, coordinators[node], self._choice)
@@ -122,7 +122,7 @@
         waited_s = now - request.arrived_at_s + target.choice.hop_s
         deadline_at_s = _deadline_at_s(request, route)
         if waited_s >= caller_timeout_s or now >= deadline_at_s:
-            return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "no time is left")
+            return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "no time left before the deadline")
         forwarded = ForwardedRequest(version, waited_s, replace(request, caller_timeout_s=caller_timeout_s))
         return await self._client.send(
             target.coordinator.address,
@@ -140,7 +140,7 @@
         reply: GatheredAnswer | Failure,
         sent_at_s: float,
     ) -> HttpAnswer | Failure:
-        """Return the answer if it is final, or why another node runs the request."""
+        """Return the answer if it is final, else the failure after which another node runs the request."""
         if isinstance(reply, Failure):
             return reply
         now = anyio.current_time()
@@ -163,7 +163,7 @@
     def _fall_back(
         self, target: _Target, request: GatewayRequest, failure: Failure, answered: bool
     ) -> GatewayRequest:
-        """Return the request for the next node; ``answered``: the coordinator works but lacks servers."""
+        """Return the request for the next node; ``answered`` if the coordinator works but lacks servers."""
         now = anyio.current_time()
         if answered or failure.reason is Reason.OVERLOADED:
             target.choice.refused(target.node, now)
@@ -185,6 +185,6 @@
 
 
 def _deadline_at_s(request: GatewayRequest, route: Route) -> float:
-    """Return when a coordinator's answer must be here."""
+    """Return when a coordinator's answer must have arrived."""
     timeout_s = min(route.timeout_s, _caller_timeout_s(request, route))
     return request.arrived_at_s + timeout_s - ANSWER_MARGIN_S
--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -1,8 +1,8 @@
-"""The coordinators of other zones, for a node whose own zone has no servers of a wide request.
+"""Selects coordinators in other zones for a node whose own zone has no servers of a wide request.
 
-No heartbeats come from other zones: their strong nodes are read from the directory of nodes and tried. One
-that can't be connected to, or doesn't acknowledge, is skipped for a while, and its zone with it. Owns the
-measurement of the hop to them; relies on ``gateway.servers.server_zones`` for where servers are.
+Other zones send no heartbeats, so their strong nodes are read from the node directory and tried. A node that
+can't be connected to or doesn't acknowledge is skipped for a while, and its zone with it. Owns the measured
+latency of the hop; ``gateway.servers.server_zones`` locates the servers.
 """
 
 from collections.abc import Iterable, Mapping
@@ -15,22 +15,22 @@
 from yokesill.peers.capacity_rank import gathering_nodes, strong_nodes
 from yokesill.registry.feeds import NodeContact
 
-# No heartbeat says that a coordinator elsewhere is back: it is tried again after this time. Each try of a
-# dead one costs a request ``client.CONNECT_TIMEOUT_S``.
+# A lost coordinator of another zone is retried after this time, since no heartbeat announces its return. Each
+# attempt at a dead one delays a request by ``client.CONNECT_TIMEOUT_S``.
 RETRY_PAUSE_S = 2.0
-# What the hop to another zone is assumed to take until it has been measured.
-FIRST_HOP_S = 0.012
-# Share of the latency objective that the hop may use: the rest must be enough to gather. Where it is more,
-# one request in each interval measures it again.
+# Assumed latency of the hop to another zone until it has been measured.
+INITIAL_HOP_S = 0.012
+# Share of the latency objective that the hop may use: the rest must be enough to gather. If the hop takes
+# more, one request per interval is still forwarded to measure it again.
 HOP_SHARE_LIMIT = 0.35
 HOP_MEASURE_INTERVAL_S = 5.0
 
 
 class RemoteCoordinators:
-    """Chooses among the strong nodes of the zones that have the servers."""
+    """Returns the strong nodes of the zones that have a request's servers."""
 
     def __init__(self, options: GatewayOptions, servers: ServerTable) -> None:
-        self.choice = CoordinatorChoice(options.node, FIRST_HOP_S)
+        self.choice = CoordinatorChoice(options.node, INITIAL_HOP_S)
         self._options = options
         self._servers = servers
         self._server_zones = ServerZones(options, servers)
@@ -39,7 +39,7 @@
         self._measured_at_s = float("-inf")
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Replace the nodes that are known."""
+        """Replace the list of known nodes."""
         regions, own = self._options.regions, self._options.zone
         by_zone: dict[str, list[NodeContact]] = {}
         for each in contacts:
@@ -54,7 +54,7 @@
     def gathering(self, contacts: Iterable[NodeContact]) -> frozenset[str]:
         """Return the nodes that gather wide requests for others; servers' capacity is divided among them.
 
-        Strong nodes of a zone without servers gather only when nobody elsewhere does.
+        Strong nodes of a zone without servers are included only if no zone with servers has strong nodes.
         """
         contacts = tuple(contacts)
         gathering = gathering_nodes((each.node, each.zone, each.cores) for each in contacts)
@@ -65,11 +65,11 @@
         return gathering & near_servers or gathering
 
     def is_remote_node(self, host: str) -> bool:
-        """Whether a host is a node of another zone of this region."""
+        """Return whether a host is a node of another zone in this region."""
         return host in self._hosts
 
     def coordinators(self, route: Route, now: float) -> Mapping[str, Coordinator]:
-        """Return who may gather a wide request near its servers; empty where that is no better."""
+        """Return the nodes that may gather a wide request near its servers; empty if that is no better."""
         if not self._options.switches.gathers_near_servers or not self._hop_is_short(route, now):
             return {}
         heard_at_s = now - RETRY_PAUSE_S
--- a/src/yokesill/registry/api_client.py
+++ b/src/yokesill/registry/api_client.py
@@ -1,6 +1,6 @@
-"""Calls to one HTTP/1.1 API, of the registry or of another node: bounded in time, with failures as values.
+"""Client of one HTTP/1.1 API, of the registry or of another node, with timeouts and failures as values.
 
-The one client of a serving node for calls that are few, long polls among them; servers are called through
+A serving node uses it for all infrequent calls, including long polls; servers are called through
 ``upstreams``. Owns the idle connections to its address.
 """
 
@@ -17,20 +17,20 @@
 from yokesill.upstreams.wires import StreamConnector
 from yokesill.verdict import Failure, Reason, Verdict
 
-# Bounds what an unreachable address costs a call.
+# Bounds the delay that an unreachable address adds to a call.
 CONNECT_TIMEOUT_S = 1.0
-# How long an idle connection is used again.
+# How long an idle connection may be reused.
 IDLE_LIMIT_S = 10.0
-# First probe after a second of silence, then one a second, three without an answer end the connection.
+# First probe after one idle second, then one per second; three unanswered probes close the connection.
 KEEPALIVE_OPTIONS = ((socket.TCP_KEEPIDLE, 1), (socket.TCP_KEEPINTVL, 1), (socket.TCP_KEEPCNT, 3))
-BROKEN = (ReplyError, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
+CONNECTION_ERRORS = (ReplyError, anyio.BrokenResourceError, anyio.ClosedResourceError, OSError)
 
 
 Headers = tuple[tuple[bytes, bytes], ...]
 
 
 class RawReply(NamedTuple):
-    """A whole reply as it came; names of ``headers`` are in lower case."""
+    """A complete reply as received; names of ``headers`` are in lower case."""
 
     status: int
     body: bytes
@@ -38,7 +38,7 @@
 
 
 class ApiReply(NamedTuple):
-    """A whole reply; ``body`` is the decoded JSON, ``None`` where there is none."""
+    """A complete reply; ``body`` is the decoded JSON, ``None`` if the reply has no body."""
 
     status: int
     body: Any
@@ -46,9 +46,10 @@
 
 
 async def connect_with_probes(host: str, port: int) -> anyio.abc.ByteStream:
-    """Open a TCP connection on which the kernel notices within seconds that the other side is gone.
+    """Open a TCP connection whose keepalive probes detect a lost peer within seconds.
 
-    A long poll is silent by nature: without probes a silent cut would look like no news.
+    A long poll is idle most of the time: without probes a lost connection would look like a feed without
+    changes.
     """
     stream = await connect_tcp(host, port)
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket, None)
@@ -60,7 +61,7 @@
 
 
 class ApiClient:
-    """Calls one API; idle connections are kept for further calls."""
+    """Calls one API and keeps idle connections for further calls."""
 
     def __init__(self, address: Address, connect: StreamConnector = connect_with_probes) -> None:
         self.calls = 0
@@ -75,7 +76,7 @@
             self._idle.clear()
 
     async def call(self, method: str, path: str, timeout_s: float, body: Any = None) -> ApiReply | Failure:
-        """Send one call with a JSON body and read its JSON reply; see ``fetch``."""
+        """Send one request with a JSON body and read its JSON reply; see ``fetch``."""
         reply = await self.fetch(method, path, timeout_s, body)
         if isinstance(reply, Failure):
             return reply
@@ -86,36 +87,36 @@
             return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, repr(error))
 
     async def fetch(self, method: str, path: str, timeout_s: float, body: Any = None) -> RawReply | Failure:
-        """Send one call and read its reply within ``timeout_s`` seconds.
+        """Send one request and read its reply within ``timeout_s`` seconds.
 
-        A failure to connect is ``NOT_RUN``; any later one is ``MAY_HAVE_RUN``.
+        A failure to connect has the verdict ``NOT_RUN``; any later failure has ``MAY_HAVE_RUN``.
         """
         self.calls += 1
         try:
-            connection = await self._take()
-        except (TimeoutError, *BROKEN) as error:
+            connection = await self._acquire()
+        except (TimeoutError, *CONNECTION_ERRORS) as error:
             return Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, f"{self._address}: {error!r}")
         try:
             with anyio.fail_after(timeout_s):
-                reader = await connection.exchange(self._encode(method, path, body), bodiless=False)
+                reader = await connection.exchange(self._encode_request(method, path, body), bodiless=False)
         except TimeoutError:
-            await self._drop(connection)
-            await self._drop_idle()
+            await self._close(connection)
+            await self._close_idle()
             return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, f"no answer in {timeout_s:.1f} s")
-        except BROKEN as error:
-            await self._drop(connection)
+        except CONNECTION_ERRORS as error:
+            await self._close(connection)
             return Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, repr(error))
         except BaseException:
-            await self._drop(connection)
+            await self._close(connection)
             raise
         if reader.keep_alive and not reader.surplus:
             connection.reusable_until = anyio.current_time() + IDLE_LIMIT_S
             self._idle.append(connection)
         else:
-            await self._drop(connection)
+            await self._close(connection)
         return RawReply(reader.status, reader.body, tuple(reader.headers))
 
-    async def _take(self) -> StreamConnection:
+    async def _acquire(self) -> StreamConnection:
         while self._idle:
             connection = self._idle.pop()
             if connection.usable(anyio.current_time()):
@@ -124,17 +125,17 @@
         with anyio.fail_after(CONNECT_TIMEOUT_S):
             return StreamConnection(await self._connect(self._address.host, self._address.port))
 
-    async def _drop_idle(self) -> None:
-        """Close the idle connections: they may have gone silent like the one just used."""
+    async def _close_idle(self) -> None:
+        """Close the idle connections, which may be as unresponsive as the one just used."""
         idle, self._idle = self._idle, []
         for connection in idle:
-            await self._drop(connection)
+            await self._close(connection)
 
-    async def _drop(self, connection: StreamConnection) -> None:
+    async def _close(self, connection: StreamConnection) -> None:
         with anyio.CancelScope(shield=True):
             await connection.aclose()
 
-    def _encode(self, method: str, path: str, body: Any) -> bytes:
+    def _encode_request(self, method: str, path: str, body: Any) -> bytes:
         lines = [f"{method} {path} HTTP/1.1", f"host: {self._address}"]
         content = b"" if body is None else json.dumps(body).encode()
         if body is not None:
--- a/src/yokesill/registry/availability.py
+++ b/src/yokesill/registry/availability.py
@@ -1,30 +1,30 @@
-"""Whether the registry answers this node, and on which timeline: found out by one follower for all of them.
+"""Availability and timeline of the registry, shared by all followers of a node.
 
-Each call is paid for, failed ones too. A node follows up to five feeds of one registry: while that doesn't
-answer, one follower probes it, cheaply, and the others wait. At 90 nodes an outage then costs 90 failed calls
-at their full price instead of 360 (worked out for four feeds, not measured).
+Every call is billed, failed ones too. A node follows up to five feeds of one registry: while the registry
+doesn't answer, one follower probes it with cheap calls and the others wait. With 90 nodes an outage then
+costs 90 failed calls at full price instead of 360 (calculated for four feeds, not measured).
 
-A registry that came back from an older copy of itself is on a later timeline, where nobody answers a wait for
-changes of the one before if its connection went silent. Whichever answer, or report of another node, shows
-the later timeline first says so to all followers of this node.
+A registry that was restored from an older copy is on a later timeline. A long poll for changes of the
+previous timeline is never answered there if its connection became unresponsive. The first answer, or report
+of another node, that carries the later timeline therefore notifies all followers of this node.
 """
 
 import anyio
 
 
 class RegistryAvailability:
-    """Which of one node's followers, if any, probes an unreachable registry, and its latest timeline."""
+    """The follower, if any, that probes an unreachable registry, and the latest timeline seen."""
 
-    __slots__ = ("_changed", "_moved", "_prober", "timeline")
+    __slots__ = ("_prober", "_probing_ended", "_timeline_advanced", "timeline")
 
     def __init__(self) -> None:
         self.timeline = 0
-        self._moved = anyio.Event()
+        self._timeline_advanced = anyio.Event()
         self._prober: object | None = None
-        self._changed = anyio.Event()
+        self._probing_ended = anyio.Event()
 
     def call_failed(self, follower: object) -> None:
-        """Make a follower the prober, unless there is one."""
+        """Make a follower the prober unless there already is one."""
         if self._prober is None:
             self._prober = follower
 
@@ -39,25 +39,25 @@
             self._stop_probing()
 
     def probed_by_another(self, follower: object) -> bool:
-        """Whether another follower probes the registry, so that this one waits."""
+        """Return whether another follower probes the registry, so that this one waits."""
         return self._prober is not None and self._prober is not follower
 
-    async def wait_for_change(self) -> None:
-        """Wait until the registry answers, or no follower probes it."""
-        await self._changed.wait()
+    async def wait_until_probing_ends(self) -> None:
+        """Wait until the registry answers or the prober stops probing."""
+        await self._probing_ended.wait()
 
-    def timeline_seen(self, timeline: int) -> None:
-        """Note which timeline an answer or a report is of."""
+    def record_timeline(self, timeline: int) -> None:
+        """Record the timeline of an answer or a report, and notify the followers if it is a later one."""
         if timeline > self.timeline:
             self.timeline = timeline
-            self._moved.set()
-            self._moved = anyio.Event()
+            self._timeline_advanced.set()
+            self._timeline_advanced = anyio.Event()
 
-    async def wait_for_timeline(self) -> None:
-        """Wait until a later timeline is seen."""
-        await self._moved.wait()
+    async def wait_for_later_timeline(self) -> None:
+        """Wait until a later timeline is recorded."""
+        await self._timeline_advanced.wait()
 
     def _stop_probing(self) -> None:
         self._prober = None
-        self._changed.set()
-        self._changed = anyio.Event()
+        self._probing_ended.set()
+        self._probing_ended = anyio.Event()
--- a/src/yokesill/registry/feed_catch_up.py
+++ b/src/yokesill/registry/feed_catch_up.py
@@ -1,8 +1,8 @@
-"""Brings a node's feeds up to what a zone's watchers report: by their changes, or by a whole feed.
+"""Brings a node's feeds up to date with what the zone's watchers report, by changes or by a whole feed.
 
-A report's changes apply where this node's position lies between theirs. A node that is older, or whose view
-differs from a current watcher's at the same position, fetches the whole feed from the reporter; one that
-watches lists the registry anew instead.
+A report's changes apply if this node's position lies in their range. A node at an older position, or whose
+view differs from a current watcher's at the same position, fetches the whole feed from the reporter. A node
+that watches lists the feed from the registry if its view differs.
 """
 
 import random
@@ -19,27 +19,27 @@
 from yokesill.verdict import Failure
 from yokesill.watchers.messages import FeedReport
 
-# All nodes of a zone that are behind fetch from the same reporter: they do so spread over this time.
+# Nodes that are behind all fetch from the same reporter, so their calls are spread over this time.
 FETCH_SPREAD_S = 0.04
 
 Fetch = Callable[[str, str], Awaitable[bytes | Failure]]
 
 
 class FeedCatchUp:
-    """Applies reports to a node's feeds, and fetches what they left out.
+    """Applies reports to a node's feeds and fetches whole feeds that reports left out.
 
     Parameters
     ----------
     followers
-        What follows each feed, by the feed's name.
+        The follower of each feed, by the feed's name.
     view
-        Compares this node's feeds with what others report.
+        Compares this node's feeds with the reported ones.
     fetch
-        Ask the node at ``IP:PORT`` for the feed of a name.
+        Fetches a feed by its name from the node at ``IP:PORT``.
     source
-        Spreads what many nodes do at one moment.
+        Random source that spreads simultaneous calls of many nodes.
     log
-        Gets a line for each whole feed.
+        Logs each fetched feed.
     """
 
     def __init__(
@@ -58,7 +58,7 @@
         self._fetching: set[str] = set()
 
     def apply(self, report: FeedReport) -> bool:
-        """Apply a feed's changes; return whether this node now knows as much as the reporter.
+        """Apply a feed's changes; return whether this node has now reached the reporter's position.
 
         Raises
         ------
@@ -67,29 +67,30 @@
         """
         follower = self._followers.get(report.feed)
         if follower is None:
-            raise ValueError(f"a feed {report.feed!r}")
+            raise ValueError(f"unknown feed {report.feed!r}")
         changes = changes_from_wire(report.changes or (), report.timeline)
         return follower.apply_changes(report.start, Batch(report.position, changes))
 
-    def timeline_told(self, report: FeedReport) -> None:
-        """Take a report as news of the registry's timeline, for all feeds of this node."""
+    def observe_timeline(self, report: FeedReport) -> None:
+        """Record the registry's timeline from a report, for all feeds of this node."""
         follower = self._followers.get(report.feed)
         if follower is not None:
-            follower.timeline_told(report.timeline)
+            follower.observe_timeline(report.timeline)
 
     def outdated(self, report: FeedReport) -> bool:
-        """Whether the reporter has not noticed yet that the registry came back from an older copy.
+        """Return whether the reporter hasn't detected yet that the registry was restored from an older copy.
 
-        A release that names no timeline never notices: it is not relied on where the registry names one.
+        A release without timelines never detects it, so its reports are always outdated if the registry has
+        a timeline.
         """
         follower = self._followers.get(report.feed)
         known = follower.position if follower is not None else None
         return known is not None and report.timeline < known.timeline
 
-    def fetch_soon(
+    def schedule_fetch(
         self, feed: str, member: NodeContact, tasks: anyio.abc.TaskGroup, repair: bool = False
     ) -> None:
-        """Fetch a whole feed from a reporter, unless that is under way."""
+        """Start fetching a whole feed from a reporter unless a fetch of it is already in progress."""
         if feed not in self._fetching:
             self._fetching.add(feed)
             tasks.start_soon(self._fetch_whole, feed, member, repair)
@@ -97,25 +98,25 @@
     def repair(
         self, feed: str, member: NodeContact, tasks: anyio.abc.TaskGroup, watching: bool, now: float
     ) -> None:
-        """Replace a feed that a current watcher knows otherwise: from the registry if this node watches.
+        """Replace a feed that differs from a current watcher's: from the registry if this node watches.
 
-        A configuration comes from the watcher in any case: a later version stands whoever tells it.
+        A configuration is always fetched from the watcher: the later version applies whatever its source.
         """
-        if not self._view.may_repair(feed, now):
+        if not self._view.repair_due(feed, now):
             return
         follower = self._followers[feed]
         self._log.warning("view_differs", feed=feed, node=member.node, position=list(follower.position or ()))
-        if feed == CONFIGURATION or not (watching and follower.list_anew()):
-            self.fetch_soon(feed, member, tasks, repair=True)
+        if feed == CONFIGURATION or not (watching and follower.request_relist()):
+            self.schedule_fetch(feed, member, tasks, repair=True)
 
-    def list_missing_servers(self, now: float) -> None:
-        """List the servers anew if the configuration names services that nobody lists."""
-        missing = self._view.suspected_hole(now)
-        if missing and self._followers[SERVERS].list_anew():
+    def relist_missing_servers(self, now: float) -> None:
+        """List the servers again if the configuration names services that no listed server belongs to."""
+        missing = self._view.services_to_relist(now)
+        if missing and self._followers[SERVERS].request_relist():
             self._log.info("services_without_servers", count=len(missing), first=missing[0])
 
     async def _fetch_whole(self, name: str, member: NodeContact, repair: bool) -> None:
-        """Fetch a whole feed; the next report shows whether that was enough."""
+        """Fetch a whole feed; the next report shows whether this node has caught up."""
         try:
             await anyio.sleep(FETCH_SPREAD_S * self._random.random())
             data = await self._fetch(member.peers, name)
--- a/src/yokesill/registry/feed_reports.py
+++ b/src/yokesill/registry/feed_reports.py
@@ -1,4 +1,4 @@
-"""What a node reports of its feeds to its zone: new changes with positions and digests, or a whole feed."""
+"""Builds what a node reports of its feeds: new changes with positions and digests, or a whole feed."""
 
 from collections.abc import Callable
 from functools import partial
@@ -15,18 +15,18 @@
 
 
 class FeedReports:
-    """A node's feeds, and what its zone has not been sent of them yet.
+    """A node's feeds and the changes that it has not reported to its zone yet.
 
     Parameters
     ----------
     followers
-        What follows each feed, by the feed's name.
+        The follower of each feed, by the feed's name.
     whole
-        Return a whole feed as this node knows it, by its name; ``None`` while it knows nothing.
+        Returns this node's view of a whole feed, by the feed's name; ``None`` before the first list.
     view
-        Has the feeds' digests.
+        Computes the feeds' digests.
     wake
-        Called when there is something new.
+        Called when there are new changes to report.
     """
 
     def __init__(
@@ -43,21 +43,21 @@
         self._unreported: dict[str, FeedReport] = {}
         self._encoded: dict[str, tuple[tuple[Position, int], bytes]] = {}
         for name, follower in followers.items():
-            follower.on_read = partial(self._has_read, name)
+            follower.on_read = partial(self._record_batch, name)
 
     @property
     def pending(self) -> bool:
-        """Whether there is something new."""
+        """Whether there are unreported changes."""
         return bool(self._unreported)
 
     def drop_pending(self) -> None:
-        """Forget what is new: others report it."""
+        """Discard unreported changes; other nodes report them."""
         self._unreported.clear()
 
-    def take(self, now: float) -> tuple[FeedReport, ...]:
-        """Return a report of each known feed, with what is new."""
+    def drain(self, now: float) -> tuple[FeedReport, ...]:
+        """Return a report of each known feed with its unreported changes, and mark those as reported."""
         reports = tuple(
-            self._unreported.get(name, _nothing_new(name, each.position))
+            self._unreported.get(name, _empty_report(name, each.position))
             for name, each in self._followers.items()
             if each.position is not None
         )
@@ -65,7 +65,7 @@
         return tuple(each._replace(digest=self._digest(each, now)) for each in reports)
 
     def state(self, name: str) -> bytes | None:
-        """Return a whole feed as this node knows it, for another node; ``None`` if it knows none."""
+        """Return this node's view of a whole feed, encoded for another node; ``None`` if it has none."""
         follower = self._followers.get(name)
         if follower is None or follower.position is None:
             return None
@@ -78,12 +78,13 @@
             known = self._encoded[name] = (at, encode_state(whole, follower.position))
         return known[1]
 
-    def _has_read(self, name: str, before: Position, batch: Batch) -> None:
-        """Note what was read; changes that follow unreported ones are left out, and nodes fetch the whole.
+    def _record_batch(self, name: str, before: Position, batch: Batch) -> None:
+        """Record a batch for the next report.
 
-        So are those that lead on from another timeline.
+        Changes are left out, so that other nodes fetch the whole feed, if they follow unreported changes or
+        start from another timeline.
         """
-        report = _nothing_new(name, batch.position)
+        report = _empty_report(name, batch.position)
         if name not in self._unreported and before.timeline == batch.position.timeline:
             changes = changes_to_wire(batch.events)
             if changes is not None:
@@ -92,10 +93,10 @@
         self._wake()
 
     def _digest(self, report: FeedReport, now: float) -> int:
-        """Return the digest that belongs to a report; more may have been applied since it was read."""
-        up_to_it = self._followers[report.feed].position == report.position
-        return self._view.digest(report.feed, now) if up_to_it else NOT_COMPARED
+        """Return the digest for a report; ``NOT_COMPARED`` if the feed is past the report's position."""
+        is_current = self._followers[report.feed].position == report.position
+        return self._view.digest(report.feed, now) if is_current else NOT_COMPARED
 
 
-def _nothing_new(name: str, position: Position) -> FeedReport:
+def _empty_report(name: str, position: Position) -> FeedReport:
     return FeedReport(name, position.revision, position.revision, timeline=position.timeline)
--- a/src/yokesill/registry/feed_states.py
+++ b/src/yokesill/registry/feed_states.py
@@ -1,8 +1,8 @@
-"""The forms in which nodes exchange the registry's feeds: changes in datagrams, whole feeds in CBOR replies.
+"""Encoding of the registry's feeds between nodes: changes in datagrams, whole feeds in CBOR replies.
 
-Nodes of different releases exchange them during a rolling restart: the forms are pinned by ``tests/forms``.
-Single entries have the forms of ``snapshots``. The registry's timeline stands behind a whole feed, so that
-releases without it read the feed as before.
+Nodes of different releases exchange them during a rolling restart, so ``tests/forms`` pins their encoding.
+Single entries are encoded by ``snapshots``. The registry's timeline follows a whole feed as an extension, so
+that releases without timelines can still decode the feed.
 """
 
 from collections.abc import Iterable
@@ -41,8 +41,8 @@
 
 CONFIGURATION, SERVERS, EVACUATIONS = "configuration", "servers", "evacuations"
 ROLLOUTS, QUARANTINE = "rollouts", "quarantine"
-# A change of one zone is a pair of this word and the zone's name; one of an order a pair of its word and the
-# order, or its service's name; one of the quarantine a pair of its word and a request's fingerprint.
+# Tags of changes, each encoded as a pair: with a zone's name for an evacuation, with the order or its
+# service's name for a roll-out, with a request's fingerprint for the quarantine.
 EVACUATED, REOPENED = "evacuated", "reopened"
 ORDERED, WITHDRAWN = "ordered", "withdrawn"
 QUARANTINED, LIFTED = "quarantined", "lifted"
@@ -53,7 +53,7 @@
 
 
 def changes_to_wire(events: Iterable[Event]) -> list[Any] | None:
-    """Return changes for a datagram; ``None`` when only the whole feed tells them."""
+    """Encode changes for a datagram; ``None`` if one of them can only be sent as a whole feed."""
     items = [_change_to_wire(event) for event in events]
     return None if None in items else items
 
@@ -104,85 +104,86 @@
 
 
 def changes_from_wire(items: Iterable[Any], timeline: int = 0) -> tuple[Event, ...]:
-    """Read changes of one timeline.
+    """Decode changes of one timeline.
 
     Raises
     ------
     ValueError
-        An item is neither a zone, nor an order, nor a server's entry, nor the name of one that is gone.
+        An item is none of the known changes: a tagged pair, a server's entry, or a removed server's name.
     """
     try:
         return tuple(_change_from_wire(item, timeline) for item in items)
     except TypeError as error:
-        raise ValueError(f"a malformed change: {error!r}") from error
+        raise ValueError(f"malformed change: {error!r}") from error
 
 
 def _change_from_wire(item: Any, timeline: int) -> Event:
     if isinstance(item, str):
         return ServerRemoved(item)
     match item:
-        case [str() as word, str() as zone] if word in (EVACUATED, REOPENED):
-            return ZoneEvacuated(zone) if word == EVACUATED else ZoneReopened(zone)
-        case [str() as word, content] if word == ORDERED:
+        case [str() as tag, str() as zone] if tag in (EVACUATED, REOPENED):
+            return ZoneEvacuated(zone) if tag == EVACUATED else ZoneReopened(zone)
+        case [str() as tag, content] if tag == ORDERED:
             return RolloutOrdered(order_from_wire(content, timeline))
-        case [str() as word, str() as service] if word == WITHDRAWN:
+        case [str() as tag, str() as service] if tag == WITHDRAWN:
             return RolloutWithdrawn(service)
-        case [str() as word, str() as name] if word in (QUARANTINED, LIFTED):
-            return RequestQuarantined(name) if word == QUARANTINED else QuarantineLifted(name)
+        case [str() as tag, str() as name] if tag in (QUARANTINED, LIFTED):
+            return RequestQuarantined(name) if tag == QUARANTINED else QuarantineLifted(name)
     return ServerListed(server_from_wire(item))
 
 
 def encode_state(event: WholeFeed, position: Position) -> bytes:
-    """Return a whole feed as known at ``position``."""
-    feed, content = _whole_to_wire(event, position.timeline)
+    """Encode a whole feed as of ``position``."""
+    feed, content = _feed_to_wire(event, position.timeline)
     data = cbor2.dumps([feed, position.revision, content])
     return with_extension(data, position.timeline) if position.timeline else data
 
 
 @singledispatch
-def _whole_to_wire(event: Any, timeline: int) -> tuple[str, Any]:
-    """Return a whole feed's name and content as told on a timeline."""
-    raise TypeError(f"no feed: {event!r}")
+def _feed_to_wire(event: Any, timeline: int) -> tuple[str, Any]:
+    """Return a whole feed's name and its encoded content on a timeline."""
+    raise TypeError(f"not the event of a whole feed: {event!r}")
 
 
-@_whole_to_wire.register
+@_feed_to_wire.register
 def _(event: ConfigurationLearnt, _timeline: int) -> tuple[str, Any]:
     return CONFIGURATION, configuration_to_wire(event.configuration)
 
 
-@_whole_to_wire.register
+@_feed_to_wire.register
 def _(event: ServersReplaced, _timeline: int) -> tuple[str, Any]:
     return SERVERS, [server_to_wire(record) for record in event.records]
 
 
-@_whole_to_wire.register
+@_feed_to_wire.register
 def _(event: EvacuationsReplaced, _timeline: int) -> tuple[str, Any]:
     return EVACUATIONS, sorted(event.zones)
 
 
-@_whole_to_wire.register
+@_feed_to_wire.register
 def _(event: RolloutsReplaced, timeline: int) -> tuple[str, Any]:
-    # An order that was read on an earlier timeline may be lost: its revision would name another change.
+    # The registry may have lost an order that was read on an earlier timeline: on this one its revision may
+    # refer to another change.
     return ROLLOUTS, [order_to_wire(order) for order in event.orders if order.timeline == timeline]
 
 
-@_whole_to_wire.register
+@_feed_to_wire.register
 def _(event: QuarantineReplaced, _timeline: int) -> tuple[str, Any]:
     return QUARANTINE, sorted(event.fingerprints)
 
 
 def decode_state(data: bytes) -> Batch:
-    """Read a whole feed.
+    """Decode a whole feed.
 
     Raises
     ------
     ValueError
-        It is malformed.
+        The data is malformed.
     """
     try:
         (feed, revision, content), extension = split_extension(data)
         if type(revision) is not int:
-            raise ValueError(f"a revision {revision!r}")
+            raise ValueError(f"revision is {revision!r}, expected an integer")
         timeline = 0 if extension is None else count(extension)
         event: Event
         if feed == CONFIGURATION:
@@ -196,7 +197,7 @@
         elif feed == QUARANTINE:
             event = QuarantineReplaced(frozenset(str(name) for name in content))
         else:
-            raise ValueError(f"a feed {feed!r}")
+            raise ValueError(f"unknown feed {feed!r}")
     except (KeyError, TypeError, AttributeError, cbor2.CBORDecodeError) as error:
-        raise ValueError(f"a malformed feed: {error!r}") from error
+        raise ValueError(f"malformed feed: {error!r}") from error
     return Batch(Position(timeline, revision), (event,))
--- a/src/yokesill/registry/feed_view.py
+++ b/src/yokesill/registry/feed_view.py
@@ -1,8 +1,8 @@
-"""One feed of the registry as this node knows it: its position, and how current that is.
+"""A node's view of one feed of the registry: its position and when it was last confirmed as current.
 
-Applies batches to the router, whether the registry or another node sent them; the position only rises, and
-begins anew on a later timeline: after the registry came back from an older copy. Owns the log lines of what
-was read, of a lost and of a restored registry. ``follower`` asks the registry on top of this.
+Applies batches from the registry or from other nodes to the router. The position only increases; it restarts
+on a later timeline, after the registry was restored from an older copy. Owns the log lines about batches read
+and about a lost, regained or restored registry. ``follower`` adds the calls of the registry.
 """
 
 from collections.abc import Callable
@@ -17,11 +17,11 @@
 
 
 class FeedView:
-    """What is known of one feed.
+    """A node's view of one feed.
 
-    ``connected`` is whether the registry answered this node's last call, ``confirmed_at_s`` when it last said
-    that this view is current, in seconds of the node's clock. ``on_restored`` is called with the new timeline
-    when the registry has come back from an older copy.
+    ``connected`` is whether the registry answered this node's last call. ``confirmed_at_s`` is when the
+    registry last confirmed that this view is current, in seconds of the node's clock. ``on_restored`` is
+    called with the new timeline when the registry was restored from an older copy.
     """
 
     def __init__(self, feed: str, apply_event: Callable[[Event], None]) -> None:
@@ -31,28 +31,28 @@
         self._feed_name = feed
         self._apply_event = apply_event
         self._position: Position | None = None
-        self._list_next = True
-        # From when on lists count as whole again, after the registry was restored.
+        self._relist_next = True
+        # After the registry was restored: when lists count as complete again.
         self._settles_at_s: float | None = None
         self._log = get_logger("registry")
 
     @property
     def position(self) -> Position | None:
-        """Up to which position of the registry the feed is known here; ``None`` before the first list."""
+        """The registry's position up to which the feed is known here; ``None`` before the first list."""
         return self._position
 
     @property
     def revision(self) -> int | None:
-        """The position's revision, for log lines and figures."""
+        """The position's revision, for log lines and gauges."""
         return None if self._position is None else self._position.revision
 
     def apply_changes(self, before: Position, batch: Batch) -> bool:
-        """Apply another node's changes from position ``before`` on.
+        """Apply another node's changes, which start from position ``before``.
 
         Returns
         -------
         bool
-            Whether this node now knows all that the other one knows.
+            Whether this node has now reached the other node's position.
         """
         if self._position is None or self._position < before:
             return False
@@ -61,16 +61,16 @@
         return True
 
     def apply_whole(self, batch: Batch, repair: bool = False) -> None:
-        """Apply another node's whole feed if it is newer; with ``repair`` also at the same position."""
+        """Apply another node's whole feed if it is newer, with ``repair`` also at the same position."""
         newer = self._position is None or batch.position > self._position
         if newer or (repair and batch.position == self._position):
             self._apply(batch, whole=True)
 
     def _apply(self, batch: Batch, whole: bool) -> None:
         known = self._position
-        # An earlier position of the same timeline: the registry went back without saying so.
+        # An earlier position on the same timeline: the registry was restored without a new timeline.
         if known is not None and (batch.position.timeline != known.timeline or batch.position < known):
-            self._begin_timeline(known, batch.position)
+            self._start_timeline(known, batch.position)
         settling = self._settles_at_s is not None and anyio.current_time() < self._settles_at_s
         for event in batch.events:
             for each in additions(event) if settling else (event,):
@@ -89,10 +89,10 @@
         for problem in batch.problems:
             self._log.error("entry_rejected", place=problem.place, problem=problem.message)
         self._position = batch.position
-        self._list_next = False
+        self._relist_next = False
 
-    def _begin_timeline(self, before: Position, position: Position) -> None:
-        """Let lists only add to what is known until the lost entries have been written again."""
+    def _start_timeline(self, before: Position, position: Position) -> None:
+        """Let lists only add entries until the lost ones have had time to be written again."""
         self._settles_at_s = anyio.current_time() + SETTLING_S
         self._log.warning(
             "registry_restored",
@@ -107,7 +107,7 @@
         self.confirmed_at_s = anyio.current_time()
 
     def _set_connected(self, connected: bool, why: str) -> None:
-        """Log a lost or regained registry, once each."""
+        """Log when the registry is lost or regained, once per transition."""
         if connected == self.connected:
             return
         self.connected = connected
--- a/src/yokesill/registry/feeds.py
+++ b/src/yokesill/registry/feeds.py
@@ -1,8 +1,8 @@
-"""The registry behind an abstract interface: feeds to follow, a directory of nodes, records to write.
+"""Abstract interface of the registry: feeds to follow, a directory of nodes, records to write.
 
-The registry keeps every change under a rising position (``positions``). A feed is followed by listing it once
-and then calling for changes after the last known position. ``platform.feeds`` and ``cli.gateway`` implement
-the interface.
+The registry stores every change under an increasing position (``positions``). A feed is followed by listing
+it once and then requesting the changes after the last known position. ``platform.feeds`` and ``cli.gateway``
+implement the interface.
 """
 
 import abc
@@ -15,14 +15,14 @@
 
 
 class Problem(NamedTuple):
-    """An entry that can't be used, and why; the state before it is kept."""
+    """An invalid entry and the reason; the state before it is kept."""
 
     place: str
     message: str
 
 
 class Batch(NamedTuple):
-    """Events up to ``position``, in order; ``complete`` when they are all there is at that moment."""
+    """Events up to ``position``, in order, and the invalid entries among them."""
 
     position: Position
     events: tuple[Event, ...]
@@ -30,45 +30,46 @@
 
 
 class HistoryLost(NamedTuple):
-    """Changes after the asked position are not kept any more: list again, on ``timeline`` (0: not told)."""
+    """Changes after the requested position are no longer kept: list again, on ``timeline`` (0: unknown)."""
 
     timeline: int = 0
 
 
 class Feed(abc.ABC):
-    """One kind of entries."""
+    """The registry's entries of one kind."""
 
     name: str
 
     @abc.abstractmethod
     async def list(self, stale: bool = False) -> Batch | Failure:
-        """Return everything as of now; a missing entry counts as removed.
+        """Return all current entries; an entry that is missing counts as removed.
 
-        With ``stale`` it is cheap and may be seconds old, and older than its position says.
+        With ``stale`` the call is cheap, and its result may be seconds old and older than its position.
         """
 
     @abc.abstractmethod
     async def changes(self, position: Position, wait: float) -> Batch | HistoryLost | Failure:
-        """Return the changes after ``position``; with none, wait up to ``wait`` seconds for one.
+        """Return the changes after ``position``; if there are none, wait up to ``wait`` seconds for one.
 
-        A registry that was restored since answers with its changes after the same revision: the batch's
-        timeline then differs from that of ``position``, and the batch leads on from nothing known.
+        A registry that was restored in the meantime answers with its changes after the same revision: the
+        batch's timeline then differs from that of ``position``, and the batch can't be applied to a known
+        state.
         """
 
     async def peek(self, position: Position) -> Batch | HistoryLost | Failure:
-        """Return the changes after ``position`` at once and cheaply; they may be seconds old.
+        """Return the changes after ``position`` without waiting; the call is cheap and may be seconds stale.
 
-        A feed that can't be asked cheaply knows of none.
+        A feed without cheap calls returns no changes.
         """
         return Batch(position, ())
 
 
 class NodeContact(NamedTuple):
-    """A node and how others reach it.
+    """A node's name, zone and addresses.
 
-    Its zone, and ``IP:PORT`` each for datagrams on servers (``datagrams``), datagrams of watchers
-    (``reports``), HTTP calls (``peers``) and datagrams on roll-outs (``rollouts``); empty where it can't be
-    reached. ``cores`` is how much of a processor it has.
+    Each address is an ``IP:PORT``: for datagrams on servers (``datagrams``), watchers' datagrams
+    (``reports``), HTTP calls (``peers``) and datagrams on roll-outs (``rollouts``); empty if the node can't
+    be reached that way. ``cores`` is the number of CPU cores that it has, which may be a fraction.
     """
 
     node: str
@@ -81,7 +82,7 @@
 
 
 def contact_of(name: str, announced: Any) -> NodeContact:
-    """Read a node's announcement; fields that are missing, as of an older release, keep their defaults."""
+    """Decode a node's announcement; fields that an older release doesn't send keep their defaults."""
     announced = announced if isinstance(announced, dict) else {}
     zone, datagrams, reports, peers, rollouts = (
         str(announced.get(field, "")) for field in ("zone", "datagrams", "reports", "peers", "rollouts")
@@ -99,19 +100,19 @@
 
 
 class NodeDirectory(abc.ABC):
-    """The nodes that share budgets, connections and what they see of servers."""
+    """The nodes that share budgets, connections and observations of servers."""
 
     @abc.abstractmethod
     async def announce(self, contact: NodeContact, beat: int) -> Failure | None:
-        """Say that a node is there; ``beat`` rises with each call."""
+        """Write a node's heartbeat; ``beat`` increases with each call."""
 
     @abc.abstractmethod
     async def nodes(self) -> tuple[NodeEntry, ...] | Failure:
-        """Return the announced nodes; may be seconds old."""
+        """Return the announced nodes; the result may be seconds stale."""
 
 
 class RolloutRecords(abc.ABC):
-    """Where the state of roll-outs is kept for good."""
+    """Persistent storage of the state of roll-outs."""
 
     @abc.abstractmethod
     async def record(self, order: RolloutOrder) -> RolloutOrder | Overtaken | Failure:
@@ -120,19 +121,19 @@
         Returns
         -------
         RolloutOrder or Overtaken or Failure
-            The order as it stands now, at its new revision. A failure with verdict ``MAY_HAVE_RUN`` may
-            still take effect later, as long as the revision stays. Nothing is written once the registry
-            is on another timeline than the order: its revision may name another change there.
+            The current order at its new revision. A write that failed with the verdict ``MAY_HAVE_RUN`` may
+            still take effect later, as long as the revision stays the same. Nothing is written if the
+            registry is on another timeline than the order, where its revision may refer to another change.
         """
 
 
 class QuarantineRecords(abc.ABC):
-    """Where it is recorded for good which requests are kept from servers, by their fingerprints."""
+    """Persistent storage of the fingerprints of quarantined requests, which are not sent to servers."""
 
     @abc.abstractmethod
     async def record(self, fingerprint: str) -> Failure | None:
-        """Record a request; one that is recorded already stays as it is."""
+        """Add a request's fingerprint; one that is already recorded stays unchanged."""
 
     @abc.abstractmethod
     async def lift(self, fingerprint: str) -> Failure | None:
-        """Take a request off the record; one that isn't on it is no failure."""
+        """Remove a request's fingerprint; one that isn't recorded is not a failure."""
--- a/src/yokesill/registry/follower.py
+++ b/src/yokesill/registry/follower.py
@@ -1,8 +1,8 @@
-"""Follows one feed of the registry: lists it, waits for changes, and asks again after failures.
+"""Follows one feed of the registry: lists it, waits for changes, and retries after failures.
 
-Decides when the registry is called, and how: one long wait at a time, a cheap check beside it, and cheap
-calls only while the registry doesn't answer. ``feed_view`` keeps what is known, ``availability`` which
-follower of a node probes an unreachable registry. Times in seconds of the node's clock.
+Decides when and how the registry is called: one long poll at a time, a cheap check beside it, and only cheap
+calls while the registry doesn't answer. ``feed_view`` holds the node's view of the feed, ``availability``
+selects the follower that probes an unreachable registry. Times are in seconds of the node's clock.
 """
 
 import random
@@ -19,36 +19,36 @@
 from yokesill.registry.restored_lists import SETTLING_S
 from yokesill.verdict import Failure
 
-# Backoff between cheap calls while the registry doesn't answer: a node notices its return by at most the
-# longest pause too late.
-FIRST_PAUSE_S = 0.2
-PAUSE_GROWTH = 1.7
-LONGEST_PAUSE_S = 1.2
-# How long the registry holds a call that waits for changes; each wait that ends costs a call.
+# Backoff between cheap calls while the registry doesn't answer. The maximum bounds how late a node detects
+# that it answers again.
+INITIAL_PROBE_PAUSE_S = 0.2
+PROBE_PAUSE_GROWTH = 1.7
+MAX_PROBE_PAUSE_S = 1.2
+# How long the registry holds a long poll for changes; each one that ends costs a call.
 CHANGES_WAIT_S = 25.0
-# How often a check looks whether a wait was swallowed; nodes derive theirs from the bound they must keep.
+# Interval of checks for a lost long poll; nodes derive theirs from the bound that they must keep.
 CHECK_INTERVAL_S = 2.2
-# How long a wait may take to bring changes that a check saw.
+# How long a long poll may take to return changes that a check has seen.
 CHECK_GRACE_S = 0.5
-# After a failed check the next one comes sooner: the registry is in trouble.
+# A failed check is repeated sooner, since the registry may be failing.
 FAILED_CHECK_PAUSE_S = 0.7
-# Spreads the calls of all nodes at the registry's return.
-RETURN_SPREAD_S = 0.3
-# How long a follower relies on another one's probes before it probes itself, doubled after each failed probe:
-# a registry that fails for one feed alone holds the others back for a second.
-FIRST_HOLD_S = 1.0
+# Spreads the calls of all nodes when the registry answers again.
+RECOVERY_SPREAD_S = 0.3
+# How long a follower relies on another one's probes before it probes itself, doubled after each such probe:
+# a registry that fails for one feed only holds the others back for a second.
+INITIAL_HOLD_S = 1.0
 HOLD_GROWTH = 2.0
-LONGEST_HOLD_S = 8.0
+MAX_HOLD_S = 8.0
 
 
 class FeedFollower(FeedView):
     """Keeps the router up to date with one feed.
 
-    A wait for changes that the registry accepts just before it goes silent is never answered, and its
-    connection stays open: so a cheap check looks for changes beside it.
+    A long poll that the registry accepts just before it becomes unresponsive is never answered, and its
+    connection stays open. A periodic cheap check therefore looks for changes that the long poll missed.
 
-    Without ``watching`` it calls the registry once, cheaply, and then relies on other nodes, until
-    ``set_watching`` makes it call for itself.
+    Without ``watching`` it makes one cheap call to the registry and then relies on other nodes until
+    ``set_watching`` makes it call the registry itself.
 
     Parameters
     ----------
@@ -57,19 +57,19 @@
     feed_router
         Applies an event.
     gathering_time_s
-        Pause after each batch of changes, so that changes in quick succession come in one call.
+        Pause after each batch of changes, so that changes in quick succession are coalesced into one call.
     source
-        Spreads the calls of many nodes over time.
+        Random source that spreads the calls of many nodes over time.
     check_interval_s
-        How often to check for changes beside a wait for them.
+        Interval of checks for changes during a long poll.
     watching
-        Whether this node calls the registry for itself.
-    reach
-        Whether the registry answers, shared by the followers of one node.
+        Whether this node calls the registry itself.
+    availability
+        Availability of the registry, shared by the followers of one node.
 
     Notes
     -----
-    ``on_read`` is called with each batch that was read from the registry here, and the position before it.
+    ``on_read`` is called with the previous position and each batch that this node read from the registry.
     """
 
     def __init__(
@@ -80,7 +80,7 @@
         source: random.Random,
         check_interval_s: float = CHECK_INTERVAL_S,
         watching: bool = True,
-        reach: RegistryAvailability | None = None,
+        availability: RegistryAvailability | None = None,
     ) -> None:
         super().__init__(feed.name, feed_router)
         self.calls = 0
@@ -90,53 +90,53 @@
         self._check_interval_s = check_interval_s
         self._random = source
         self._watching = watching
-        self._reach = reach or RegistryAvailability()
+        self._availability = availability or RegistryAvailability()
         self._watching_changed = anyio.Event()
-        self._pause_s = FIRST_PAUSE_S
-        self._hold_s = FIRST_HOLD_S
+        self._pause_s = INITIAL_PROBE_PAUSE_S
+        self._hold_s = INITIAL_HOLD_S
         self._ongoing = OngoingCall()
-        self._checks_fail = False
-        self._older_than: Position | None = None
-        self._timeline_began = anyio.Event()
+        self._last_check_failed = False
+        self._logged_older_at: Position | None = None
+        self._timeline_started = anyio.Event()
 
     @property
     def lost(self) -> bool:
-        """Whether this node calls the registry itself and gets no answer."""
+        """Whether this node calls the registry itself and it doesn't answer."""
         return self._watching and not self.connected
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the feed until cancelled."""
         async with anyio.create_task_group() as task_group:
-            task_group.start_soon(self._check_waits)
-            task_group.start_soon(self._list_settled)
-            task_group.start_soon(self._follow_timeline)
+            task_group.start_soon(self._check_long_poll)
+            task_group.start_soon(self._relist_when_settled)
+            task_group.start_soon(self._relist_on_later_timeline)
             if not self._watching:
-                await self._read_stale()
+                await self._list_stale()
             await self._follow()
 
     def set_watching(self, wanted: bool) -> None:
-        """Call the registry from now on, or rely on other nodes."""
+        """Set whether to call the registry from now on or to rely on other nodes."""
         if wanted == self._watching:
             return
         self._watching = wanted
         self._watching_changed.set()
         self._watching_changed = anyio.Event()
         if not wanted:
-            self._reach.withdraw(self)
+            self._availability.withdraw(self)
             self._ongoing.cancel()
 
-    def list_anew(self) -> bool:
-        """List the feed with the next call; ``False`` if this node doesn't reach the registry now."""
+    def request_relist(self) -> bool:
+        """Make the next call a list; return ``False`` if this node can't reach the registry now."""
         if not self._watching or not self.connected:
             return False
-        self._list_next = True
+        self._relist_next = True
         self._ongoing.cancel()
         return True
 
     # --- calls ---
 
-    async def _read_stale(self) -> None:
-        """Start with a cheap list; it may be older than its position says, which is not kept."""
+    async def _list_stale(self) -> None:
+        """Read a first list cheaply; its position is discarded, since the list may be older than that."""
         self.calls += 1
         outcome = await self._feed.list(stale=True)
         if isinstance(outcome, Failure):
@@ -149,70 +149,77 @@
         while True:
             if not self._watching:
                 await self._watching_changed.wait()
-            elif self._reach.probed_by_another(self):
-                await self._wait_for_another()
+            elif self._availability.probed_by_another(self):
+                await self._wait_for_prober()
             else:
                 await self._call()
 
     async def _call(self) -> None:
-        """Call once. A method of its own: no list stays in memory while the next change is waited for."""
+        """Call the registry once.
+
+        A separate method so that no list is kept in memory during the long poll for the next change.
+        """
         self.calls += 1
-        asked_at, listed = self._position, self._lists_next()
-        outcome = await self._ongoing.run(self._next(listed), waits=not listed)
+        from_position, listed = self._position, self._should_list()
+        outcome = await self._ongoing.run(self._fetch_next(listed), waits=not listed)
         if outcome is None:
             return
         if isinstance(outcome, Batch):
-            self._read(outcome, asked_at, listed)
+            self._process_answer(outcome, from_position, listed)
             if outcome.events:
                 await anyio.sleep(self._gathering_time_s)
         elif isinstance(outcome, HistoryLost):
             self._log.info("registry_history_lost", feed=self._feed_name, position=self.revision)
-            self._reach.timeline_seen(outcome.timeline)
-            self._list_next = True
+            self._availability.record_timeline(outcome.timeline)
+            self._relist_next = True
         else:
             self._set_connected(False, f"{outcome.reason}: {outcome.detail}")
-            self._reach.call_failed(self)
-            if not self._reach.probed_by_another(self):
-                await self._wait_for_registry()
+            self._availability.call_failed(self)
+            if not self._availability.probed_by_another(self):
+                await self._probe_until_answered()
 
-    async def _wait_for_another(self) -> None:
-        """Wait while another follower probes the registry; it may fail for that one's feed alone."""
+    async def _wait_for_prober(self) -> None:
+        """Wait while another follower probes the registry, which may fail for that follower's feed only."""
         with anyio.move_on_after(self._hold_s):
-            await self._reach.wait_for_change()
-            # Spread: otherwise all feeds of all nodes call at the moment of the return.
-            await anyio.sleep(RETURN_SPREAD_S * self._random.random())
+            await self._availability.wait_until_probing_ends()
+            # Otherwise all feeds of all nodes would call at the moment the registry answers again.
+            await anyio.sleep(RECOVERY_SPREAD_S * self._random.random())
             return
         if not self._watching:
             return
         if self._position is None:
             await self._call()
-        elif await self._answers_cheaply():
-            self._reach.call_answered()
-        self._hold_s = min(LONGEST_HOLD_S, HOLD_GROWTH * self._hold_s)
+        elif await self._probe():
+            self._availability.call_answered()
+        self._hold_s = min(MAX_HOLD_S, HOLD_GROWTH * self._hold_s)
 
-    async def _wait_for_registry(self) -> None:
-        """Probe with backoff until the registry answers or this node relies on others."""
+    async def _probe_until_answered(self) -> None:
+        """Probe with backoff until the registry answers or this node relies on others.
+
+        Without a position the next call is a list at full price, so this returns after one pause.
+        """
         while self._watching:
             await anyio.sleep(self._pause_s * (0.5 + self._random.random()))
-            self._pause_s = min(LONGEST_PAUSE_S, self._pause_s * PAUSE_GROWTH)
+            self._pause_s = min(MAX_PROBE_PAUSE_S, self._pause_s * PROBE_PAUSE_GROWTH)
             if self._position is None:
                 return
-            if await self._answers_cheaply():
-                self._reach.call_answered()
+            if await self._probe():
+                self._availability.call_answered()
                 return
 
-    def _read(self, batch: Batch, asked_at: Position | None, listed: bool) -> None:
-        """Apply what the registry answered, unless other nodes sent more meanwhile.
+    def _process_answer(self, batch: Batch, from_position: Position | None, listed: bool) -> None:
+        """Apply an answer of the registry unless other nodes have sent a later state in the meantime.
 
-        Changes lead on from ``asked_at`` only on its own timeline; on another one the feed is listed. A list
-        is never older than what was known when it was asked for, unless the registry itself went back.
+        Changes can be applied to ``from_position`` only on the same timeline; on another one the feed is
+        listed. A list is never older than the position known when it was requested, unless the registry
+        itself went back.
         """
         before = self._position
-        self._reach.timeline_seen(batch.position.timeline)
-        if not listed and (asked_at is None or batch.position.timeline != asked_at.timeline):
-            self._list_next = True
+        self._availability.record_timeline(batch.position.timeline)
+        if not listed and (from_position is None or batch.position.timeline != from_position.timeline):
+            self._relist_next = True
         else:
-            if before is None or batch.position >= before or (listed and before == asked_at):
+            if before is None or batch.position >= before or (listed and before == from_position):
                 self._apply(batch, whole=listed)
                 if batch.position != before:
                     self.on_read(before or Position(0, 0), batch)
@@ -220,22 +227,22 @@
                 self._log_older(batch)
             self._confirm()
         self._set_connected(True, "")
-        self._reach.call_answered()
-        self._pause_s, self._hold_s = FIRST_PAUSE_S, FIRST_HOLD_S
+        self._availability.call_answered()
+        self._pause_s, self._hold_s = INITIAL_PROBE_PAUSE_S, INITIAL_HOLD_S
 
-    async def _check_waits(self) -> None:
-        """Check for changes that a long wait should have brought, and call again if there are any."""
+    async def _check_long_poll(self) -> None:
+        """Check for changes that a long poll should have returned, and call again if there are any."""
         pause_s = self._check_interval_s
         while True:
             await anyio.sleep(pause_s * (0.9 + 0.2 * self._random.random()))
             pause_s = self._check_interval_s
             position = self._position
-            if position is None or not self._ongoing.lasts(CHECK_GRACE_S):
+            if position is None or not self._ongoing.has_lasted(CHECK_GRACE_S):
                 continue
-            if self._reach.probed_by_another(self):
-                # Checked at the return, which the probing follower may not see.
-                with anyio.move_on_after(FIRST_HOLD_S):
-                    await self._reach.wait_for_change()
+            if self._availability.probed_by_another(self):
+                # Check when the registry answers again, since the probing follower may not detect that.
+                with anyio.move_on_after(INITIAL_HOLD_S):
+                    await self._availability.wait_until_probing_ends()
             self.calls += 1
             outcome = await self._feed.peek(position)
             self._log_check(outcome)
@@ -243,87 +250,87 @@
                 pause_s = min(FAILED_CHECK_PAUSE_S, self._check_interval_s)
                 continue
             timeline = outcome.timeline if isinstance(outcome, HistoryLost) else outcome.position.timeline
-            self._reach.timeline_seen(timeline)
-            # A revision of another timeline says nothing of what is known here.
+            self._availability.record_timeline(timeline)
+            # Revisions of different timelines can't be compared.
             relisting = isinstance(outcome, HistoryLost) or outcome.position.timeline != position.timeline
             if isinstance(outcome, Batch) and not outcome.events and not relisting:
-                self._nothing_new()
+                self._confirm_unchanged()
                 continue
             await anyio.sleep(CHECK_GRACE_S)
             if position == self._position and self._ongoing.under_way:
                 self._log.info("registry_wait_swallowed", feed=self._feed_name, position=self.revision)
-                self._list_next = relisting
+                self._relist_next = relisting
                 self._ongoing.cancel()
 
-    def timeline_told(self, timeline: int) -> None:
-        """Note that another node knows the registry on a timeline."""
-        self._reach.timeline_seen(timeline)
+    def observe_timeline(self, timeline: int) -> None:
+        """Record the registry's timeline as reported by another node."""
+        self._availability.record_timeline(timeline)
 
-    async def _follow_timeline(self) -> None:
-        """List the feed when the registry is known to be on a later timeline: a wait may never be answered.
+    async def _relist_on_later_timeline(self) -> None:
+        """List the feed when the registry is on a later timeline, where a long poll may never be answered.
 
-        Spread over time, since every watcher of every zone learns of it in the same moment.
+        Spread over time, since all watchers of all zones detect it at the same moment.
         """
         while True:
-            await self._reach.wait_for_timeline()
-            await anyio.sleep(RETURN_SPREAD_S * self._random.random())
+            await self._availability.wait_for_later_timeline()
+            await anyio.sleep(RECOVERY_SPREAD_S * self._random.random())
             known = self._position
-            if not self._watching or known is None or known.timeline >= self._reach.timeline:
+            if not self._watching or known is None or known.timeline >= self._availability.timeline:
                 continue
-            self._list_next = True
+            self._relist_next = True
             if self._ongoing.waits and self._ongoing.under_way:
                 self._log.info("registry_wait_outdated", feed=self._feed_name, position=self.revision)
                 self._ongoing.cancel()
 
-    async def _list_settled(self) -> None:
-        """List the feed once more when a restored registry has settled."""
+    async def _relist_when_settled(self) -> None:
+        """End the long poll when a restored registry has settled, so that the feed is listed once more."""
         while True:
-            await self._timeline_began.wait()
-            self._timeline_began = anyio.Event()
+            await self._timeline_started.wait()
+            self._timeline_started = anyio.Event()
             await anyio.sleep(SETTLING_S)
             if self._watching:
                 self._ongoing.cancel()
 
-    def _begin_timeline(self, before: Position, position: Position) -> None:
-        """Give up a wait for changes of the timeline before, too."""
-        super()._begin_timeline(before, position)
-        self._reach.timeline_seen(position.timeline)
-        self._timeline_began.set()
+    def _start_timeline(self, before: Position, position: Position) -> None:
+        """Also cancel the ongoing call, which refers to the previous timeline."""
+        super()._start_timeline(before, position)
+        self._availability.record_timeline(position.timeline)
+        self._timeline_started.set()
         self._ongoing.cancel()
 
     def _log_older(self, batch: Batch) -> None:
-        """Log that what the registry answered is not applied: once for each position that is known here."""
-        if self._older_than != self._position:
-            self._older_than = self._position
+        """Log that an older answer of the registry is not applied, once per known position."""
+        if self._logged_older_at != self._position:
+            self._logged_older_at = self._position
             position, known = list(batch.position), list(self._position or ())
             self._log.info("registry_answer_older", feed=self._feed_name, position=position, known=known)
 
     def _log_check(self, outcome: Batch | HistoryLost | Failure) -> None:
-        """Log the first of several failed checks; a registry that is known as lost was logged."""
+        """Log the first of several failed checks, unless the registry was already logged as lost."""
         failed = isinstance(outcome, Failure)
-        if isinstance(outcome, Failure) and not self._checks_fail and self.connected:
+        if isinstance(outcome, Failure) and not self._last_check_failed and self.connected:
             self._log.info("registry_check_failed", feed=self._feed_name, reason=outcome.reason)
-        self._checks_fail = failed
+        self._last_check_failed = failed
 
-    def _nothing_new(self) -> None:
-        """Note that the registry answers; a wait begun while it was lost is renewed."""
-        self._reach.call_answered()
+    def _confirm_unchanged(self) -> None:
+        """Record that the registry answers; restart a long poll that was started while it was lost."""
+        self._availability.call_answered()
         self._confirm()
         if not self.connected and self._ongoing.under_way:
             self._set_connected(True, "")
             self._ongoing.cancel()
 
-    async def _answers_cheaply(self) -> bool:
-        """Whether the registry answers a cheap call; probes come before any call at full price."""
+    async def _probe(self) -> bool:
+        """Return whether the registry answers a cheap call; made before any call at full price."""
         self.calls += 1
         return not isinstance(await self._feed.peek(self._position or Position(0, 0)), Failure)
 
-    def _lists_next(self) -> bool:
-        """Whether the next call asks for everything."""
+    def _should_list(self) -> bool:
+        """Return whether the next call is a list."""
         settled = self._settles_at_s is not None and anyio.current_time() >= self._settles_at_s
-        return self._position is None or self._list_next or settled
+        return self._position is None or self._relist_next or settled
 
-    async def _next(self, listed: bool) -> Batch | HistoryLost | Failure:
+    async def _fetch_next(self, listed: bool) -> Batch | HistoryLost | Failure:
         if listed or self._position is None:
             return await self._feed.list()
         return await self._feed.changes(self._position, CHANGES_WAIT_S)
--- a/src/yokesill/registry/following.py
+++ b/src/yokesill/registry/following.py
@@ -1,7 +1,7 @@
-"""Keeps a node up to date with all feeds of the registry, through its zone's watchers or by itself.
+"""Keeps a node up to date with all feeds of the registry, through its zone's watchers or by its own calls.
 
-Owns one ``FeedFollower`` a feed and, where nodes can reach one another, the ``ZoneWatch`` that decides which
-nodes call the registry. Relies on ``watchers`` for timing within the settings' bounds.
+Owns one ``FeedFollower`` per feed and, if nodes can reach one another, the ``ZoneWatch`` that decides which
+nodes call the registry. ``watchers`` derives the timeouts from the settings' bounds.
 """
 
 import random
@@ -28,10 +28,11 @@
 from yokesill.supervision import Supervisor
 from yokesill.watchers.timing import WatchTiming
 
-# Pause after a batch of operators' changes: they are few, and their bound counts from the registry's answer.
-OPERATORS_GATHERING_S = 0.3
-# Events that replace a whole list, by feed. A configuration isn't one: the router applies the newer version.
-FEEDS_OF_LISTS: dict[type, str] = {
+# Pause after a batch of operators' changes, which are few and whose bound counts from the registry's answer.
+OPERATOR_COALESCE_S = 0.3
+# The feeds of events that replace a whole list. A configuration isn't one: the router applies the newer
+# version.
+FEED_BY_LIST_EVENT: dict[type, str] = {
     ServersReplaced: SERVERS,
     EvacuationsReplaced: EVACUATIONS,
     RolloutsReplaced: ROLLOUTS,
@@ -40,34 +41,32 @@
 
 
 class FollowedFeed(NamedTuple):
-    """A feed, and what applies its events."""
+    """A feed and the function that applies its events."""
 
     feed: Feed
     apply_event: Callable[[Event], None]
 
 
 class RegistryFollowing:
-    """The followers of all feeds, and what keeps them up to date.
+    """The followers of all feeds and the watch that keeps them up to date.
 
     Parameters
     ----------
     settings
-        Where nodes reach one another, and the bounds to keep.
+        The node's addresses and the bounds to keep.
     feeds
-        What is followed, by the names under which nodes tell one another of it.
+        The feeds to follow, by the names that nodes use for them in reports.
     whole
-        Return a whole feed as this node knows it, by its name; ``None`` while it knows nothing.
+        Returns this node's view of a whole feed, by the feed's name; ``None`` before the first list.
     few_watchers
-        Whether only a few nodes of the zone ask the registry and tell the others.
+        Whether only a few nodes of the zone call the registry and report to the others.
     source
-        Spreads the calls of many nodes over time.
+        Random source that spreads the calls of many nodes over time.
     supervisor
-        Keeps each feed going whatever becomes of the others.
+        Restarts each feed independently of the others.
 
-    Notes
-    -----
-    ``on_restored`` is called when the registry has come back from an older copy: what this node wrote to it
-    lately may be gone.
+    Notes ----- ``on_restored`` is called when the registry was restored from an older copy and may have lost
+    what this node wrote recently.
     """
 
     def __init__(
@@ -81,46 +80,52 @@
     ) -> None:
         self._supervisor = supervisor or Supervisor()
         shared = few_watchers and settings.reports is not None and settings.peers is not None
-        terms = WatchTiming.within(settings.change_bound_s)
-        check_s = terms.check_interval_s if shared else settings.check_interval_s
+        timing = WatchTiming.within(settings.change_bound_s)
+        check_s = timing.check_interval_s if shared else settings.check_interval_s
         self.contact = _contact(settings)
         self.on_restored: Callable[[], None] = lambda: None
         self._restored_timeline = 0
         self._followers: dict[str, FeedFollower] = {}
-        reach = RegistryAvailability()
+        availability = RegistryAvailability()
         for name, (feed, apply_event) in feeds.items():
-            gathering_s = settings.gathering_time_s if name == SERVERS else OPERATORS_GATHERING_S
+            gathering_s = settings.gathering_time_s if name == SERVERS else OPERATOR_COALESCE_S
             self._followers[name] = FeedFollower(
-                feed, apply_event, gathering_s, source, check_s, watching=not shared, reach=reach
+                feed,
+                apply_event,
+                gathering_s,
+                source,
+                check_s,
+                watching=not shared,
+                availability=availability,
             )
-            self._followers[name].on_restored = self._restored
+            self._followers[name].on_restored = self._notify_restored
         self._watch: ZoneWatch | None = None
         if shared and settings.reports is not None:
             self._link = WatchLink(settings.reports)
-            carried = (self._link.send, self._link.fetch)
-            self._watch = ZoneWatch(self.contact, self._followers, whole, *carried, terms, source)
+            transport = (self._link.send, self._link.fetch)
+            self._watch = ZoneWatch(self.contact, self._followers, whole, *transport, timing, source)
 
     @property
     def calls(self) -> int:
-        """How many calls of the registry were made to follow it."""
+        """Number of calls made to follow the registry."""
         return sum(each.calls for each in self._followers.values())
 
     @property
     def role(self) -> str:
-        """What this node does to keep up; empty where nodes don't watch for one another."""
+        """This node's role in following the registry; empty if nodes don't watch for one another."""
         return "" if self._watch is None else self._watch.role
 
     @property
     def reaches_registry(self) -> bool:
-        """Whether the registry answers this node, or this node doesn't call it."""
+        """Whether the registry answers this node or this node doesn't call it."""
         return not any(each.lost for each in self._followers.values())
 
     def revisions(self) -> dict[str, int]:
-        """Return up to which revision each feed is known; 0 while nothing is."""
+        """Return the revision up to which each feed is known; 0 before the first list."""
         return {name: each.revision or 0 for name, each in self._followers.items()}
 
     async def run(self) -> None:
-        """Keep up until cancelled."""
+        """Follow all feeds until cancelled."""
         async with anyio.create_task_group() as task_group:
             keep_running = self._supervisor.keep_running
             for name, follower in self._followers.items():
@@ -129,20 +134,21 @@
                 task_group.start_soon(keep_running, "watch", self._link.run, self._watch, self._watch_alone)
 
     def awaits_first_answer(self, event: Event) -> bool:
-        """Whether the registry has not answered yet what a peer's event says.
+        """Return whether the registry hasn't answered yet for the feed of a peer's event.
 
-        A peer's list may be older than the one known here, and changes continue the registry's list.
+        Afterwards peers' events are not applied: a peer's list may be older than the one known here, and
+        changes continue the registry's list.
         """
-        follower = self._followers.get(FEEDS_OF_LISTS.get(type(event), ""))
+        follower = self._followers.get(FEED_BY_LIST_EVENT.get(type(event), ""))
         return follower is None or follower.position is None
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Replace the nodes that are known."""
+        """Replace the list of known nodes."""
         if self._watch is not None:
             self._watch.set_members(contacts)
 
     def is_member(self, host: str) -> bool:
-        """Whether a host is another node of this zone."""
+        """Return whether a host is another node of this zone."""
         return self._watch is not None and self._watch.is_member(host)
 
     def coordinators(self) -> dict[str, Coordinator]:
@@ -150,11 +156,11 @@
         return {} if self._watch is None else self._watch.coordinators()
 
     def state(self, feed: str) -> bytes | None:
-        """Return a whole feed for another node; ``None`` if it is not known here."""
+        """Return a whole feed, encoded for another node; ``None`` if it is not known here."""
         return None if self._watch is None else self._watch.state(feed)
 
-    def _restored(self, timeline: int) -> None:
-        """Pass on that the registry was restored, when the first feed shows it."""
+    def _notify_restored(self, timeline: int) -> None:
+        """Call ``on_restored`` once per timeline, for the first feed that detects it."""
         if timeline != self._restored_timeline:
             self._restored_timeline = timeline
             self.on_restored()
--- a/src/yokesill/registry/ongoing_call.py
+++ b/src/yokesill/registry/ongoing_call.py
@@ -1,6 +1,6 @@
-"""The call of the registry that a follower has under way: a list, or a wait for changes that may last long.
+"""A follower's ongoing call of the registry: a list, or a long poll for changes.
 
-A follower has one at a time, and gives it up when something else shows that its answer is of no use any more.
+A follower makes one call at a time and cancels it when its answer is no longer of use.
 """
 
 from collections.abc import Awaitable
@@ -12,22 +12,22 @@
 
 
 class OngoingCall:
-    """One call at a time, which may be cancelled; ``waits``: the last one was a wait for changes."""
+    """Runs one cancellable call at a time; ``waits`` is whether the last one was a long poll."""
 
     def __init__(self) -> None:
         self.waits = False
-        self._began_at_s = 0.0
+        self._started_at_s = 0.0
         self._scope: anyio.CancelScope | None = None
 
     @property
     def under_way(self) -> bool:
-        """Whether there is a call without an answer."""
+        """Whether a call is in progress."""
         return self._scope is not None
 
     async def run(self, call: Awaitable[Outcome], waits: bool) -> Outcome | None:
-        """Return a call's outcome; ``None`` if it was cancelled."""
+        """Await a call and return its outcome; ``None`` if it was cancelled."""
         self.waits = waits
-        self._began_at_s = anyio.current_time()
+        self._started_at_s = anyio.current_time()
         outcome: Outcome | None = None
         try:
             with anyio.CancelScope() as self._scope:
@@ -37,10 +37,10 @@
         return outcome
 
     def cancel(self) -> None:
-        """Give the call up, if there is one."""
+        """Cancel the call in progress, if any."""
         if self._scope is not None:
             self._scope.cancel()
 
-    def lasts(self, seconds: float) -> bool:
-        """Whether a call has been under way for so long."""
-        return self.under_way and anyio.current_time() - self._began_at_s >= seconds
+    def has_lasted(self, seconds: float) -> bool:
+        """Return whether a call has been in progress for at least ``seconds``."""
+        return self.under_way and anyio.current_time() - self._started_at_s >= seconds
--- a/src/yokesill/registry/peer_bootstrap.py
+++ b/src/yokesill/registry/peer_bootstrap.py
@@ -1,7 +1,7 @@
-"""Fetches a starting node's first state from its seed nodes while the registry doesn't answer.
+"""Fetches a starting node's initial state from its seed nodes while the registry doesn't answer.
 
-The snapshot may be older than the registry's state: ``serving.builder`` applies only those feeds that the
-registry has not answered yet. ``run`` ends once the node is synchronised.
+The snapshot may be older than the registry's state: ``serving.builder`` applies only the feeds for which the
+registry hasn't answered yet. ``run`` returns once the node is synchronised.
 """
 
 import random
@@ -20,28 +20,29 @@
 
 # Path of a node's state snapshot; served beside the probes.
 SNAPSHOT_PATH = "/snapshot"
-# Usually the registry answers within this time, and no peer needs to send a snapshot.
+# The registry usually answers within this time, so that no peer needs to send a snapshot.
 REGISTRY_HEAD_START_S = 0.8
-# Bounds a call to one peer, and the pause after all were called.
+# Timeout of a call to one seed.
 CALL_TIMEOUT_S = 1.0
+# Pause after all seeds have been called.
 RETRY_PAUSE_S = 0.5
 
 
 class PeerBootstrap:
-    """Fetches the state snapshot of one of ``seeds`` until ``synchronised`` says that enough is known.
+    """Fetches a state snapshot from one of ``seeds`` unless the node is synchronised by other means first.
 
     Parameters
     ----------
     seeds
-        Nodes to ask, in random order.
+        Nodes to call, in random order.
     connect
         Opens a connection.
     synchronised
-        Whether this node knows enough to serve, from whichever source.
+        Returns whether this node has enough state to serve, from any source.
     feed_router
         Applies an event of a snapshot.
     source
-        Orders the seeds and spreads the calls of many nodes over time.
+        Random source that orders the seeds and spreads the calls of many nodes over time.
     """
 
     def __init__(
@@ -61,11 +62,11 @@
         self._log = get_logger("peers")
 
     def set_seeds(self, seeds: tuple[Address, ...]) -> None:
-        """Use these seeds from now on."""
+        """Replace the seeds."""
         self._seeds = list(seeds)
 
     async def run(self) -> None:
-        """Call seeds until enough is known, from one of them or from the registry."""
+        """Call seeds until one of them or the registry has supplied the state."""
         await anyio.sleep(REGISTRY_HEAD_START_S)
         while not self._synchronised():
             self._random.shuffle(self._seeds)
@@ -75,14 +76,14 @@
             await anyio.sleep(RETRY_PAUSE_S * (0.5 + self._random.random()))
 
     async def _fetch_from(self, seed: Address) -> bool:
-        """Apply a seed's snapshot; whether there was one to apply."""
+        """Fetch and apply a seed's snapshot; return whether one was applied."""
         client = ApiClient(seed, self._connect)
         reply = await client.fetch("GET", SNAPSHOT_PATH, CALL_TIMEOUT_S)
         if isinstance(reply, Failure):
             self._log_failure(seed, reply)
             return False
         if reply.status != OK:
-            failure = Failure(Reason.NOT_READY, Verdict.NOT_RUN, f"the node answered {reply.status}")
+            failure = Failure(Reason.NOT_READY, Verdict.NOT_RUN, f"the node returned status {reply.status}")
             self._log_failure(seed, failure)
             return False
         if self._synchronised():
@@ -98,7 +99,7 @@
         return True
 
     def _log_failure(self, seed: Address, failure: Failure) -> None:
-        """Log a failure once for each seed and reason: a dark region would otherwise log twice a second."""
+        """Log a failure once per seed and reason; an unreachable region would else log twice a second."""
         if (seed, failure.reason) not in self._logged:
             self._logged.add((seed, failure.reason))
             details = {"reason": failure.reason, "detail": failure.detail}
--- a/src/yokesill/registry/restored_lists.py
+++ b/src/yokesill/registry/restored_lists.py
@@ -1,9 +1,10 @@
-"""What the first lists after the registry's return from an older copy say, and what they don't.
+"""Interprets the first lists after the registry was restored from an older copy.
 
-The copy lacks what was written since, until its writers have written it again: operators and servers on
-their own, nodes because they are told (``RegistryFollowing.on_restored``). So for ``SETTLING_S`` lists of
-what operators and nodes write only add to what is known; what is missing counts as gone when a list after
-that still lacks it. A server whose entry is missing stays a last resort anyway: it counts as gone at once.
+The copy lacks recent entries until their writers have written them again: operators and servers do so on
+their own, nodes when notified (``RegistryFollowing.on_restored``). For ``SETTLING_S`` lists of entries that
+operators and nodes write therefore only add to the known state; a missing entry counts as removed when a
+later list still lacks it. A server whose entry is missing counts as removed immediately, since it remains
+usable as a last resort.
 """
 
 from functools import singledispatch
@@ -21,14 +22,15 @@
     ZoneEvacuated,
 )
 
-# The platform's own figure for entries to be back after an outage. What was taken away in the gap stays in
-# force for so long: a zone that was reopened gets nothing new yet, a lifted request is refused.
+# The platform's own figure for how long entries take to reappear after an outage. Entries that were removed
+# while they were lost stay in force for this time: a reopened zone gets no new requests yet, and a request
+# whose quarantine was lifted is still refused.
 SETTLING_S = 2.0
 
 
 @singledispatch
 def additions(event: Any) -> tuple[Event, ...]:
-    """Return what an event adds to what is known."""
+    """Return the events that only add to the known state what an event lists."""
     return (event,)
 
 
--- a/src/yokesill/registry/snapshots.py
+++ b/src/yokesill/registry/snapshots.py
@@ -1,8 +1,8 @@
-"""The state snapshot that a node sends to a starting one while the registry can't be reached, in CBOR.
+"""The CBOR state snapshot that a node sends to a starting node while the registry can't be reached.
 
-The whole state in one message; also the forms of single entries, which ``feed_states`` uses. An old snapshot
-does no harm: the receiver applies only what the registry has not answered yet, and the registry's lists
-replace it.
+One message holds the whole state; ``feed_states`` also uses the encodings of single entries. An old snapshot
+is harmless: the receiver applies only the feeds for which the registry hasn't answered yet, and the
+registry's lists replace them.
 """
 
 from collections.abc import Iterable, Mapping
@@ -32,7 +32,7 @@
 from yokesill.peers.frame import count
 from yokesill.rollouts.orders import RolloutOrder, RolloutState
 
-# A node ignores snapshots of any other format.
+# Version of the encoding; a node rejects snapshots of any other version.
 FORMAT = 4
 
 
@@ -44,7 +44,7 @@
     established: Mapping[str, tuple[str, ...]] | None = None,
     quarantined: frozenset[str] = frozenset(),
 ) -> bytes:
-    """Return a node's state as bytes."""
+    """Encode a node's state."""
     orders = tuple(orders)
     timeline = max((each.timeline for each in orders), default=0)
     return cbor2.dumps(
@@ -56,18 +56,18 @@
             "rollouts": [order_to_wire(order) for order in orders],
             "quarantined": sorted(quarantined),
             "established": {name: list(versions) for name, versions in (established or {}).items()},
-            # The orders' positions count on it; left out where the registry names none.
+            # The timeline of the orders' revisions; left out if the registry names none.
             **({"timeline": timeline} if timeline else {}),
         }
     )
 
 
 def decode_snapshot(data: bytes) -> tuple[Event, ...]:
-    """Read a snapshot into events; raises ``ValueError`` when it is malformed."""
+    """Decode a snapshot into events; raises ``ValueError`` if it is malformed."""
     try:
         item: dict[str, Any] = cbor2.loads(data)
         if item["format"] != FORMAT:
-            raise ValueError(f"a snapshot of format {item['format']}")
+            raise ValueError(f"snapshot has format {item['format']}, expected {FORMAT}")
         configuration = configuration_from_wire(item)
         records = tuple(server_from_wire(each) for each in item["servers"])
         evacuated = frozenset(str(zone) for zone in item["evacuated"])
@@ -76,15 +76,15 @@
         quarantined = frozenset(str(name) for name in item["quarantined"])
         established = {str(name): tuple(map(str, each)) for name, each in item["established"].items()}
     except (KeyError, TypeError, AttributeError, cbor2.CBORDecodeError) as error:
-        raise ValueError(f"a malformed snapshot: {error!r}") from error
-    # Limits on what may be sent come before the servers to send to.
+        raise ValueError(f"malformed snapshot: {error!r}") from error
+    # Events that limit which requests may be sent come before the servers to send them to.
     rollouts = (VersionsEstablished(established), RolloutsReplaced(orders), QuarantineReplaced(quarantined))
     whole = (ServersReplaced(records), EvacuationsReplaced(evacuated))
     return (ConfigurationLearnt(configuration), *rollouts, *whole)
 
 
 def configuration_to_wire(configuration: Configuration) -> dict[str, Any]:
-    """Return the form in which nodes exchange a configuration."""
+    """Encode a configuration for other nodes."""
     limits = configuration.limits
     return {
         "version": configuration.version,
@@ -98,7 +98,7 @@
 
 
 def configuration_from_wire(item: Any) -> Configuration:
-    """Read ``configuration_to_wire``'s form; a malformed one raises ``KeyError`` or ``TypeError``."""
+    """Decode the output of ``configuration_to_wire``; raises ``KeyError`` or ``TypeError`` if malformed."""
     return Configuration(
         version=item["version"],
         routes=tuple(_route_from_wire(each) for each in item["routes"]),
@@ -110,53 +110,53 @@
 def _route_to_wire(route: Route) -> list[Any]:
     destination = route.destination
     if isinstance(destination, Gather):
-        where = ["gather", list(destination.services), destination.greatest, destination.minimum_coverage]
+        encoded = ["gather", list(destination.services), destination.greatest, destination.minimum_coverage]
     else:
-        where = ["split", [[part.service, part.weight] for part in destination.parts]]
+        encoded = ["split", [[part.service, part.weight] for part in destination.parts]]
     fields = [route.name, route.host, route.prefix, route.repeatable, route.timeout_s, route.objective_s]
-    return [*fields, route.max_attempts, route.priority, where, list(route.regions)]
+    return [*fields, route.max_attempts, route.priority, encoded, list(route.regions)]
 
 
 def _route_from_wire(item: list[Any]) -> Route:
-    name, host, prefix, repeatable, timeout, target, attempts, priority, where, regions = item
+    name, host, prefix, repeatable, timeout, objective, attempts, priority, encoded, regions = item
     destination: Gather | Split
-    if where[0] == "gather":
-        destination = Gather(tuple(where[1]), where[2], where[3])
+    if encoded[0] == "gather":
+        destination = Gather(tuple(encoded[1]), encoded[2], encoded[3])
     else:
-        destination = Split(tuple(WeightedService(*part) for part in where[1]))
-    times = (timeout, target)
+        destination = Split(tuple(WeightedService(*part) for part in encoded[1]))
+    times = (timeout, objective)
     return Route(name, host, prefix, repeatable, *times, attempts, priority, destination, tuple(regions))
 
 
 def server_to_wire(record: ServerRecord) -> list[Any]:
-    """Return the form in which nodes exchange a server's entry."""
-    where = [record.instance, record.service, record.host, record.port, record.zone]
-    return [*where, record.slots, record.leaving, record.warmup_left_s, record.version]
+    """Encode a server's entry for other nodes."""
+    identity = [record.instance, record.service, record.host, record.port, record.zone]
+    return [*identity, record.slots, record.leaving, record.warmup_left_s, record.version]
 
 
 def server_from_wire(item: Any) -> ServerRecord:
-    """Read ``server_to_wire``'s form; a malformed one raises ``TypeError``."""
+    """Decode the output of ``server_to_wire``; raises ``TypeError`` if malformed."""
     return ServerRecord(*item)
 
 
 def order_to_wire(order: RolloutOrder) -> list[Any]:
-    """Return the form in which nodes exchange a roll-out's order and its record."""
+    """Encode a roll-out's order and its record for other nodes."""
     ordered = [order.service, order.target, order.duration_s, order.made, order.revision]
     return [*ordered, order.state.value, order.elapsed_s, order.reason, order.problem, order.numbered]
 
 
 def order_from_wire(item: Any, timeline: int = 0) -> RolloutOrder:
-    """Read ``order_to_wire``'s form, told on a timeline; a malformed one raises ``ValueError``."""
+    """Decode the output of ``order_to_wire`` on a timeline; raises ``ValueError`` if malformed."""
     try:
         service, target, duration_s, made, revision, state, elapsed_s, reason, problem, numbered = item
-        ordered = (_text(service), _text(target), float(duration_s), int(made), int(revision))
-        record = (RolloutState(state), float(elapsed_s), _text(reason), _text(problem))
+        ordered = (_expect_str(service), _expect_str(target), float(duration_s), int(made), int(revision))
+        record = (RolloutState(state), float(elapsed_s), _expect_str(reason), _expect_str(problem))
     except (TypeError, ValueError) as error:
-        raise ValueError(f"a malformed order: {error!r}") from error
+        raise ValueError(f"malformed order: {error!r}") from error
     return RolloutOrder(*ordered, *record, bool(numbered), timeline)
 
 
-def _text(value: Any) -> str:
+def _expect_str(value: Any) -> str:
     if not isinstance(value, str):
-        raise TypeError(f"a text is needed, not {value!r}")
+        raise TypeError(f"expected a string, received {value!r}")
     return value
--- a/src/yokesill/registry/stream_connection.py
+++ b/src/yokesill/registry/stream_connection.py
@@ -1,7 +1,7 @@
-"""One HTTP/1.1 connection over an anyio stream: for calls that are few, such as long polls of the registry.
+"""One HTTP/1.1 connection over an anyio stream, for infrequent calls such as long polls of the registry.
 
-Awaited, unlike ``upstreams.connections``, which calls back for the sake of its cost; tests run the same code
-in virtual time. Owns one stream; ``api_client`` keeps idle connections.
+It is awaited, unlike ``upstreams.connections``, which uses callbacks because they cost less; tests run the
+same code in virtual time. Owns one stream; ``api_client`` keeps idle connections.
 """
 
 import contextlib
@@ -13,8 +13,8 @@
 from yokesill.comm.http_reply import HttpReplyReader, ReplyError
 from yokesill.upstreams.wires import POLLED_EVENTS, READ_BYTES
 
-# A larger request is sent beside reading: the server may answer before it has read it.
-SENT_AT_ONCE_BYTES = 16 * 1024
+# A larger request is sent while the reply is read, since the server may answer before it has read all of it.
+MAX_INLINE_SEND_BYTES = 16 * 1024
 
 
 async def connect_tcp(host: str, port: int) -> anyio.abc.ByteStream:
@@ -23,7 +23,7 @@
 
 
 class StreamConnection:
-    """One open connection; ``reusable_until`` (s) is when the server may close it for idleness."""
+    """One open connection; ``reusable_until`` (in seconds) is when the server may close it as idle."""
 
     def __init__(self, stream: anyio.abc.ByteStream) -> None:
         self.reusable_until = 0.0
@@ -35,20 +35,20 @@
             self._poll.register(raw, POLLED_EVENTS)
 
     def usable(self, now: float) -> bool:
-        """Whether it is still open, with nothing to read between calls."""
+        """Return whether the connection is open and has no unread data between calls."""
         if now >= self.reusable_until:
             return False
         return self._poll is None or not self._poll.poll(0)
 
     async def exchange(self, request: bytes, bodiless: bool) -> HttpReplyReader:
-        """Send a request and read its whole reply.
+        """Send a request and read its complete reply.
 
-        A server may answer a long request before it has read it: such a connection is not reused, since
-        the rest of the request would be taken for the next one. Raises ``ReplyError``, ``OSError`` or
-        an anyio resource error.
+        A server may answer a large request before it has read all of it: such a connection is not reused,
+        since the server would parse the rest of the request as the next one. Raises ``ReplyError``,
+        ``OSError`` or an anyio resource error.
         """
         reader = HttpReplyReader(bodiless)
-        if len(request) <= SENT_AT_ONCE_BYTES:
+        if len(request) <= MAX_INLINE_SEND_BYTES:
             await self._stream.send(request)
             await self._read(reader)
             return reader
@@ -56,7 +56,8 @@
 
         async def send() -> None:
             nonlocal sent_whole
-            # Not an error by itself: what reading finds, a reply or the end, is the outcome.
+            # Not an error by itself: the outcome is what the reader receives, a reply or the end of the
+            # stream.
             with contextlib.suppress(anyio.BrokenResourceError):
                 await self._stream.send(request)
                 sent_whole = True
@@ -85,5 +86,5 @@
                 reader.feed(data)
 
     async def aclose(self) -> None:
-        """Close it at once."""
+        """Close the connection immediately."""
         await anyio.aclose_forcefully(self._stream)
--- a/src/yokesill/registry/view_check.py
+++ b/src/yokesill/registry/view_check.py
@@ -1,10 +1,9 @@
-"""Compares a node's view of its feeds with those of the zone's watchers, and with what the configuration
-names.
+"""Compares a node's feeds with those of the zone's watchers, and its servers with the configuration.
 
-Two views that differ at the same position: one of them has a hole. A node that calls the registry lists the
-feed again, any other fetches the watcher's. A hole that all watchers share is found by services that the
-configuration names and that have no servers. Reasons: ``docs/design/placement.md``. Times in seconds of the
-node's clock.
+If two views differ at the same position, one of them lacks entries. A node that calls the registry lists the
+feed again; any other node fetches the watcher's. Entries that all watchers lack are detected by services that
+the configuration names and that have no servers. Rationale: ``docs/design/placement.md``. Times are in
+seconds of the node's clock.
 """
 
 from collections.abc import Callable
@@ -21,39 +20,39 @@
 from yokesill.positions import Position
 from yokesill.registry.feed_states import CONFIGURATION, SERVERS, WholeFeed
 from yokesill.registry.follower import FeedFollower
-from yokesill.watchers.digests import NOT_COMPARED, Repairs, digest_of
+from yokesill.watchers.digests import NOT_COMPARED, RepairBackoff, digest_of
 
-# How long a digest is used: one of 700 entries takes 0.3 ms of half a core, too much for each report.
+# How long a digest is cached: one of 700 entries takes 0.3 ms of half a core, too much for each report.
 DIGEST_AGE_S = 1.0
 # How long a service must be without servers before the feed is listed again.
-HOLE_AGE_S = 2.0
-# First pause between such lists: a service whose servers all crashed costs four lists a watcher in its first
-# minute.
-HOLE_PAUSE_S = 8.0
+MISSING_GRACE_S = 2.0
+# Initial pause between such lists: a service whose servers have all crashed costs each watcher four lists in
+# the first minute.
+MISSING_INITIAL_PAUSE_S = 8.0
 
 
 class ViewCheck:
-    """One node's digests, and when a feed may be listed or fetched again.
+    """Computes a node's digests and decides when a feed may be listed or fetched again.
 
     Parameters
     ----------
     followers
-        What follows each feed, by the feed's name.
+        The follower of each feed, by the feed's name.
     whole
-        Return a whole feed as this node knows it; ``None`` while it knows nothing.
+        Returns this node's view of a whole feed, by the feed's name; ``None`` before the first list.
     """
 
     def __init__(self, followers: dict[str, FeedFollower], whole: Callable[[str], WholeFeed | None]) -> None:
         self._followers = followers
         self._whole = whole
         self._digests: dict[str, tuple[Position, float, int]] = {}
-        self._repairs = {name: Repairs() for name in followers}
-        self._hole_repairs = Repairs(HOLE_PAUSE_S)
-        self._looked_at_s = float("-inf")
+        self._backoffs = {name: RepairBackoff() for name in followers}
+        self._missing_backoff = RepairBackoff(MISSING_INITIAL_PAUSE_S)
+        self._checked_at_s = float("-inf")
         self._missing_since_s = float("inf")
 
     def digest(self, name: str, now: float) -> int:
-        """Return the digest of a feed at its position; 0 if there is nothing to compare."""
+        """Return the digest of a feed at its current position; 0 if there is nothing to compare."""
         position = self._followers[name].position
         if position is None:
             return NOT_COMPARED
@@ -65,7 +64,7 @@
         return known[2]
 
     def differs(self, name: str, position: Position, digest: int, now: float) -> bool:
-        """Whether a reporter's feed at ``position`` differs from the one known here, and may be right."""
+        """Return whether a reporter's feed at ``position`` differs from the one here and may be correct."""
         if digest == NOT_COMPARED or self._followers[name].position != position:
             return False
         own = self.digest(name, now)
@@ -73,26 +72,26 @@
             return NOT_COMPARED != own < digest
         return own not in (NOT_COMPARED, digest)
 
-    def may_repair(self, name: str, now: float) -> bool:
-        """Whether a feed may be repaired now because of a difference; each repair delays the next."""
-        return self._repairs[name].due(now)
+    def repair_due(self, name: str, now: float) -> bool:
+        """Return whether a feed that differs may be repaired now; each repair delays the next one."""
+        return self._backoffs[name].due(now)
 
-    def suspected_hole(self, now: float) -> list[str]:
-        """Return services without a server, if the registry should be listed again because of them.
+    def services_to_relist(self, now: float) -> list[str]:
+        """Return the services without servers if the registry should be listed again because of them.
 
-        Checked once a second. Servers start before a configuration names them: a service without any has
-        lost them all, or this zone's watchers don't know them.
+        Checked once per second. Servers start before a configuration names their service: a service without
+        servers has lost them all, or this zone's watchers lack their entries.
         """
-        if now - self._looked_at_s < DIGEST_AGE_S:
+        if now - self._checked_at_s < DIGEST_AGE_S:
             return []
-        self._looked_at_s = now
-        missing = self._without_servers()
+        self._checked_at_s = now
+        missing = self._services_without_servers()
         self._missing_since_s = min(self._missing_since_s, now) if missing else float("inf")
-        if now - self._missing_since_s < HOLE_AGE_S or not self._hole_repairs.due(now):
+        if now - self._missing_since_s < MISSING_GRACE_S or not self._missing_backoff.due(now):
             return []
         return missing
 
-    def _without_servers(self) -> list[str]:
+    def _services_without_servers(self) -> list[str]:
         configuration, servers = self._whole(CONFIGURATION), self._whole(SERVERS)
         if not isinstance(configuration, ConfigurationLearnt) or not isinstance(servers, ServersReplaced):
             return []
@@ -109,8 +108,8 @@
 
 @_digest.register
 def _(whole: ConfigurationLearnt) -> int:
-    # Its version, of which the highest counts: a registry that came back from an older copy tells a starting
-    # node an older one than the others know.
+    # The version, since the highest one applies: a registry that was restored from an older copy gives a
+    # starting node an older configuration than the other nodes have.
     return whole.configuration.version
 
 
--- a/src/yokesill/registry/watch_link.py
+++ b/src/yokesill/registry/watch_link.py
@@ -1,4 +1,4 @@
-"""Carries a zone's watch over UDP datagrams and HTTP calls between nodes."""
+"""Transport of a zone's watch: UDP datagrams and HTTP calls between nodes."""
 
 from collections.abc import Callable
 
@@ -16,14 +16,14 @@
 
 
 class WatchLink:
-    """Sends and receives for a ``ZoneWatch``; without its port every feed is watched here."""
+    """Sends and receives for a ``ZoneWatch``; if its port can't be bound, this node watches every feed."""
 
     def __init__(self, address: Address) -> None:
         self._datagrams = DatagramSocket(address, get_logger("watch"))
         self._clients: dict[str, ApiClient] = {}
 
     async def run(self, watch: ZoneWatch, watch_alone: Callable[[], None]) -> None:
-        """Carry until cancelled."""
+        """Receive datagrams and run the watch until cancelled; call ``watch_alone`` if there is no port."""
         if not await self._datagrams.run(watch.receive, watch.run):
             watch_alone()
 
@@ -32,7 +32,7 @@
         await self._datagrams.send(address, data)
 
     async def fetch(self, address: str, feed: str) -> bytes | Failure:
-        """Ask the node at ``IP:PORT`` for a whole feed."""
+        """Fetch a whole feed from the node at ``IP:PORT``."""
         client = self._clients.get(address)
         if client is None:
             host, _, port = address.rpartition(":")
@@ -41,5 +41,5 @@
         if isinstance(reply, Failure):
             return reply
         if reply.status != OK:
-            return Failure(Reason.BACKEND_ERROR, Verdict.NOT_RUN, f"the node answered {reply.status}")
+            return Failure(Reason.BACKEND_ERROR, Verdict.NOT_RUN, f"the node returned status {reply.status}")
         return reply.body
--- a/src/yokesill/registry/zone_watch.py
+++ b/src/yokesill/registry/zone_watch.py
@@ -1,9 +1,9 @@
-"""Keeps a node up to date through its zone's watchers, and reports to the zone while the node is one.
+"""Keeps a node up to date through its zone's watchers, and reports to the zone while it is a watcher itself.
 
-A watcher reads the registry's feeds and reports to every node of its zone: at once when it read
-something, and at a steady interval as a sign of life. A report carries positions, so a node sees
-that it missed something and fetches the whole feed from the reporter over HTTP. Who watches is decided in
-``peers/ranks``, by the times of ``watchers/timing``.
+A watcher reads the registry's feeds and reports to every node of its zone: immediately when it has read
+changes, and at a fixed interval as a heartbeat. A report carries positions, by which a node detects that it
+missed changes and fetches the whole feed from the reporter over HTTP. ``peers/ranks`` decides which nodes
+watch, by the times of ``watchers/timing``.
 """
 
 import random
@@ -24,31 +24,31 @@
 from yokesill.watchers.role import WatchRole, create_group, watch_role
 from yokesill.watchers.timing import WatchTiming
 
-# How often a node looks at its role, in the time between two reports.
-TICKS_PER_REPORT = 2
+# How often a node updates its role within one report interval.
+ROLE_CHECKS_PER_REPORT = 2
 
 Send = Callable[[str, bytes], Awaitable[None]]
 
 
 class ZoneWatch:
-    """One node's share in watching the registry for its zone.
+    """One node's part in watching the registry for its zone.
 
     Parameters
     ----------
     own
-        This node.
+        This node's contact.
     followers
-        What follows each feed, by the feed's name.
+        The follower of each feed, by the feed's name.
     whole
-        Return a whole feed as this node knows it, by its name; ``None`` while it knows nothing.
+        Returns this node's view of a whole feed, by the feed's name; ``None`` before the first list.
     send
-        Send a datagram to ``IP:PORT``.
+        Sends a datagram to ``IP:PORT``.
     fetch
-        Ask the node at ``IP:PORT`` for the feed of a name.
+        Fetches a feed by its name from the node at ``IP:PORT``.
     timing
-        How long to wait for whom.
+        Intervals and timeouts.
     source
-        Spreads what many nodes do at one moment.
+        Random source that spreads simultaneous calls of many nodes.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         self._group = create_group(own.node, timing, source, anyio.current_time())
         self._members: dict[str, NodeContact] = {}
         self._strong: frozenset[str] = frozenset()
-        self._report_wanted = anyio.Event()
+        self._report_requested = anyio.Event()
         self._reported_at_s = float("-inf")
         self._reported_current = False
         self._log = get_logger("watch")
@@ -77,10 +77,10 @@
         self._reports = FeedReports(followers, whole, self._view, self._wake)
         self._catch_up = FeedCatchUp(followers, self._view, fetch, source, self._log)
 
-    # --- who is there ---
+    # --- members ---
 
     def set_members(self, contacts: Iterable[NodeContact]) -> None:
-        """Set which nodes there are; those of other zones have watchers of their own."""
+        """Replace the known nodes; nodes of other zones are ignored, since they have their own watchers."""
         self._members = {
             each.node: each
             for each in contacts
@@ -91,14 +91,14 @@
         self._group.set_members(self._members, self._strong)
 
     def is_member(self, host: str) -> bool:
-        """Whether a host is another node of this zone."""
+        """Return whether a host is another node of this zone."""
         return any(each.peers.rpartition(":")[0] == host for each in self._members.values())
 
     def coordinators(self) -> dict[str, Coordinator]:
         """Return the coordinators of wide requests for this node: the strong nodes that report.
 
-        Strong nodes rank first among the watchers: each report says that one lives and how far it knows the
-        registry. A strong node has no coordinator.
+        Strong nodes rank first among the watchers, so their reports also show that they are alive and which
+        position of the registry they have reached. A strong node has no coordinator.
         """
         if self._own.node in self._strong:
             return {}
@@ -110,20 +110,20 @@
         }
 
     async def run(self) -> None:
-        """Act by this node's role until cancelled."""
+        """Act according to this node's role until cancelled."""
         async with anyio.create_task_group() as self._tasks:
-            pause_s = self._timing.report_interval_s / TICKS_PER_REPORT
+            pause_s = self._timing.report_interval_s / ROLE_CHECKS_PER_REPORT
             while True:
-                # Before reporting: what is read while a report goes out asks for another one.
-                self._report_wanted = anyio.Event()
+                # Reset before reporting: changes that are read while a report is sent request another one.
+                self._report_requested = anyio.Event()
                 self._set_role(watch_role(self._group, anyio.current_time()))
                 if self.role is WatchRole.WATCHING:
                     await self._report_if_due()
-                    self._catch_up.list_missing_servers(anyio.current_time())
+                    self._catch_up.relist_missing_servers(anyio.current_time())
                 else:
                     self._reports.drop_pending()
                 with anyio.move_on_after(pause_s):
-                    await self._report_wanted.wait()
+                    await self._report_requested.wait()
 
     def _set_role(self, role: WatchRole) -> None:
         if role is not self.role:
@@ -136,30 +136,30 @@
     # --- reporting ---
 
     def state(self, name: str) -> bytes | None:
-        """Return a whole feed as this node knows it, for another node; ``None`` if it knows none."""
+        """Return this node's view of a whole feed, encoded for another node; ``None`` if it has none."""
         return self._reports.state(name)
 
     def _wake(self) -> None:
-        self._report_wanted.set()
+        self._report_requested.set()
 
     async def _report_if_due(self) -> None:
-        """Report news at once, and a sign of life now and then while that is of use to others."""
+        """Report changes immediately, and a heartbeat at each interval while other nodes benefit from it."""
         now = anyio.current_time()
-        current = self._current(now)
+        current = self._is_current(now)
         useful = current or self._group.should_report(now)
         quiet = now - self._reported_at_s < self._timing.report_interval_s or not useful
         if quiet and not self._reports.pending and current == self._reported_current:
             return
         self._reported_at_s, self._reported_current = now, current
-        feeds = self._reports.take(now)
+        feeds = self._reports.drain(now)
         if not feeds:
             return
         data = encode_report(Report(self._own.node, current, feeds))
         for member in list(self._members.values()):
             await self._send(member.reports, data)
 
-    def _current(self, now: float) -> bool:
-        """Whether others can rely on this node: the registry answers, and did so lately."""
+    def _is_current(self, now: float) -> bool:
+        """Return whether others can rely on this node: the registry answers, and has confirmed recently."""
         followers = self._followers.values()
         confirmed_at_s = max(each.confirmed_at_s for each in followers)
         known = all(each.connected and each.position is not None for each in followers)
@@ -168,25 +168,25 @@
     # --- receiving ---
 
     def receive(self, data: bytes, sender: str, now: float) -> None:
-        """Read a report from ``sender`` (``IP:PORT``); other senders than nodes of this zone are ignored.
+        """Apply a report from ``sender`` (``IP:PORT``); reports from outside this zone's nodes are ignored.
 
         Raises
         ------
         ValueError
-            It is no report, or names a feed or a change that this node does not know.
+            The datagram is not a report, or has a feed or a change that is unknown to this node.
         """
         report = decode_report(data)
         member = self._members.get(report.node)
         if member is None or member.reports != sender:
             return
         for each in report.feeds:
-            self._catch_up.timeline_told(each)
+            self._catch_up.observe_timeline(each)
         behind = [each for each in report.feeds if not self._catch_up.apply(each)]
         current = report.current and not any(map(self._catch_up.outdated, report.feeds))
         if len(report.feeds) == len(self._followers):
             self._group.received(report.node, current, not behind, now)
         for each in behind:
-            self._catch_up.fetch_soon(each.feed, member, self._tasks)
+            self._catch_up.schedule_fetch(each.feed, member, self._tasks)
         watching = self.role is WatchRole.WATCHING
         for each in report.feeds:
             if current and self._view.differs(each.feed, each.position, each.digest, now):
--- a/src/yokesill/watchers/__init__.py
+++ b/src/yokesill/watchers/__init__.py
@@ -1,1 +1,1 @@
-"""Which few nodes of a zone watch the registry, and what they report to the others; sans I/O."""
+"""Selects the few nodes of a zone that watch the registry, and encodes their reports; sans I/O."""
--- a/src/yokesill/watchers/digests.py
+++ b/src/yokesill/watchers/digests.py
@@ -1,21 +1,23 @@
-"""Whether two nodes that know a feed up to the same position know the same of it.
+"""Digests that reveal whether two nodes at the same position of a feed hold the same entries.
 
-Changes lead on from what a node has: what it lacks stays missing, and a node that fetches the whole from it
-lacks it too. So reports carry a digest of the whole beside its position, in eight bytes.
+Changes are applied on top of a node's entries, so an entry that is missing stays missing, also on every node
+that fetches the whole feed from there. Reports therefore carry a digest of the whole feed, in eight bytes,
+beside its position.
 """
 
 import zlib
 from collections.abc import Iterable
 
-# Stands for a feed that isn't compared.
+# Digest of a feed that isn't compared.
 NOT_COMPARED = 0
-# Between two repairs of a feed, doubled each time that nothing came of it: a repaired node may receive a
-# report on its old view once more, and a registry that answers with holes must not be called in a loop.
-FIRST_PAUSE_S, LONGEST_PAUSE_S = 2.0, 60.0
+# Pause between two repairs of a feed, doubled with each repair in succession. A repaired node may still
+# receive a report that refers to its old view, and a registry whose lists are incomplete must not be called
+# in a loop.
+INITIAL_PAUSE_S, MAX_PAUSE_S = 2.0, 60.0
 
 
 def digest_of(entries: Iterable[str]) -> int:
-    """Return how many entries there are and which, whatever their order, in 48 bits; never 0."""
+    """Return a 48-bit digest of the entries and their number, independent of their order; never 0."""
     value = count = 0
     for entry in entries:
         value ^= zlib.crc32(entry.encode())
@@ -23,20 +25,20 @@
     return ((count & 0xFFFF) << 32 | value) or 1
 
 
-class Repairs:
-    """How often one feed may be fetched anew because of a difference; times in seconds."""
+class RepairBackoff:
+    """Exponential backoff between repairs of one feed whose digest differs; times in seconds."""
 
-    def __init__(self, first_pause_s: float = FIRST_PAUSE_S) -> None:
+    def __init__(self, initial_pause_s: float = INITIAL_PAUSE_S) -> None:
         self._next_at_s = float("-inf")
-        self._first_pause_s = self._pause_s = first_pause_s
+        self._initial_pause_s = self._pause_s = initial_pause_s
 
     def due(self, now: float) -> bool:
-        """Whether a repair may begin now; the next one then waits longer."""
+        """Return whether a repair may start now; if so, the pause before the next one doubles."""
         if now < self._next_at_s:
             return False
-        # So long without a difference: the last repair helped.
-        if now - self._next_at_s > LONGEST_PAUSE_S:
-            self._pause_s = self._first_pause_s
+        # No difference was seen for the maximum pause: the last repair succeeded.
+        if now - self._next_at_s > MAX_PAUSE_S:
+            self._pause_s = self._initial_pause_s
         self._next_at_s = now + self._pause_s
-        self._pause_s = min(LONGEST_PAUSE_S, 2.0 * self._pause_s)
+        self._pause_s = min(MAX_PAUSE_S, 2.0 * self._pause_s)
         return True
--- a/src/yokesill/watchers/messages.py
+++ b/src/yokesill/watchers/messages.py
@@ -1,6 +1,7 @@
-"""What a watcher reports to its zone: a sign of life, and how far it knows each feed of the registry.
+"""The report that a watcher sends to its zone: a heartbeat with its position in each feed of the registry.
 
-The feeds' timelines stand behind the report, one a feed, so that releases without them read it as before.
+The feeds' timelines, one per feed, follow the report as an extension, so that releases without timelines can
+still decode it.
 """
 
 from typing import Any, NamedTuple
@@ -18,11 +19,11 @@
 
 
 class FeedReport(NamedTuple):
-    """How far the sender knows one feed of the registry.
+    """The sender's position in one feed of the registry.
 
     ``changes`` lead from revision ``before`` to ``revision`` of ``timeline``; ``None`` when there is nothing
-    new or it doesn't fit: whoever is older than that then asks the sender for the whole. ``digest`` is that
-    of the whole feed at ``revision`` (``watchers/digests``); 0 if there is none.
+    new or the changes don't fit: a node at an older position then fetches the whole feed from the sender.
+    ``digest`` is that of the whole feed at ``revision`` (``watchers/digests``); 0 if there is none.
     """
 
     feed: str
@@ -34,17 +35,17 @@
 
     @property
     def start(self) -> Position:
-        """The position from which the changes lead."""
+        """The position that the changes start from."""
         return Position(self.timeline, self.before)
 
     @property
     def position(self) -> Position:
-        """The position up to which the sender knows the feed."""
+        """The sender's position in the feed."""
         return Position(self.timeline, self.revision)
 
 
 class Report(NamedTuple):
-    """A watcher's sign of life: whether it can be relied on now, and its feeds."""
+    """A watcher's heartbeat: whether its view is current, and its feeds."""
 
     node: str
     current: bool
@@ -52,11 +53,11 @@
 
 
 def encode_report(report: Report) -> bytes:
-    """Return a report's datagram; changes that don't fit are left out."""
+    """Return a report's datagram; all changes are left out if they don't fit."""
     data = _encode(report)
     if len(data) <= DATAGRAM_BYTES:
         return data
-    return _encode(report._replace(feeds=tuple(_bare(each) for each in report.feeds)))
+    return _encode(report._replace(feeds=tuple(_without_changes(each) for each in report.feeds)))
 
 
 def _encode(report: Report) -> bytes:
@@ -66,37 +67,40 @@
     return with_extension(data, timelines) if any(timelines) else data
 
 
-def _bare(feed: FeedReport) -> FeedReport:
+def _without_changes(feed: FeedReport) -> FeedReport:
     return feed._replace(before=feed.revision, changes=None)
 
 
 def decode_report(data: bytes) -> Report:
-    """Read a datagram.
+    """Decode a datagram.
 
     Raises
     ------
     ValueError
-        It is no report of this version.
+        The datagram is not a report of this version.
     """
-    report = decode_frame(data, {WATCH_REPORT_KIND: _report})
+    report = decode_frame(data, {WATCH_REPORT_KIND: _parse_report})
     _, timelines = split_extension(data)
     if timelines is None:
         return report
     if not isinstance(timelines, list) or len(timelines) != len(report.feeds):
-        raise ValueError(f"timelines {timelines!r} of {len(report.feeds)} feeds")
+        raise ValueError(f"timelines is {timelines!r}, expected a list of {len(report.feeds)}, one per feed")
     feeds = zip(report.feeds, timelines, strict=True)
     return report._replace(feeds=tuple(feed._replace(timeline=count(each)) for feed, each in feeds))
 
 
-def _report(node: Any, current: Any, feeds: Any) -> Report:
+def _parse_report(node: Any, current: Any, feeds: Any) -> Report:
     if not isinstance(node, str) or not isinstance(current, bool):
-        raise ValueError("a node's name and whether it is current are needed")
-    return Report(node, current, tuple(_feed(*each) for each in feeds))
+        raise ValueError(f"node is {node!r} and current {current!r}, expected a string and a boolean")
+    return Report(node, current, tuple(_parse_feed(*each) for each in feeds))
 
 
-def _feed(feed: Any, before: Any, revision: Any, changes: Any, digest: Any) -> FeedReport:
+def _parse_feed(feed: Any, before: Any, revision: Any, changes: Any, digest: Any) -> FeedReport:
     if not isinstance(feed, str) or not (changes is None or isinstance(changes, list)):
-        raise ValueError("a feed's name and a list of changes are needed")
+        raise ValueError(f"feed is {feed!r}, expected a string with changes that are a list or absent")
     if not all(type(each) is int for each in (before, revision, digest)) or not 0 <= before <= revision:
-        raise ValueError(f"revisions {before!r} to {revision!r}, digest {digest!r}")
+        raise ValueError(
+            f"feed {feed!r} has revisions {before!r} to {revision!r} and digest {digest!r}, "
+            "expected integers with 0 <= before <= revision"
+        )
     return FeedReport(feed, before, revision, changes, digest)
--- a/src/yokesill/watchers/role.py
+++ b/src/yokesill/watchers/role.py
@@ -1,6 +1,6 @@
-"""How a node keeps up with the registry: it watches for its zone, follows the zone's watchers, or asks alone.
+"""A node's role in following the registry: watch for its zone, follow the zone's watchers, or call alone.
 
-Decided from the zone's ``RankedGroup``, which has the rule and its times (``WatchTiming``).
+The zone's ``RankedGroup`` decides it, by the rule that it implements and the times of ``WatchTiming``.
 """
 
 import enum
@@ -13,9 +13,10 @@
 
 
 class WatchRole(enum.StrEnum):
-    """What a node does to keep up with the registry.
+    """What a node does to stay up to date with the registry.
 
-    It watches and reports to its zone, follows what watchers report, or asks for itself alone.
+    A watching node calls the registry and reports to its zone, a following one applies the watchers' reports,
+    and a solitary one calls the registry for itself only.
     """
 
     WATCHING = "watching"
@@ -24,12 +25,12 @@
 
 
 def create_group(own: str, timing: WatchTiming, source: random.Random, now: float) -> RankedGroup:
-    """Return a node's view of who watches in its zone."""
+    """Return a node's view of which nodes watch for its zone."""
     return RankedGroup(own, RANK_SUBJECT, timing.ranks, source, now)
 
 
 def watch_role(group: RankedGroup, now: float) -> WatchRole:
-    """Return a node's role now."""
+    """Return a node's current role."""
     if group.acts(now):
         return WatchRole.WATCHING
     return WatchRole.FOLLOWING if group.relies(now) else WatchRole.SOLITARY
--- a/src/yokesill/watchers/timing.py
+++ b/src/yokesill/watchers/timing.py
@@ -1,53 +1,54 @@
-"""When a watcher counts as gone or as not current: all times, derived from the bound on a change.
+"""Timeouts after which a watcher counts as failed or stale, all derived from the bound on a change.
 
-Input: the bound (seconds) within which a change of the registry must be in force on every node. The shares
-keep it in the worst case (``WatchTiming.within``); ``docs/design/readers.md`` weighs the alternatives.
+The bound is the time in seconds within which a change in the registry must be in force on every node. The
+shares below keep it in the worst case (``WatchTiming.within``); ``docs/design/readers.md`` weighs the
+alternatives.
 """
 
 from typing import NamedTuple
 
 from yokesill.peers.ranks import RankTiming
 
-# One may be slow or gone. A third would cost as many calls again as are saved by not listing nodes.
+# One of them may be slow or down. A third would cost as many calls again as are saved by not listing nodes.
 WATCHERS_PER_ZONE = 2
-# A starting node leaves watching to others for so long, eight reports at a bound of 3 s.
+# How long a starting node doesn't watch: eight reports at a bound of 3 s.
 SETTLE_S = 2.5
-# A strong node watches in any case, and its zone's wide requests wait for its first report.
+# Shorter, since a strong node watches in any case and its zone's wide requests wait for its first report.
 STRONG_SETTLE_S = 0.3
-# Shares of the bound. Two reports may be lost before a watcher counts as gone, and each further rank waits a
-# little longer.
-REPORT_SHARE, TAKEOVER_SHARE, STEP_SHARE = 0.1, 0.25, 0.03
-# Shares of the bound, too: the worst case takes AGE_SHARE and 1.25 times PATIENCE_SHARE, 0.83 of it, and
-# leaves the rest for a call of the registry. A watcher checks often enough to be current while the registry
-# answers.
-PATIENCE_SHARE, AGE_SHARE, CHECK_SHARE = 0.3, 0.45, 0.35
+# Shares of the bound. Two reports may be lost before a watcher counts as failed, and each further rank waits
+# a little longer.
+REPORT_SHARE, TAKEOVER_SHARE, RANK_STEP_SHARE = 0.1, 0.25, 0.03
+# Shares of the bound. The worst case takes AGE_LIMIT_SHARE and 1.25 times REPORT_TIMEOUT_SHARE, 0.83 of the
+# bound, and leaves the rest for a call of the registry. A watcher checks often enough to stay current while
+# the registry answers.
+REPORT_TIMEOUT_SHARE, AGE_LIMIT_SHARE, CHECK_SHARE = 0.3, 0.45, 0.35
 
 
 class WatchTiming(NamedTuple):
-    """How long the nodes of a zone wait for one another, in seconds.
+    """Intervals and timeouts of the nodes of a zone, in seconds.
 
     Parameters
     ----------
     report_interval_s
-        Between two reports of a watcher that has nothing new.
+        Interval between reports of a watcher that has nothing new.
     takeover_s
-        How long watchers must be silent until the next in rank takes over, and ``step_s`` how much
-        longer each further rank waits, so that not all do so at once.
-    patience_s
-        After so long without a report that can be relied on a node asks the registry itself.
+        How long watchers must be silent until the next node in rank takes over. ``step_s`` is how much
+        longer each further rank waits, so that they don't all take over at once.
+    report_timeout_s
+        How long a node goes without a report from a current watcher before it calls the registry itself.
     age_limit_s
-        A watcher whose last good answer from the registry is older is not current.
+        Age of a watcher's last successful answer from the registry beyond which it is not current.
     check_interval_s
-        How often a watcher looks whether its wait for changes was swallowed.
+        How often a watcher checks whether its long poll for changes was lost.
     settle_s
-        How long a starting node leaves watching to others, so that it learns first who is there, and
-        ``strong_settle_s`` the same for one that ranks first by its processor.
+        How long a starting node doesn't watch, so that it first receives the reports of the others;
+        ``strong_settle_s`` is the same for a node that ranks first by its processor.
     """
 
     report_interval_s: float
     takeover_s: float
     step_s: float
-    patience_s: float
+    report_timeout_s: float
     age_limit_s: float
     check_interval_s: float
     settle_s: float = SETTLE_S
@@ -56,11 +57,11 @@
 
     @property
     def ranks(self) -> RankTiming:
-        """What of it decides which nodes watch."""
+        """The part of the timing that decides which nodes watch."""
         return RankTiming(
             takeover_s=self.takeover_s,
             step_s=self.step_s,
-            patience_s=self.patience_s,
+            patience_s=self.report_timeout_s,
             settle_s=self.settle_s,
             strong_settle_s=self.strong_settle_s,
             acting=self.watchers,
@@ -70,15 +71,15 @@
     def within(cls, bound_s: float) -> "WatchTiming":
         """Return times such that a change is in force everywhere within ``bound_s``.
 
-        The worst case is a watcher that is cut from the registry without noticing: its last answer ages
-        (``age_limit_s``), then its followers lose patience (``patience_s`` and their spread); a sixth of
-        the bound is left for asking the registry.
+        In the worst case a watcher is disconnected from the registry without noticing: its last answer
+        expires (``age_limit_s``), then its followers time out (``report_timeout_s`` plus their spread). A
+        sixth of the bound is left for calling the registry.
         """
         return cls(
             report_interval_s=REPORT_SHARE * bound_s,
             takeover_s=TAKEOVER_SHARE * bound_s,
-            step_s=STEP_SHARE * bound_s,
-            patience_s=PATIENCE_SHARE * bound_s,
-            age_limit_s=AGE_SHARE * bound_s,
+            step_s=RANK_STEP_SHARE * bound_s,
+            report_timeout_s=REPORT_TIMEOUT_SHARE * bound_s,
+            age_limit_s=AGE_LIMIT_SHARE * bound_s,
             check_interval_s=CHECK_SHARE * bound_s,
         )
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -613,7 +613,7 @@
     "http.probe": _probe,
     "http.state": _state,
     "http.coordinate": _coordinate,
-    "http.coordinate_request": coordinators._encode,
+    "http.coordinate_request": coordinators._encode_request,
     "http.rollouts_view": _view,
     "own_http.paths": _paths_of_own_interface,
     "own_http.refusal": _own_refusal,
--- a/tests/serving/test_registry_availability.py
+++ b/tests/serving/test_registry_availability.py
@@ -64,9 +64,11 @@
 class Node:
     def __init__(self, registry: Registry) -> None:
         self.heard: list[Event] = []
-        reach = RegistryAvailability()
+        availability = RegistryAvailability()
         self.followers = [
-            FeedFollower(CountedFeed(registry), self.heard.append, 0.1, random.Random(n), reach=reach)
+            FeedFollower(
+                CountedFeed(registry), self.heard.append, 0.1, random.Random(n), availability=availability
+            )
             for n in range(4)
         ]
 
@@ -98,11 +100,11 @@
     async def main() -> None:
         registry, broken = Registry(), Registry()
         broken.down = True
-        reach = RegistryAvailability()
+        availability = RegistryAvailability()
         heard: list[Event] = []
         feeds = [CountedFeed(broken), CountedFeed(registry), CountedFeed(registry)]
         followers = [
-            FeedFollower(feed, heard.append, 0.1, random.Random(n), reach=reach)
+            FeedFollower(feed, heard.append, 0.1, random.Random(n), availability=availability)
             for n, feed in enumerate(feeds)
         ]
         async with anyio.create_task_group() as tasks:
--- a/tests/serving/test_registry_restored.py
+++ b/tests/serving/test_registry_restored.py
@@ -13,7 +13,7 @@
 import pytest
 from zone import BOUND_S, Zone, ZoneNode, in_a_zone
 
-from yokesill.registry.follower import RETURN_SPREAD_S
+from yokesill.registry.follower import RECOVERY_SPREAD_S
 from yokesill.registry.restored_lists import SETTLING_S
 from yokesill.watchers.messages import FeedReport, Report, encode_report
 from yokesill.watchers.timing import WATCHERS_PER_ZONE as WATCHERS
@@ -24,7 +24,7 @@
 AWAY_S, NEXT_CHANGE_S = 2.6, 4.2
 FEEDS = 3
 # How the lists of all nodes are spread, and a call.
-AT_ONCE_S = RETURN_SPREAD_S + 0.2
+AT_ONCE_S = RECOVERY_SPREAD_S + 0.2
 
 
 def test_configurations_are_in_force_in_time_after_the_registry_lost_two_of_them() -> None:
--- a/tests/serving/test_view_check.py
+++ b/tests/serving/test_view_check.py
@@ -8,7 +8,7 @@
 from test_following_the_store import CONFIG as WITH_A_ROUTE
 from zone import Zone, ZoneNode, in_a_zone
 
-from yokesill.watchers.digests import FIRST_PAUSE_S, LONGEST_PAUSE_S, Repairs, digest_of
+from yokesill.watchers.digests import INITIAL_PAUSE_S, MAX_PAUSE_S, RepairBackoff, digest_of
 
 LOST = ("i-3", "i-5")
 
@@ -144,13 +144,13 @@
 
 
 def test_a_difference_that_stays_is_looked_into_less_and_less() -> None:
-    repairs = Repairs()
+    repairs = RepairBackoff()
     now, times = 0.0, []
     while now < 600.0:
         if repairs.due(now):
             times.append(now)
         now += 0.1
     assert len(times) < 16
-    assert repairs.due(now + LONGEST_PAUSE_S * 3)
-    assert not repairs.due(now + LONGEST_PAUSE_S * 3 + FIRST_PAUSE_S - 0.1)
-    assert repairs.due(now + LONGEST_PAUSE_S * 3 + FIRST_PAUSE_S + 0.1)
+    assert repairs.due(now + MAX_PAUSE_S * 3)
+    assert not repairs.due(now + MAX_PAUSE_S * 3 + INITIAL_PAUSE_S - 0.1)
+    assert repairs.due(now + MAX_PAUSE_S * 3 + INITIAL_PAUSE_S + 0.1)
--- a/tests/serving/zone.py
+++ b/tests/serving/zone.py
@@ -76,10 +76,16 @@
         if zone.rolls_out:
             feeds[ROLLOUTS] = rollout_feed(store)
         gathering_s = {SERVERS: GATHERING_S}
-        reach = RegistryAvailability()
+        availability = RegistryAvailability()
         self.followers = {
             name: FeedFollower(
-                feed, self._learn, gathering_s.get(name, 0.3), source, check_s, watching=False, reach=reach
+                feed,
+                self._learn,
+                gathering_s.get(name, 0.3),
+                source,
+                check_s,
+                watching=False,
+                availability=availability,
             )
             for name, feed in feeds.items()
         }
--- a/tests/watchers/test_group.py
+++ b/tests/watchers/test_group.py
@@ -96,9 +96,9 @@
     last = group(ranked()[-1])
     last.received(ranked()[0], True, True, SETTLED + 10)
     last.received(ranked()[1], True, True, SETTLED + 10)
-    assert watch_role(last, SETTLED + 10 + 0.9 * TERMS.patience_s) is WatchRole.FOLLOWING
-    assert watch_role(last, SETTLED + 10 + 1.3 * TERMS.patience_s) is not WatchRole.FOLLOWING
-    assert TERMS.age_limit_s + 1.25 * TERMS.patience_s < 0.85 * 3.0
+    assert watch_role(last, SETTLED + 10 + 0.9 * TERMS.report_timeout_s) is WatchRole.FOLLOWING
+    assert watch_role(last, SETTLED + 10 + 1.3 * TERMS.report_timeout_s) is not WatchRole.FOLLOWING
+    assert TERMS.age_limit_s + 1.25 * TERMS.report_timeout_s < 0.85 * 3.0
 
 
 def test_groups_of_other_subjects_rank_the_same_nodes_otherwise() -> None:
