--- a/tests/serving/test_coordinator.py
+++ b/tests/serving/test_coordinator.py
@@ -1,4 +1,4 @@
-"""A wide request's way to a coordinator and back: acknowledged, refused, lost, cancelled."""
+"""Forwarding of wide requests to coordinators: acknowledged, refused, lost and cancelled ones."""
 
 from collections.abc import Awaitable, Callable, MutableMapping
 from dataclasses import replace
@@ -38,7 +38,7 @@
 HEAD = b"HTTP/1.1 200 OK\r\ncontent-length: %d\r\n\r\n"
 
 
-def a_request(now: float = 0.0) -> GatewayRequest:
+def create_request(now: float = 0.0) -> GatewayRequest:
     headers = ((b"host", b"shop.example"), (b"x-own", b"1"))
     return GatewayRequest(
         "k1",
@@ -58,34 +58,34 @@
 # --- messages ---
 
 
-def test_a_request_and_its_answer_come_back_as_they_were() -> None:
-    request = a_request(100.0)
-    handed = decode_forwarded(encode_forwarded(ForwardedRequest(7, 0.02, request)), "k9", 205.0)
-    assert handed.version == 7
-    assert handed.request == replace(request, key="k9", arrived_at_s=205.0 - 0.02)
+def test_a_request_and_its_answer_round_trip_unchanged() -> None:
+    request = create_request(100.0)
+    decoded = decode_forwarded(encode_forwarded(ForwardedRequest(7, 0.02, request)), "k9", 205.0)
+    assert decoded.version == 7
+    assert decoded.request == replace(request, key="k9", arrived_at_s=205.0 - 0.02)
     assert decode_answer(encode_answer("id-1", GATHERED), "id-1") == GATHERED
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff", encode_answer("id-1", GATHERED), b"\x81\x01"])
-def test_a_malformed_request_is_refused(data: bytes) -> None:
+def test_a_malformed_forwarded_request_is_rejected(data: bytes) -> None:
     with pytest.raises(ValueError, match="malformed"):
         decode_forwarded(data, "k", 0.0)
 
 
-def test_an_answer_to_another_request_is_none() -> None:
+def test_an_answer_to_another_request_is_rejected() -> None:
     with pytest.raises(ValueError, match="id-2"):
         decode_answer(encode_answer("id-2", GATHERED), "id-1")
 
 
-# --- asking a coordinator ---
+# --- calling a coordinator ---
 
 Script = Callable[[MemoryServer, MemoryStream, Heard], Awaitable[None]]
 
 
-def ask(
+def call_coordinator(
     script: Script, times: int = 1, **faults: bool
 ) -> tuple[list[GatheredAnswer | Failure], MemoryServer, float]:
-    """Hand a request over some times; return what came, the coordinator, and how long it took."""
+    """Send a request repeatedly; return the outcomes, the coordinator, and the elapsed time in seconds."""
     outcomes: list[GatheredAnswer | Failure] = []
 
     async def run() -> tuple[MemoryServer, float]:
@@ -94,9 +94,9 @@
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             started = anyio.current_time()
             for _ in range(times):
-                message = encode_forwarded(ForwardedRequest(7, 0.0, a_request()))
-                until = anyio.current_time() + 1.0
-                outcomes.append(await client.send(ADDRESS, "id-1", message, ACKNOWLEDGE_S, until))
+                message = encode_forwarded(ForwardedRequest(7, 0.0, create_request()))
+                deadline_at_s = anyio.current_time() + 1.0
+                outcomes.append(await client.send(ADDRESS, "id-1", message, ACKNOWLEDGE_S, deadline_at_s))
             took = anyio.current_time() - started
             await anyio.sleep(0.05)
             tasks.cancel_scope.cancel()
@@ -113,18 +113,18 @@
     await stream.send(body)
 
 
-def test_an_acknowledged_request_is_waited_for_and_its_connection_kept() -> None:
-    outcomes, server, _ = ask(answering, times=3)
+def test_an_acknowledged_request_is_awaited_and_its_connection_reused() -> None:
+    outcomes, server, _ = call_coordinator(answering, times=3)
     assert outcomes == [GATHERED] * 3
     assert server.opened == 1
 
 
 async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
-    """Read the request and say nothing."""
+    """Read the request and send nothing."""
 
 
-def test_without_an_acknowledgement_a_coordinator_is_gone_around_within_a_fraction_of_the_aim() -> None:
-    outcomes, server, took = ask(silent)
+def test_a_coordinator_that_does_not_acknowledge_times_out_early() -> None:
+    outcomes, server, took = call_coordinator(silent)
     assert isinstance(outcomes[0], Failure)
     assert outcomes[0].verdict is Verdict.MAY_HAVE_RUN
     assert took <= ACKNOWLEDGE_S + 0.01
@@ -135,15 +135,15 @@
     await stream.send(b"HTTP/1.1 503 X\r\ncontent-length: 9\r\n\r\nstopping\n")
 
 
-def test_a_refusal_says_that_nothing_ran() -> None:
-    outcomes, _, _ = ask(refusing)
+def test_a_refused_request_was_not_run() -> None:
+    outcomes, _, _ = call_coordinator(refusing)
     assert isinstance(outcomes[0], Failure)
     assert outcomes[0].verdict is Verdict.NOT_RUN
     assert "stopping" in outcomes[0].detail
 
 
-def test_a_coordinator_that_cannot_be_connected_to_ran_nothing() -> None:
-    outcomes, _, _ = ask(answering, refuse=True)
+def test_a_request_without_a_connection_was_not_run() -> None:
+    outcomes, _, _ = call_coordinator(answering, refuse=True)
     assert isinstance(outcomes[0], Failure)
     assert outcomes[0].verdict is Verdict.NOT_RUN
 
@@ -154,8 +154,8 @@
     await stream.aclose()
 
 
-def test_a_coordinator_that_breaks_off_may_have_asked_servers() -> None:
-    outcomes, _, _ = ask(breaking)
+def test_a_coordinator_that_disconnects_may_have_run_the_request() -> None:
+    outcomes, _, _ = call_coordinator(breaking)
     assert isinstance(outcomes[0], Failure)
     assert outcomes[0].verdict is Verdict.MAY_HAVE_RUN
 
@@ -165,8 +165,8 @@
     await stream.send(HEAD % len(body) + body)
 
 
-def test_another_requests_answer_is_not_taken() -> None:
-    outcomes, _, _ = ask(mixing)
+def test_an_answer_to_another_request_is_a_failure() -> None:
+    outcomes, _, _ = call_coordinator(mixing)
     assert isinstance(outcomes[0], Failure)
 
 
@@ -175,7 +175,7 @@
     await anyio.sleep_forever()
 
 
-def test_after_one_silent_connection_to_a_coordinator_no_other_old_one_is_used() -> None:
+def test_idle_connections_are_not_reused_after_one_was_unresponsive() -> None:
     async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
         await anyio.sleep(0.01)
         if heard.connection > silent_up_to[0]:
@@ -190,12 +190,12 @@
             client = CoordinatorClient(dial_streams(server.connect, tasks))
 
             async def ask_once() -> GatheredAnswer | Failure:
-                until = anyio.current_time() + 1.0
-                return await client.send(ADDRESS, "id-1", b"x", ACKNOWLEDGE_S, until)
+                deadline_at_s = anyio.current_time() + 1.0
+                return await client.send(ADDRESS, "id-1", b"x", ACKNOWLEDGE_S, deadline_at_s)
 
-            async with anyio.create_task_group() as two:
+            async with anyio.create_task_group() as calls:
                 for _ in range(2):
-                    two.start_soon(ask_once)
+                    calls.start_soon(ask_once)
             silent_up_to[0] = server.opened
             outcomes = [await ask_once(), await ask_once()]
             tasks.cancel_scope.cancel()
@@ -206,14 +206,14 @@
     assert second == GATHERED
 
 
-def test_an_acknowledged_request_is_given_up_in_time() -> None:
-    outcomes, _, took = ask(endless)
+def test_an_acknowledged_request_times_out_at_its_deadline() -> None:
+    outcomes, _, took = call_coordinator(endless)
     assert isinstance(outcomes[0], Failure)
     assert outcomes[0].verdict is Verdict.MAY_HAVE_RUN
     assert took == pytest.approx(1.0, abs=0.01)
 
 
-def test_a_caller_that_leaves_takes_its_request_from_the_coordinator() -> None:
+def test_a_cancelled_call_closes_its_connection_to_the_coordinator() -> None:
     async def run() -> int:
         async with anyio.create_task_group() as tasks:
             server = MemoryServer(silent, tasks)
@@ -227,80 +227,92 @@
     assert run_virtual(run) == 1
 
 
-# --- handing over ---
+# --- forwarding ---
 
 
-class Notes:
-    """An observer that keeps what it is told."""
+class RecordingObserver:
+    """An observer that records its calls."""
 
     def __init__(self) -> None:
-        self.notes: list[LogEvent] = []
+        self.events: list[LogEvent] = []
         self.coordinated_by: list[str] = []
 
     def log_event(self, event: LogEvent) -> None:
-        self.notes.append(event)
+        self.events.append(event)
 
     def coordinated(self, _request: GatewayRequest, ending: CoordinatedEnding) -> None:
         self.coordinated_by.append(ending.coordinator)
 
 
-def hand_over(script: Script, **faults: bool) -> tuple[HttpAnswer | GatewayRequest, Notes]:
-    async def run() -> tuple[HttpAnswer | GatewayRequest, Notes]:
-        notes = Notes()
+def forward(script: Script, **faults: bool) -> tuple[HttpAnswer | GatewayRequest, RecordingObserver]:
+    async def run() -> tuple[HttpAnswer | GatewayRequest, RecordingObserver]:
+        observer = RecordingObserver()
         async with anyio.create_task_group() as tasks:
             server = MemoryServer(script, tasks, **faults)
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             known = configuration(7, ROUTE)
-            reached = {"n7": Coordinator(ADDRESS, anyio.current_time())}
-            hand = Forwarder(CoordinatorChoice("n3"), client, lambda: reached, lambda: known, notes)  # type: ignore[arg-type]
-            result = await hand(a_request(anyio.current_time()))
+            coordinators = {"n7": Coordinator(ADDRESS, anyio.current_time())}
+            forwarder = Forwarder(
+                CoordinatorChoice("n3"),
+                client,
+                lambda: coordinators,
+                lambda: known,
+                observer,  # type: ignore[arg-type]
+            )
+            result = await forwarder(create_request(anyio.current_time()))
             tasks.cancel_scope.cancel()
-        return result, notes
+        return result, observer
 
     return run_virtual(run)  # type: ignore[no-any-return]
 
 
-def test_a_coordinators_answer_is_the_final_one_unchanged() -> None:
-    result, notes = hand_over(answering)
+def test_a_coordinators_answer_is_returned_unchanged() -> None:
+    result, observer = forward(answering)
     assert result == ANSWER
-    assert notes.coordinated_by == ["n7"]
+    assert observer.coordinated_by == ["n7"]
 
 
-def test_a_request_without_time_left_speaks_against_no_coordinator() -> None:
+def test_a_request_without_time_left_does_not_mark_its_coordinator_as_lost() -> None:
     async def run() -> list[str | None]:
         chosen: list[str | None] = []
         async with anyio.create_task_group() as tasks:
             server = MemoryServer(answering, tasks)
             choice = CoordinatorChoice("n3")
-            reached = {"n7": Coordinator(ADDRESS, anyio.current_time())}
+            coordinators = {"n7": Coordinator(ADDRESS, anyio.current_time())}
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             known = configuration(7, ROUTE)
-            hand = Forwarder(choice, client, lambda: reached, lambda: known, Notes())  # type: ignore[arg-type]
-            result = await hand(replace(a_request(anyio.current_time()), caller_timeout_s=0.001))
+            forwarder = Forwarder(
+                choice,
+                client,
+                lambda: coordinators,
+                lambda: known,
+                RecordingObserver(),  # type: ignore[arg-type]
+            )
+            result = await forwarder(replace(create_request(anyio.current_time()), caller_timeout_s=0.001))
             assert isinstance(result, GatewayRequest) and not result.asked_before
-            chosen.append(choice.choose(ROUTE, reached, anyio.current_time()))
+            chosen.append(choice.choose(ROUTE, coordinators, anyio.current_time()))
             tasks.cancel_scope.cancel()
         return chosen
 
     assert run_virtual(run) == ["n7"]
 
 
-def test_a_request_that_may_end_servers_is_handed_to_nobody() -> None:
+def test_a_request_that_may_crash_servers_is_not_forwarded() -> None:
     async def run() -> tuple[HttpAnswer | GatewayRequest, int]:
         async with anyio.create_task_group() as tasks:
             server = MemoryServer(answering, tasks)
             client = CoordinatorClient(dial_streams(server.connect, tasks))
-            reached = {"n7": Coordinator(ADDRESS, anyio.current_time())}
+            coordinators = {"n7": Coordinator(ADDRESS, anyio.current_time())}
             known = configuration(7, ROUTE)
-            hand = Forwarder(
+            forwarder = Forwarder(
                 CoordinatorChoice("n3"),
                 client,
-                lambda: reached,
+                lambda: coordinators,
                 lambda: known,
-                Notes(),  # type: ignore[arg-type]
+                RecordingObserver(),  # type: ignore[arg-type]
                 runs_here=lambda _request: True,
             )
-            result = await hand(a_request(anyio.current_time()))
+            result = await forwarder(create_request(anyio.current_time()))
             tasks.cancel_scope.cancel()
         return result, server.opened
 
@@ -309,30 +321,33 @@
     assert (result.asked_before, opened) == (False, 0)
 
 
-def test_a_request_that_no_coordinator_took_is_run_here_as_if_new() -> None:
-    result, notes = hand_over(refusing)
+def test_a_request_that_coordinators_refused_runs_here_as_new() -> None:
+    result, observer = forward(refusing)
     assert isinstance(result, GatewayRequest)
     assert not result.asked_before
-    assert [note.name for note in notes.notes] == ["coordinator_missed"]
+    assert [event.name for event in observer.events] == ["coordinator_missed"]
 
 
 @pytest.mark.parametrize("script", [silent, breaking, mixing, endless])
-def test_a_request_that_a_coordinator_may_have_run_is_marked(script: Script) -> None:
-    result, _ = hand_over(script)
+def test_a_request_that_a_coordinator_may_have_run_is_marked_as_asked_before(script: Script) -> None:
+    result, _ = forward(script)
     assert isinstance(result, GatewayRequest)
     assert result.asked_before
 
 
-WANTING = HttpAnswer(503, (), b"no server", "no_replica")
+NO_SERVER_ANSWER = HttpAnswer(503, (), b"no server", "no_replica")
 
 
-def hand_over_to_two(
+def forward_to_two(
     first: HttpAnswer, attempts: int = 2, patience_s: float = 1.5, took_s: float = 0.001
-) -> tuple[HttpAnswer | GatewayRequest, Notes, list[str | None]]:
-    """Hand a request to the first of two coordinators; the second answers. Return also who is next."""
+) -> tuple[HttpAnswer | GatewayRequest, RecordingObserver, list[str | None]]:
+    """Forward a request to two coordinators; the first one answers ``first``, the second one ``ANSWER``.
+
+    Return also the nodes that the choice selects before and after the request.
+    """
 
-    async def run() -> tuple[HttpAnswer | GatewayRequest, Notes, list[str | None]]:
-        notes = Notes()
+    async def run() -> tuple[HttpAnswer | GatewayRequest, RecordingObserver, list[str | None]]:
+        observer = RecordingObserver()
         answers = [first, ANSWER]
 
         async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
@@ -345,41 +360,47 @@
             server = MemoryServer(script, tasks)
             client = CoordinatorClient(dial_streams(server.connect, tasks))
             known = configuration(7, replace(ROUTE, max_attempts=attempts))
-            heard = anyio.current_time()
-            reached = {name: Coordinator(ADDRESS, heard) for name in ("n7", "n8")}
+            now = anyio.current_time()
+            coordinators = {name: Coordinator(ADDRESS, now) for name in ("n7", "n8")}
             choice = CoordinatorChoice("n3")
-            chosen = choice.choose(ROUTE, reached, heard)
-            hand = Forwarder(choice, client, lambda: reached, lambda: known, notes)  # type: ignore[arg-type]
-            result = await hand(replace(a_request(heard), caller_timeout_s=patience_s))
-            then = choice.choose(ROUTE, reached, anyio.current_time())
+            chosen = choice.choose(ROUTE, coordinators, now)
+            forwarder = Forwarder(
+                choice,
+                client,
+                lambda: coordinators,
+                lambda: known,
+                observer,  # type: ignore[arg-type]
+            )
+            result = await forwarder(replace(create_request(now), caller_timeout_s=patience_s))
+            next_node = choice.choose(ROUTE, coordinators, anyio.current_time())
             tasks.cancel_scope.cancel()
-        return result, notes, [chosen, then]
+        return result, observer, [chosen, next_node]
 
     return run_virtual(run)  # type: ignore[no-any-return]
 
 
 @pytest.mark.parametrize("outcome", ["no_replica", "not_ready"])
-def test_a_coordinator_that_knows_no_servers_is_gone_around_to_another(outcome: str) -> None:
-    result, notes, (before, after) = hand_over_to_two(WANTING._replace(outcome=outcome))
+def test_a_coordinator_without_servers_is_followed_by_another_one(outcome: str) -> None:
+    result, observer, (before, after) = forward_to_two(NO_SERVER_ANSWER._replace(outcome=outcome))
     assert result == ANSWER
-    assert [note.details["reason"] for note in notes.notes] == [outcome]
+    assert [event.details["reason"] for event in observer.events] == [outcome]
     assert before != after
 
 
-def test_a_coordinator_that_knows_no_servers_is_left_alone_for_a_moment_only() -> None:
+def test_a_coordinator_without_servers_is_skipped_only_briefly() -> None:
     async def run() -> str | None:
         choice = CoordinatorChoice("n3")
-        heard = anyio.current_time()
-        reached = {"n7": Coordinator(ADDRESS, heard)}
-        choice.refused("n7", heard)
+        now = anyio.current_time()
+        coordinators = {"n7": Coordinator(ADDRESS, now)}
+        choice.refused("n7", now)
         await anyio.sleep(1.0)
-        return choice.choose(ROUTE, reached, anyio.current_time())
+        return choice.choose(ROUTE, coordinators, anyio.current_time())
 
     assert run_virtual(run) == "n7"
 
 
-def test_what_a_coordinator_without_servers_may_have_run_is_gathered_here_as_asked_before() -> None:
-    result, _, _ = hand_over_to_two(HttpAnswer(502, (), b"", "no_replica"))
+def test_a_502_without_servers_runs_here_as_asked_before() -> None:
+    result, _, _ = forward_to_two(HttpAnswer(502, (), b"", "no_replica"))
     assert isinstance(result, GatewayRequest)
     assert result.asked_before
 
@@ -392,16 +413,16 @@
         {"first": HttpAnswer(502, (), b"", "coverage_too_low")},
         {"first": HttpAnswer(504, (), b"", "timed_out")},
         {"first": HttpAnswer(502, (), b"", "no_replica"), "attempts": 1},
-        {"first": WANTING, "patience_s": 0.3, "took_s": 0.25},
+        {"first": NO_SERVER_ANSWER, "patience_s": 0.3, "took_s": 0.25},
     ],
 )
-def test_a_coordinators_other_refusals_are_final(case: dict[str, Any]) -> None:
-    result, _, _ = hand_over_to_two(**case)
+def test_other_refusals_of_a_coordinator_are_final(case: dict[str, Any]) -> None:
+    result, _, _ = forward_to_two(**case)
     assert result == case["first"]
 
 
-def test_a_coordinator_that_took_long_to_refuse_is_followed_by_no_other() -> None:
-    result, _, _ = hand_over_to_two(WANTING, took_s=0.05)
+def test_no_second_coordinator_is_tried_after_a_slow_refusal() -> None:
+    result, _, _ = forward_to_two(NO_SERVER_ANSWER, took_s=0.05)
     assert isinstance(result, GatewayRequest)
     assert not result.asked_before
 
@@ -409,8 +430,8 @@
 # --- the coordinator's side ---
 
 
-class Running:
-    """An application that answers what it is handed after a while."""
+class FakeApplication:
+    """An application that answers each request after 0.1 s."""
 
     def __init__(self) -> None:
         self.stopping = False
@@ -431,23 +452,23 @@
     lateness_s: float = 0.0,
     stopping: bool = False,
     at_once: int = 1,
-) -> tuple[list[MutableMapping[str, Any]], Running, list[int]]:
-    """Hand requests of version 7 to a coordinator; return what it sent, and who was under way."""
+) -> tuple[list[MutableMapping[str, Any]], FakeApplication, list[int]]:
+    """Forward requests of version 7 to a coordinator; return its messages and the counts in flight."""
     sent: list[MutableMapping[str, Any]] = []
-    running = Running()
-    running.stopping = stopping
+    fake = FakeApplication()
+    fake.stopping = stopping
     counts: list[int] = []
 
     async def run() -> None:
         application = CoordinatorApplication(
-            running,  # type: ignore[arg-type]
+            fake,  # type: ignore[arg-type]
             lambda each: each == "10.0.0.3",
             lambda: version,
             lambda: lateness_s,
         )
 
         async def receive() -> MutableMapping[str, Any]:
-            body = encode_forwarded(ForwardedRequest(7, 0.0, a_request()))
+            body = encode_forwarded(ForwardedRequest(7, 0.0, create_request()))
             return {"type": "http.request", "body": body, "more_body": False}
 
         async def send(message: MutableMapping[str, Any]) -> None:
@@ -462,10 +483,10 @@
         counts.append(application.in_flight)
 
     run_virtual(run)
-    return sent, running, counts
+    return sent, fake, counts
 
 
-def test_a_coordinator_acknowledges_at_once_and_counts_what_is_under_way() -> None:
+def test_a_coordinator_acknowledges_immediately_and_counts_requests_in_flight() -> None:
     sent, _, counts = coordinate()
     assert [each["type"] for each in sent] == ["http.response.start", "http.response.body"]
     assert sent[0]["at"] < sent[1]["at"]
@@ -484,14 +505,14 @@
         (503, {"lateness_s": 0.05}),
     ],
 )
-def test_a_coordinator_refuses_before_it_runs_anything(status: int, case: dict[str, Any]) -> None:
-    sent, running, _ = coordinate(**case)
+def test_a_coordinator_refuses_a_request_before_running_it(status: int, case: dict[str, Any]) -> None:
+    sent, fake, _ = coordinate(**case)
     assert sent[0]["status"] == status
-    assert running.ran == []
+    assert fake.ran == []
 
 
-def test_a_coordinator_takes_so_many_at_once_only() -> None:
-    sent, running, _ = coordinate(at_once=40)
+def test_a_coordinator_refuses_requests_beyond_its_in_flight_limit() -> None:
+    sent, fake, _ = coordinate(at_once=40)
     refused = [each for each in sent if each.get("status") == 503]
-    assert 0 < len(running.ran) < 40
-    assert len(running.ran) + len(refused) == 40
+    assert 0 < len(fake.ran) < 40
+    assert len(fake.ran) + len(refused) == 40
--- a/tests/serving/test_gathering_elsewhere.py
+++ b/tests/serving/test_gathering_elsewhere.py
@@ -1,4 +1,4 @@
-"""Two whole nodes over real sockets: one in a zone without servers, and a strong one beside the servers."""
+"""Two complete nodes over real sockets: one in a zone without servers and a strong one near the servers."""
 
 import asyncio
 import random
@@ -24,7 +24,7 @@
 
 
 class Directory(NodeDirectory):
-    """The same nodes always."""
+    """A directory with a fixed list of nodes."""
 
     def __init__(self) -> None:
         self.contacts: list[NodeContact] = []
@@ -36,7 +36,9 @@
         return tuple(NodeEntry(each, 1) for each in self.contacts)
 
 
-def a_node(name: str, zone: str, cores: float, servers_port: int, directory: Directory) -> GatewayProcess:
+def create_node(
+    name: str, zone: str, cores: float, servers_port: int, directory: Directory
+) -> GatewayProcess:
     callers, probes, peers, registry, reports, datagrams = free_ports(6)
     settings = GatewaySettings(
         node=name,
@@ -52,13 +54,15 @@
         stop_grace_s=1.6,
     )
     records = tuple(ServerRecord(f"i-{each}", each, LOOPBACK, servers_port, "a", 2) for each in NAMES)
-    known = FixedFeed("configuration", ConfigurationLearnt(configuration(1, gather_route(services=NAMES))))
-    around = Dependencies(
-        known, FixedFeed("servers", ServersReplaced(records)), directory, HeaderNames(), "/ready"
+    configuration_feed = FixedFeed(
+        "configuration", ConfigurationLearnt(configuration(1, gather_route(services=NAMES)))
     )
-    at = (str(settings.datagrams), str(settings.reports), str(settings.peers))
-    directory.contacts.append(NodeContact(name, zone, *at, cores))
-    return GatewayProcess(settings, around, random.Random(1), LogOutput(1))
+    dependencies = Dependencies(
+        configuration_feed, FixedFeed("servers", ServersReplaced(records)), directory, HeaderNames(), "/ready"
+    )
+    addresses = (str(settings.datagrams), str(settings.reports), str(settings.peers))
+    directory.contacts.append(NodeContact(name, zone, *addresses, cores))
+    return GatewayProcess(settings, dependencies, random.Random(1), LogOutput(1))
 
 
 @pytest.fixture(autouse=True)
@@ -66,14 +70,14 @@
     monkeypatch.setattr(LogOutput, "write", lambda _self, _line: None)
 
 
-def test_a_wide_request_from_a_zone_without_servers_is_gathered_by_a_node_beside_them() -> None:
+def test_a_wide_request_from_a_zone_without_servers_is_gathered_by_a_node_near_them() -> None:
     async def run() -> tuple[bytes, int]:
         backend = Backend()
         server = await asyncio.start_server(backend.serve, LOOPBACK, 0)
         port, directory = server.sockets[0].getsockname()[1], Directory()
         directory.contacts += [NodeContact(f"a{n}", "a", "", "", "127.0.0.2:1", 0.5) for n in (2, 3, 4)]
-        near = a_node("a1", "a", 2.0, port, directory)
-        far = a_node("d1", "d", 0.5, port, directory)
+        near = create_node("a1", "a", 2.0, port, directory)
+        far = create_node("d1", "d", 0.5, port, directory)
         async with anyio.create_task_group() as tasks:
             for node in (near, far):
                 tasks.start_soon(node.run)
@@ -88,6 +92,6 @@
         server.close()
         return answer, near.node.coordinator.accepted
 
-    answer, taken = anyio.run(run)
+    answer, accepted = anyio.run(run)
     assert answer.startswith(b"HTTP/1.1 200 OK\r\n")
-    assert taken == 1
+    assert accepted == 1
--- a/tests/serving/test_registry_availability.py
+++ b/tests/serving/test_registry_availability.py
@@ -1,4 +1,4 @@
-"""While the registry is away one follower of a node looks for its return; the others wait for it."""
+"""While the registry doesn't answer, one follower of a node probes it and the others wait."""
 
 import random
 
@@ -17,21 +17,21 @@
 
 
 class Registry:
-    """Four feeds of one registry; counts calls at full price (``dear``) and cheap ones."""
+    """A registry behind several feeds; counts calls at full price and cheap ones."""
 
     def __init__(self) -> None:
         self.down = False
-        self.dear = self.cheap = 0
+        self.full_price = self.cheap = 0
         self.revision = 1
-        self.woken = anyio.Event()
+        self.changed = anyio.Event()
 
-    def fall(self) -> None:
+    def go_down(self) -> None:
         self.down = True
         self.wake()
 
     def wake(self) -> None:
-        self.woken.set()
-        self.woken = anyio.Event()
+        self.changed.set()
+        self.changed = anyio.Event()
 
 
 class CountedFeed(Feed):
@@ -41,16 +41,16 @@
         self.registry = registry
 
     async def list(self, stale: bool = False) -> Batch | Failure:
-        self.registry.dear += 1
+        self.registry.full_price += 1
         return (
             DOWN if self.registry.down else Batch(Position(0, self.registry.revision), (ZoneEvacuated("z"),))
         )
 
     async def changes(self, position: Position, wait: float) -> Batch | HistoryLost | Failure:
-        self.registry.dear += 1
+        self.registry.full_price += 1
         if not self.registry.down and position.revision >= self.registry.revision:
             with anyio.move_on_after(wait):
-                await self.registry.woken.wait()
+                await self.registry.changed.wait()
         if self.registry.down:
             return DOWN
         events = (ZoneEvacuated("z"),) if position.revision < self.registry.revision else ()
@@ -63,17 +63,17 @@
 
 class Node:
     def __init__(self, registry: Registry) -> None:
-        self.heard: list[Event] = []
+        self.events: list[Event] = []
         availability = RegistryAvailability()
         self.followers = [
             FeedFollower(
-                CountedFeed(registry), self.heard.append, 0.1, random.Random(n), availability=availability
+                CountedFeed(registry), self.events.append, 0.1, random.Random(n), availability=availability
             )
             for n in range(4)
         ]
 
 
-def test_an_outage_costs_one_follower_few_calls_and_all_are_back_soon() -> None:
+def test_one_follower_probes_during_an_outage_and_all_recover_soon() -> None:
     async def main() -> None:
         registry = Registry()
         node = Node(registry)
@@ -81,10 +81,10 @@
             for follower in node.followers:
                 tasks.start_soon(follower.run)
             await anyio.sleep(2.0)
-            before = registry.dear, registry.cheap
-            registry.fall()
+            before = registry.full_price, registry.cheap
+            registry.go_down()
             await anyio.sleep(10.0)
-            assert registry.dear - before[0] <= 4
+            assert registry.full_price - before[0] <= 4
             assert registry.cheap - before[1] <= 22
             registry.down = False
             registry.revision += 1
@@ -96,15 +96,15 @@
     run_virtual(main)
 
 
-def test_a_registry_that_fails_for_one_feed_only_holds_the_others_back_for_a_moment() -> None:
+def test_a_registry_that_fails_for_one_feed_delays_the_others_only_briefly() -> None:
     async def main() -> None:
-        registry, broken = Registry(), Registry()
-        broken.down = True
+        registry, failing = Registry(), Registry()
+        failing.down = True
         availability = RegistryAvailability()
-        heard: list[Event] = []
-        feeds = [CountedFeed(broken), CountedFeed(registry), CountedFeed(registry)]
+        events: list[Event] = []
+        feeds = [CountedFeed(failing), CountedFeed(registry), CountedFeed(registry)]
         followers = [
-            FeedFollower(feed, heard.append, 0.1, random.Random(n), availability=availability)
+            FeedFollower(feed, events.append, 0.1, random.Random(n), availability=availability)
             for n, feed in enumerate(feeds)
         ]
         async with anyio.create_task_group() as tasks:
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.parametrize("gone", range(4))
-def test_a_follower_that_need_not_ask_any_more_leaves_the_look_to_another(gone: int) -> None:
+def test_probing_continues_when_a_follower_stops_watching(gone: int) -> None:
     async def main() -> None:
         registry = Registry()
         node = Node(registry)
@@ -130,7 +130,7 @@
             for follower in node.followers:
                 tasks.start_soon(follower.run)
             await anyio.sleep(2.0)
-            registry.fall()
+            registry.go_down()
             await anyio.sleep(3.0)
             node.followers[gone].set_watching(False)
             registry.down = False
--- a/tests/serving/test_snapshots.py
+++ b/tests/serving/test_snapshots.py
@@ -1,4 +1,4 @@
-"""A node that starts while the registry is out of reach learns from a peer."""
+"""A node that starts while the registry is unreachable gets its state from a peer's snapshot."""
 
 import random
 from dataclasses import replace
@@ -32,9 +32,9 @@
 SNAPSHOT = encode_snapshot(STATE, RECORDS, frozenset({"z1"}), ORDERS, ESTABLISHED, QUARANTINED)
 
 
-def test_a_snapshot_comes_back_as_it_was() -> None:
-    learnt, established, orders, quarantined, replaced, evacuated = decode_snapshot(SNAPSHOT)
-    assert learnt == ev.ConfigurationLearnt(STATE)
+def test_a_snapshot_round_trips_unchanged() -> None:
+    configuration, established, orders, quarantined, replaced, evacuated = decode_snapshot(SNAPSHOT)
+    assert configuration == ev.ConfigurationLearnt(STATE)
     assert established == ev.VersionsEstablished(ESTABLISHED)
     assert orders == ev.RolloutsReplaced(ORDERS)
     assert quarantined == ev.QuarantineReplaced(QUARANTINED)
@@ -45,15 +45,15 @@
 @pytest.mark.parametrize(
     "data", [b"", b"\xff", cbor2.dumps([]), cbor2.dumps({"format": 3}), cbor2.dumps({"format": 4})]
 )
-def test_a_malformed_snapshot_is_refused(data: bytes) -> None:
+def test_a_malformed_snapshot_is_rejected(data: bytes) -> None:
     with pytest.raises(ValueError, match="snapshot"):
         decode_snapshot(data)
 
 
-def learn_from(body: bytes, registry_answers_after: float | None = None) -> list[ev.Event]:
-    """Start a learner whose seeds answer with ``body``; return what it fed."""
-    fed: list[ev.Event] = []
-    known = [False]
+def bootstrap_from(body: bytes, registry_answers_after: float | None = None) -> list[ev.Event]:
+    """Start a bootstrap whose seeds answer with ``body``; return the events that it applied."""
+    applied: list[ev.Event] = []
+    synchronised = [False]
 
     async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
@@ -62,22 +62,26 @@
         async with anyio.create_task_group() as tasks:
             peer = MemoryServer(script, tasks)
             seeds = (Address("10.0.0.1", 1), Address("10.0.0.2", 1))
-            learner = PeerBootstrap(
-                seeds, peer.connect, lambda: known[0] or bool(fed), fed.append, random.Random(1)
+            bootstrap = PeerBootstrap(
+                seeds,
+                peer.connect,
+                lambda: synchronised[0] or bool(applied),
+                applied.append,
+                random.Random(1),
             )
-            tasks.start_soon(learner.run)
+            tasks.start_soon(bootstrap.run)
             if registry_answers_after is not None:
                 await anyio.sleep(registry_answers_after)
-                known[0] = True
+                synchronised[0] = True
             await anyio.sleep(10.0)
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
-    return fed
+    return applied
 
 
-def test_without_the_registry_the_state_comes_from_a_peer_once() -> None:
-    assert [type(each) for each in learn_from(SNAPSHOT)] == [
+def test_without_the_registry_one_peers_snapshot_is_applied_once() -> None:
+    assert [type(each) for each in bootstrap_from(SNAPSHOT)] == [
         ev.ConfigurationLearnt,
         ev.VersionsEstablished,
         ev.RolloutsReplaced,
@@ -87,9 +91,9 @@
     ]
 
 
-def test_a_registry_that_answers_leaves_nothing_to_ask_peers() -> None:
-    assert learn_from(SNAPSHOT, registry_answers_after=0.1) == []
+def test_no_snapshot_is_fetched_if_the_registry_answers_first() -> None:
+    assert bootstrap_from(SNAPSHOT, registry_answers_after=0.1) == []
 
 
-def test_a_peer_that_answers_nonsense_teaches_nothing() -> None:
-    assert learn_from(b"nonsense") == []
+def test_no_event_is_applied_from_a_malformed_snapshot() -> None:
+    assert bootstrap_from(b"nonsense") == []
--- a/tests/serving/test_view_check.py
+++ b/tests/serving/test_view_check.py
@@ -1,104 +1,102 @@
-"""A node whose view of the servers has a hole finds it, and is set right, whoever has it too."""
+"""A node that lacks entries of the servers detects and repairs it, whichever other nodes lack them too."""
 
 import random
 
 import anyio
 import pytest
 from conftest import run_virtual
-from test_following_the_store import CONFIG as WITH_A_ROUTE
-from zone import Zone, ZoneNode, in_a_zone
+from test_following_the_store import CONFIG as CONFIG_WITH_A_ROUTE
+from zone import Zone, ZoneNode, run_in_zone
 
 from yokesill.watchers.digests import INITIAL_PAUSE_S, MAX_PAUSE_S, RepairBackoff, digest_of
 
-LOST = ("i-3", "i-5")
+MISSING = ("i-3", "i-5")
 
 
-def make_hole(node: ZoneNode) -> None:
-    for name in LOST:
+def remove_entries(node: ZoneNode) -> None:
+    for name in MISSING:
         del node.servers[name]
 
 
-def test_a_follower_with_a_hole_takes_the_whole_from_a_watcher() -> None:
+def test_a_follower_with_missing_entries_fetches_the_feed_from_a_watcher() -> None:
     async def main(zone: Zone) -> None:
         follower = next(node for node in zone.nodes if not node.watching)
-        before = zone.full_calls()
-        make_hole(follower)
+        before = zone.full_price_calls()
+        remove_entries(follower)
         await anyio.sleep(2.0)
-        assert zone.behind() == []
-        assert zone.full_calls() == before
+        assert zone.stale_nodes() == []
+        assert zone.full_price_calls() == before
 
-    in_a_zone(main)
+    run_in_zone(main)
 
 
-def test_a_watcher_with_a_hole_lists_the_registry_again() -> None:
+def test_a_watcher_with_missing_entries_lists_the_registry_again() -> None:
     async def main(zone: Zone) -> None:
         watchers = zone.watchers()
-        make_hole(watchers[0])
+        remove_entries(watchers[0])
         for node in watchers:
             node.fetched.clear()
         await anyio.sleep(4.0)
-        assert zone.behind() == []
+        assert zone.stale_nodes() == []
         assert [node.fetched for node in watchers] == [[], []]
 
-    in_a_zone(main)
+    run_in_zone(main)
 
 
-def test_a_new_hole_is_found_while_changes_go_on() -> None:
+def test_missing_entries_are_repaired_while_changes_continue() -> None:
     async def main(zone: Zone) -> None:
         for node in (zone.watchers()[0], next(each for each in zone.nodes if not each.watching)):
-            make_hole(node)
+            remove_entries(node)
             for number in range(10):
                 zone.list_server(f"k-{node.contact.node}-{number}")
                 await anyio.sleep(1.0)
-            assert zone.behind() == []
+            assert zone.stale_nodes() == []
 
-    in_a_zone(main)
+    run_in_zone(main)
 
 
-def test_a_hole_that_all_share_is_found_by_what_the_configuration_names() -> None:
+def test_entries_missing_on_all_nodes_are_detected_by_the_configured_services() -> None:
     async def main(zone: Zone) -> None:
-        zone.routes = WITH_A_ROUTE["routes"]
+        zone.routes = CONFIG_WITH_A_ROUTE["routes"]
         zone.configure()
         await anyio.sleep(2.0)
         for node in zone.nodes:
             node.servers.clear()
         await anyio.sleep(6.0)
-        assert zone.behind() == []
+        assert zone.stale_nodes() == []
 
-    in_a_zone(main)
+    run_in_zone(main)
 
 
-def test_a_service_that_has_no_servers_costs_a_few_lists() -> None:
+def test_a_service_without_servers_costs_only_a_few_lists() -> None:
     async def main(zone: Zone) -> None:
-        zone.routes = [{**WITH_A_ROUTE["routes"][0], "service": "nobody"}]
+        zone.routes = [{**CONFIG_WITH_A_ROUTE["routes"][0], "service": "nobody"}]
         zone.configure()
         await anyio.sleep(2.0)
-        before = zone.full_calls()
+        before = zone.full_price_calls()
         await anyio.sleep(60.0)
-        # Two watchers, four lists each: three pages and the wait that each list breaks off.
-        assert zone.full_calls() - before <= 2 * 4 * (3 + 1) + 14
+        # Two watchers with four lists each: three pages per list, and the long poll that each list cancels.
+        assert zone.full_price_calls() - before <= 2 * 4 * (3 + 1) + 14
 
-    in_a_zone(main)
+    run_in_zone(main)
 
 
 @pytest.mark.parametrize("mode", ["busy", "silent"])
-def test_while_the_registry_is_away_no_watcher_takes_anothers_hole(mode: str) -> None:
+def test_missing_entries_do_not_spread_between_watchers_during_a_registry_outage(mode: str) -> None:
     async def main(zone: Zone) -> None:
         reporter = zone.watchers()[0]
         zone.standin.mode = mode
         await anyio.sleep(4.0)
-        make_hole(reporter)
+        remove_entries(reporter)
         for _ in range(20):
             await anyio.sleep(0.5)
-            assert set(zone.behind()) <= {reporter.contact.node}
+            assert set(zone.stale_nodes()) <= {reporter.contact.node}
 
-    in_a_zone(main)
+    run_in_zone(main)
 
 
-def start_in_numbers(
-    count: int, loss: float, answer_s: float, page: int, seed: int
-) -> tuple[list[str], Zone]:
-    """Start a zone's nodes while servers' entries come and go; return who knows it wrong 4 s later."""
+def start_together(count: int, loss: float, answer_s: float, page: int, seed: int) -> tuple[list[str], Zone]:
+    """Start a zone's nodes while servers are added and removed; return the nodes that are stale 4 s later."""
 
     async def run() -> tuple[list[str], Zone]:
         source = random.Random(seed)
@@ -112,9 +110,9 @@
                     zone.standin.remove("servers", source.choice(zone.listed()))
                 await anyio.sleep(0.04 * source.random())
             await anyio.sleep(4.0)
-            wrong = zone.behind()
+            stale = zone.stale_nodes()
             tasks.cancel_scope.cancel()
-        return wrong, zone
+        return stale, zone
 
     return run_virtual(run)  # type: ignore[no-any-return]
 
@@ -130,27 +128,27 @@
         (90, 0.01, 0.3, 50),
     ],
 )
-def test_nodes_that_start_in_numbers_all_know_what_the_registry_says(
+def test_many_nodes_that_start_together_all_reach_the_registrys_state(
     count: int, loss: float, answer_s: float, page: int, seed: int
 ) -> None:
-    wrong, _ = start_in_numbers(count, loss, answer_s, page, seed)
-    assert wrong == []
+    stale, _ = start_together(count, loss, answer_s, page, seed)
+    assert stale == []
 
 
-def test_a_digest_tells_which_entries_there_are_in_any_order() -> None:
+def test_digest_depends_on_the_entries_but_not_on_their_order() -> None:
     assert digest_of(["a", "b", "c"]) == digest_of(["c", "a", "b"])
     assert len({digest_of(each) for each in ([], ["a"], ["b"], ["a", "b"], ["a", "a"])}) == 5
     assert digest_of([]) > 0 and digest_of(map(str, range(100_000))) < 1 << 48
 
 
-def test_a_difference_that_stays_is_looked_into_less_and_less() -> None:
-    repairs = RepairBackoff()
+def test_repairs_of_a_persistent_difference_back_off() -> None:
+    backoff = RepairBackoff()
     now, times = 0.0, []
     while now < 600.0:
-        if repairs.due(now):
+        if backoff.due(now):
             times.append(now)
         now += 0.1
     assert len(times) < 16
-    assert repairs.due(now + MAX_PAUSE_S * 3)
-    assert not repairs.due(now + MAX_PAUSE_S * 3 + INITIAL_PAUSE_S - 0.1)
-    assert repairs.due(now + MAX_PAUSE_S * 3 + INITIAL_PAUSE_S + 0.1)
+    assert backoff.due(now + MAX_PAUSE_S * 3)
+    assert not backoff.due(now + MAX_PAUSE_S * 3 + INITIAL_PAUSE_S - 0.1)
+    assert backoff.due(now + MAX_PAUSE_S * 3 + INITIAL_PAUSE_S + 0.1)
--- a/tests/serving/zone.py
+++ b/tests/serving/zone.py
@@ -1,4 +1,4 @@
-"""A zone of nodes that follow one store, in virtual time: their duties, datagrams and faults."""
+"""A simulated zone of nodes that follow one store in virtual time, with roles, datagrams and faults."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -26,8 +26,8 @@
 from yokesill.watchers.role import WatchRole
 from yokesill.watchers.timing import WatchTiming
 
-BOUND_S = 3.0
-GATHERING_S = 0.9
+CHANGE_BOUND_S = 3.0
+COALESCE_S = 0.9
 UNREACHABLE = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "unreachable")
 CONFIG: dict[str, Any] = {
     "routes": [],
@@ -42,10 +42,11 @@
 
 
 class ZoneNode:
-    """One node: what it knows, and what is wrong with it.
+    """One node with its state and its faults.
 
-    ``store_mode``: ``up``, ``busy`` (503) or ``silent``. ``deaf``: no datagram reaches it. ``dead``: gone.
-    ``frozen``: nothing goes out or comes in until it thaws. ``fetches``: whether it can call other nodes.
+    ``store_mode`` is how the store answers it: ``up``, ``busy`` (503) or ``silent``. With ``drops_datagrams``
+    it receives no datagrams; if ``dead`` it was killed; while ``paused`` it sends and receives nothing.
+    ``can_fetch`` is whether it can call other nodes.
     """
 
     def __init__(self, zone: "Zone", number: int, cores: float = 0.5) -> None:
@@ -53,8 +54,8 @@
         self.contact = NodeContact(f"n{number}", "z1", f"{host}:1", f"{host}:2", f"{host}:3", cores)
         self.zone = zone
         self.store_mode = "up"
-        self.deaf = self.dead = self.frozen = False
-        self.fetches = True
+        self.drops_datagrams = self.dead = self.paused = False
+        self.can_fetch = True
         self.fetched: list[str] = []
         self.version = 0
         self.went_back = False
@@ -62,26 +63,26 @@
         self.configuration: Configuration | None = None
         self.evacuated: frozenset[str] = frozenset()
         self.orders: dict[str, RolloutOrder] = {}
-        self.full_calls = 0
+        self.full_price_calls = 0
         server = MemoryServer(self._script, zone.tasks)
         store = MetadataStore(ApiClient(Address("10.9.9.9", 80), server.connect))
         source = random.Random(number)
-        terms = WatchTiming.within(BOUND_S)
-        check_s = terms.check_interval_s
+        timing = WatchTiming.within(CHANGE_BOUND_S)
+        check_s = timing.check_interval_s
         feeds: dict[str, Feed] = {
             CONFIGURATION: configuration_feed(store),
             SERVERS: server_feed(store),
             EVACUATIONS: evacuation_feed(store),
         }
-        if zone.rolls_out:
+        if zone.with_rollouts:
             feeds[ROLLOUTS] = rollout_feed(store)
-        gathering_s = {SERVERS: GATHERING_S}
+        coalesce_s = {SERVERS: COALESCE_S}
         availability = RegistryAvailability()
         self.followers = {
             name: FeedFollower(
                 feed,
-                self._learn,
-                gathering_s.get(name, 0.3),
+                self._apply_event,
+                coalesce_s.get(name, 0.3),
                 source,
                 check_s,
                 watching=False,
@@ -90,7 +91,7 @@
             for name, feed in feeds.items()
         }
         self.watch = ZoneWatch(
-            self.contact, self.followers, self._whole, self._send, self._fetch, terms, source
+            self.contact, self.followers, self._whole_feed, self._send, self._fetch, timing, source
         )
         self.scope = anyio.CancelScope()
 
@@ -109,38 +110,38 @@
         self.dead = True
         self.scope.cancel()
 
-    async def thawed(self) -> None:
-        while self.frozen:
+    async def wait_until_resumed(self) -> None:
+        while self.paused:
             await anyio.sleep(0.01)
 
     async def _script(self, server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
         if "stale=1" not in heard.head.split("\r\n")[0]:
-            self.full_calls += 1
-        await self.thawed()
+            self.full_price_calls += 1
+        await self.wait_until_resumed()
         if self.store_mode == "silent":
             await anyio.sleep_forever()
         if self.store_mode == "busy":
             await stream.send(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\n\r\n")
             return
         await self.zone.standin.script(server, stream, heard)
-        await self.thawed()
+        await self.wait_until_resumed()
 
     async def _send(self, address: str, data: bytes) -> None:
-        await self.thawed()
-        await anyio.sleep(self.zone.sending_s)
+        await self.wait_until_resumed()
+        await anyio.sleep(self.zone.send_delay_s)
         self.zone.deliver(self.contact.reports, address, data)
 
     async def _fetch(self, address: str, feed: str) -> bytes | Failure:
         other = next((each for each in self.zone.nodes if each.contact.peers == address), None)
         self.fetched.append(feed)
-        if other is None or other.dead or not self.fetches:
+        if other is None or other.dead or not self.can_fetch:
             return UNREACHABLE
         with anyio.move_on_after(1.0):
-            await other.thawed()
+            await other.wait_until_resumed()
             return other.watch.state(feed) or UNREACHABLE
         return UNREACHABLE
 
-    def _whole(self, feed: str) -> WholeFeed | None:
+    def _whole_feed(self, feed: str) -> WholeFeed | None:
         if feed == SERVERS:
             return ev.ServersReplaced(tuple(self.servers.values()))
         if feed == EVACUATIONS:
@@ -149,7 +150,7 @@
             return ev.RolloutsReplaced(tuple(self.orders.values()))
         return ev.ConfigurationLearnt(self.configuration) if self.configuration else None
 
-    def _learn(self, event: ev.Event) -> None:
+    def _apply_event(self, event: ev.Event) -> None:
         if isinstance(event, ev.ConfigurationLearnt):
             if event.configuration.version > self.version:
                 self.configuration, self.version = event.configuration, event.configuration.version
@@ -177,13 +178,13 @@
     """The nodes, their store, and the network between them."""
 
     def __init__(
-        self, tasks: anyio.abc.TaskGroup, count: int, strong: frozenset[int], rolls_out: bool = False
+        self, tasks: anyio.abc.TaskGroup, count: int, strong: frozenset[int], with_rollouts: bool = False
     ) -> None:
         self.tasks = tasks
-        self.rolls_out = rolls_out
+        self.with_rollouts = with_rollouts
         self.standin = StoreStandin()
         self.loss = 0.0
-        self.sending_s = 0.0
+        self.send_delay_s = 0.0
         self.routes: list[dict[str, Any]] = []
         self.datagrams = 0
         self._random = random.Random(7)
@@ -195,7 +196,7 @@
         self.join([ZoneNode(self, number, 2.0 if number in strong else 0.5) for number in range(count)])
 
     def join(self, nodes: list[ZoneNode]) -> None:
-        """Start nodes; everybody learns of them."""
+        """Start nodes and add them to the members of every node."""
         self.nodes = [*self.nodes, *nodes]
         for node in self.nodes:
             node.watch.set_members(each.contact for each in self.nodes)
@@ -206,11 +207,11 @@
         self.datagrams += 1
         for node in self.nodes:
             lost = self._random.random() < self.loss
-            if node.contact.reports == address and not (node.dead or node.deaf or lost):
-                self.tasks.start_soon(self._hand_over, node, sender, data)
+            if node.contact.reports == address and not (node.dead or node.drops_datagrams or lost):
+                self.tasks.start_soon(self._deliver_later, node, sender, data)
 
-    async def _hand_over(self, node: ZoneNode, sender: str, data: bytes) -> None:
-        await node.thawed()
+    async def _deliver_later(self, node: ZoneNode, sender: str, data: bytes) -> None:
+        await node.wait_until_resumed()
         node.watch.receive(data, sender, anyio.current_time())
 
     def configure(self) -> None:
@@ -222,25 +223,25 @@
         self.standin.put("servers", name, spec)
 
     def listed(self) -> list[str]:
-        return [name for of, name in self.standin.objects if of == "servers"]
+        return [name for kind, name in self.standin.objects if kind == "servers"]
 
     def change(self) -> None:
-        """One change of each kind: a version, evacuations, a server that leaves, one gone, a new one."""
+        """Make one change of each kind: configuration, evacuations, server draining, removed and added."""
         self.configure()
-        if "z2" in self._evacuated():
+        if "z2" in self._expected_evacuations():
             self.standin.remove("evacuations", "z2")
             self.standin.put("evacuations", "z1", {})
         else:
             self.standin.put("evacuations", "z2", {})
-        if self.rolls_out:
+        if self.with_rollouts:
             self._change_orders()
-        self.list_server("i-0", "draining" if not self._leaves("i-0") else "ready")
-        gone = next(name for of, name in self.standin.objects if of == "servers" and name != "i-0")
+        self.list_server("i-0", "draining" if not self._is_draining("i-0") else "ready")
+        gone = next(name for kind, name in self.standin.objects if kind == "servers" and name != "i-0")
         self.standin.remove("servers", gone)
         self.list_server(f"j-{self._version}")
 
     def _change_orders(self) -> None:
-        """Order one roll-out, then record how far it has come, then withdraw it."""
+        """Order one roll-out, record its progress in the next call, and withdraw it in the one after."""
         item = self.standin.objects.get(("rollouts", "s1"))
         if item is None:
             spec = {"service": "s1", "targetVersion": "v2", "durationS": 12}
@@ -250,25 +251,25 @@
         else:
             self.standin.remove("rollouts", "s1")
 
-    def _ordered(self) -> dict[str, RolloutOrder]:
+    def _expected_orders(self) -> dict[str, RolloutOrder]:
         return {
             name: read_order(item_of(item))
-            for (of, name), item in self.standin.objects.items()
-            if of == "rollouts"
+            for (kind, name), item in self.standin.objects.items()
+            if kind == "rollouts"
         }
 
-    def _evacuated(self) -> frozenset[str]:
-        return frozenset(name for of, name in self.standin.objects if of == "evacuations")
+    def _expected_evacuations(self) -> frozenset[str]:
+        return frozenset(name for kind, name in self.standin.objects if kind == "evacuations")
 
-    def _leaves(self, name: str) -> bool:
+    def _is_draining(self, name: str) -> bool:
         return bool(self.standin.objects[("servers", name)]["spec"]["state"] == "draining")
 
-    def behind(self) -> list[str]:
-        """Which living nodes don't know what the store says."""
-        told = {
+    def stale_nodes(self) -> list[str]:
+        """Return the live nodes whose state differs from the store's."""
+        expected = {
             name: item["spec"]["state"] == "draining"
-            for (of, name), item in self.standin.objects.items()
-            if of == "servers"
+            for (kind, name), item in self.standin.objects.items()
+            if kind == "servers"
         }
         return [
             node.contact.node
@@ -276,34 +277,34 @@
             if not node.dead
             and (
                 (node.version, node.evacuated, node.orders)
-                != (self._version, self._evacuated(), self._ordered())
-                or {name: each.leaving for name, each in node.servers.items()} != told
+                != (self._version, self._expected_evacuations(), self._expected_orders())
+                or {name: each.leaving for name, each in node.servers.items()} != expected
             )
         ]
 
     def watchers(self) -> list[ZoneNode]:
         return [node for node in self.nodes if node.watching and not node.dead]
 
-    def full_calls(self) -> int:
-        return sum(node.full_calls for node in self.nodes)
+    def full_price_calls(self) -> int:
+        return sum(node.full_price_calls for node in self.nodes)
 
 
-def in_a_zone(
+def run_in_zone(
     main: Callable[[Zone], Awaitable[None]],
     count: int = 20,
     strong: frozenset[int] = frozenset(),
-    rolls_out: bool = False,
+    with_rollouts: bool = False,
 ) -> None:
     """Run ``main`` once a zone has settled; the nodes numbered in ``strong`` have four times the cores.
 
-    With ``rolls_out`` the nodes follow roll-outs too, and each change orders, records or withdraws one.
+    With ``with_rollouts`` the nodes follow roll-outs too, and each change orders, records or withdraws one.
     """
 
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            zone = Zone(tasks, count, strong, rolls_out)
+            zone = Zone(tasks, count, strong, with_rollouts)
             await anyio.sleep(6.0)
-            assert zone.behind() == []
+            assert zone.stale_nodes() == []
             assert len(zone.watchers()) == min(2, count)
             await main(zone)
             tasks.cancel_scope.cancel()
