--- a/src/yokesill/registry/restored_lists.py
+++ b/src/yokesill/registry/restored_lists.py
@@ -22,9 +22,9 @@
     ZoneEvacuated,
 )
 
-# The platform's own figure for how long entries take to reappear after an outage. Entries that were removed
-# while they were lost stay in force for this time: a reopened zone gets no new requests yet, and a request
-# whose quarantine was lifted is still refused.
+# The platform's own figure for how long entries take to reappear after an outage. Entries removed in the
+# meantime stay in force for this time: a reopened zone gets no new requests yet, and a request whose
+# quarantine was lifted is still refused.
 SETTLING_S = 2.0
 
 
