--- a/src/yokesill/coordinators/messages.py
+++ b/src/yokesill/coordinators/messages.py
@@ -61,8 +61,7 @@
         method, host, path, target, headers, body = request_fields
         if message_format != FORMAT or type(version) is not int or not 0 <= waited_s <= timeout_s:
             raise ValueError(
-                f"format {message_format!r}, version {version!r}, waited {waited_s!r} s of {timeout_s!r} s, "
-                f"expected format {FORMAT}, an integer and 0 <= waited <= timeout"
+                f"format {message_format!r}, version {version!r}, waited {waited_s!r} of {timeout_s!r}"
             )
         request = GatewayRequest(
             key=key,
@@ -78,7 +77,7 @@
             fresh_connection=bool(fresh),
         )
     except (TypeError, ValueError, cbor2.CBORDecodeError) as error:
-        raise ValueError(f"malformed forwarded request: {error!r}") from error
+        raise ValueError(f"a malformed request: {error!r}") from error
     return ForwardedRequest(version, waited_s, request)
 
 
@@ -116,5 +115,5 @@
 def _decode_headers(headers: Any) -> tuple[tuple[bytes, bytes], ...]:
     pairs = tuple((name, value) for name, value in headers)
     if not all(isinstance(each, bytes) for pair in pairs for each in pair):
-        raise ValueError("headers must be pairs of bytes")
+        raise ValueError("headers are pairs of bytes")
     return pairs
