--- a/bench/quarantine_cost.py
+++ b/bench/quarantine_cost.py
@@ -14,7 +14,7 @@
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.requests.fingerprints import fingerprint
 from yokesill.peers.dissemination import Peer
-from yokesill.quarantine.detector import MOST_RECORDS, CrashDetector, Loss, QuarantineStatus
+from yokesill.quarantine.detector import MAX_RECORDS, CrashDetector, Loss, QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.quarantine.messages import LossReport, QuarantineFinding
 
@@ -25,15 +25,15 @@
 def record_bytes() -> float:
     """Return what one record of three lost servers takes, in bytes, with as many as are kept."""
     judge = CrashDetector()
-    names = [f"{number:024x}" for number in range(MOST_RECORDS)]
+    names = [f"{number:024x}" for number in range(MAX_RECORDS)]
     losses = [Loss(f"i-{number:010x}", f"shard-{number:03d}") for number in range(3)]
     tracemalloc.start()
     for name in names:
         for loss in losses:
-            judge.lost(name, loss, 0.0)
+            judge.record_loss(name, loss, 0.0)
     taken, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return taken / MOST_RECORDS
+    return taken / MAX_RECORDS
 
 
 def sent(status: QuarantineStatus | None) -> tuple[int, int]:
@@ -72,7 +72,7 @@
         "zones": ZONES,
         "shards": SHARDS,
         "record_bytes": round(record_bytes()),
-        "most_records": MOST_RECORDS,
+        "most_records": MAX_RECORDS,
         "quarantine_datagrams_and_bytes": sent(QuarantineStatus.QUARANTINED),
         "suspicion_datagrams_and_bytes": sent(QuarantineStatus.SUSPECTED),
         "losses_datagrams_and_bytes": sent(None),
--- a/src/yokesill/callers/application.py
+++ b/src/yokesill/callers/application.py
@@ -34,7 +34,7 @@
 FIRST_CONFIGURATION_WAIT_S = 0.12
 
 
-class CallerGoneError(Exception):
+class CallerDisconnectedError(Exception):
     """The caller closed before its request was whole."""
 
 
@@ -89,7 +89,7 @@
                 await self.synchronised.wait()
         try:
             read = await self._read(scope, receive, arrived_at)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             # Not logged: without its whole request there is nothing to run, and nothing to name in a line.
             return
         if isinstance(read, BadRequest):
@@ -191,7 +191,7 @@
     while more:
         message = await receive()
         if message["type"] == "http.disconnect":
-            raise CallerGoneError
+            raise CallerDisconnectedError
         chunk = message.get("body", b"")
         size += len(chunk)
         if size > limit:
--- a/src/yokesill/callers/listener.py
+++ b/src/yokesill/callers/listener.py
@@ -20,7 +20,7 @@
 # may stay idle.
 DEFAULT_HEADER_TIMEOUT_S = 3.0
 DEFAULT_IDLE_TIMEOUT_S = 15.0
-HEAD_TOO_SLOW = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"
+REQUEST_TIMEOUT_RESPONSE = b"HTTP/1.1 408 Request Timeout\r\nconnection: close\r\ncontent-length: 0\r\n\r\n"
 
 
 class BoundedConfig(uvicorn.Config):
@@ -70,7 +70,7 @@
         self._time_limit = None
         if self.transport.is_closing():
             return
-        self.transport.write(HEAD_TOO_SLOW)
+        self.transport.write(REQUEST_TIMEOUT_RESPONSE)
         self.transport.close()
 
 
--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -12,7 +12,7 @@
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.gateway.servers.server_zones import ServerZones
-from yokesill.peers.capacity_rank import gathering_nodes, strong_nodes
+from yokesill.peers.capacity_rank import coordinator_nodes, strong_nodes
 from yokesill.registry.feeds import NodeContact
 
 # No heartbeat says that a coordinator elsewhere is back: it is tried again after this time. Each try of a
@@ -57,7 +57,7 @@
         Strong nodes of a zone without servers gather only when nobody elsewhere does.
         """
         contacts = tuple(contacts)
-        gathering = gathering_nodes((each.node, each.zone, each.cores) for each in contacts)
+        gathering = coordinator_nodes((each.node, each.zone, each.cores) for each in contacts)
         if not self._options.switches.gathers_near_servers:
             return gathering
         zones = {each.zone for each in self._servers.records()}
--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -37,7 +37,7 @@
         A suspicion stays here: the request may be answered yet. Its owners get its losses once it has failed,
         so a loss of many servers at once makes no messages for every request there.
         """
-        status = self.detector.lost(name, loss, now)
+        status = self.detector.record_loss(name, loss, now)
         if status is not None:
             self._changed(name, status, "found", actions)
         if status is QuarantineStatus.QUARANTINED:
@@ -45,13 +45,13 @@
 
     def report_loss(self, name: str, loss: Loss, actions: list[ev.Action]) -> None:
         """Report a loss of a failed request to its owners."""
-        self.detector.share(name)
+        self.detector.mark_shared(name)
         actions.append(ev.LossObserved(name, loss))
 
     def answered(self, name: str, service: str, probe: bool, actions: list[ev.Action]) -> None:
         """Count that a server answered the request, which may clear it."""
-        shared = self.detector.shared(name)
-        if self.detector.answered(name, service, probe):
+        shared = self.detector.is_shared(name)
+        if self.detector.record_answer(name, service, probe):
             if shared:
                 actions.append(ev.AnswerObserved(name, service, probe))
             if probe:
@@ -61,8 +61,8 @@
 
     def loss_reported(self, event: ev.LossReported, now: float, actions: list[ev.Action]) -> None:
         """Count what another node saw; all nodes get what follows from it."""
-        status = self.detector.lost(event.fingerprint, event.loss, now)
-        self.detector.share(event.fingerprint)
+        status = self.detector.record_loss(event.fingerprint, event.loss, now)
+        self.detector.mark_shared(event.fingerprint)
         if status is not None:
             self._changed(event.fingerprint, status, "found", actions)
             actions.append(ev.RequestJudged(event.fingerprint, status))
@@ -77,7 +77,7 @@
     def record(self, fingerprints: frozenset[str], actions: list[ev.Action]) -> None:
         """Adopt the registry's list of quarantined requests."""
         before, self.list_known = self.detector.recorded, True
-        self.detector.record(fingerprints)
+        self.detector.set_recorded(fingerprints)
         for each in sorted(fingerprints - before):
             self._changed(each, QuarantineStatus.QUARANTINED, "recorded", actions)
         for each in sorted(before - fingerprints):
--- a/src/yokesill/gateway/state_updates.py
+++ b/src/yokesill/gateway/state_updates.py
@@ -199,7 +199,7 @@
 
 @apply_update.register
 def _(event: ev.AnswerReported, updates: StateUpdates, now: float, actions: Actions) -> None:
-    updates.context.crashes.detector.answered(event.fingerprint, event.service, event.trial)
+    updates.context.crashes.detector.record_answer(event.fingerprint, event.service, event.trial)
 
 
 @apply_update.register
--- a/src/yokesill/outliers/messages.py
+++ b/src/yokesill/outliers/messages.py
@@ -4,7 +4,7 @@
 from functools import singledispatch
 from typing import Any, NamedTuple
 
-from yokesill.peers.frame import Kind, count, decode_frame, encode_frame, text
+from yokesill.peers.frame import Kind, decode_frame, encode_frame, parse_count, parse_text
 
 # An instance name and its share of the frame: names of the usual 12 bytes leave half of 1,200 bytes free.
 ENTRIES_PER_DATAGRAM = 30
@@ -76,7 +76,9 @@
 
 
 def _observations(entries: Any, *_later: Any) -> Observations:
-    return Observations(tuple(Observation(text(instance), count(good)) for instance, good in entries))
+    return Observations(
+        tuple(Observation(parse_text(instance), parse_count(good)) for instance, good in entries)
+    )
 
 
 def _suspicions(entries: Any, relay: Any, *_later: Any) -> Suspicions:
@@ -87,7 +89,7 @@
     for_s = float(for_ms) / 1000
     if not 0 <= for_s <= LONGEST_SUSPICION_S:
         raise ValueError(f"a suspicion of {for_s} s")
-    return Suspicion(text(instance), for_s)
+    return Suspicion(parse_text(instance), for_s)
 
 
 _READERS: dict[int, Callable[..., Message]] = {Kind.OBSERVATIONS: _observations, Kind.SUSPICIONS: _suspicions}
--- a/src/yokesill/peers/capacity_rank.py
+++ b/src/yokesill/peers/capacity_rank.py
@@ -27,7 +27,7 @@
     return frozenset(node for node, each in cores.items() if each >= least)
 
 
-def gathering_nodes(nodes: Iterable[tuple[str, str, float]]) -> frozenset[str]:
+def coordinator_nodes(nodes: Iterable[tuple[str, str, float]]) -> frozenset[str]:
     """Return which nodes of all zones coordinate wide requests: strong ones, or all of a zone without any.
 
     Parameters
--- a/src/yokesill/peers/frame.py
+++ b/src/yokesill/peers/frame.py
@@ -97,21 +97,21 @@
     return data[1]
 
 
-def text(value: Any) -> str:
+def parse_text(value: Any) -> str:
     """Return a value that must be a string."""
     if not isinstance(value, str):
         raise ValueError("a text is needed")
     return value
 
 
-def name(value: Any, most_chars: int) -> str:
+def parse_name(value: Any, most_chars: int) -> str:
     """Return a value that must be a string of 1 to ``most_chars`` characters."""
     if not isinstance(value, str) or not 0 < len(value) <= most_chars:
         raise ValueError(f"a name of up to {most_chars} characters is needed")
     return value
 
 
-def count(value: Any) -> int:
+def parse_count(value: Any) -> int:
     """Return a value that must be a whole number from 0 to ``LARGEST_COUNT``."""
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= LARGEST_COUNT:
         raise ValueError("a count is needed")
--- a/src/yokesill/peers/ranks.py
+++ b/src/yokesill/peers/ranks.py
@@ -26,22 +26,22 @@
         How long nodes above must be silent until the next in rank acts.
     step_s
         How much longer each further rank waits, so that not all take over at once.
-    patience_s
+    max_report_age_s
         How long a report may be relied on.
-    settle_s
+    startup_delay_s
         How long a starting node leaves acting to others, so that it learns first who is there.
-    strong_settle_s
+    strong_startup_delay_s
         The same for a strong node.
-    acting
+    active_nodes
         How many nodes are wanted to act.
     """
 
     takeover_s: float
     step_s: float
-    patience_s: float
-    settle_s: float
-    strong_settle_s: float
-    acting: int
+    max_report_age_s: float
+    startup_delay_s: float
+    strong_startup_delay_s: float
+    active_nodes: int
 
 
 class RankedGroup:
@@ -69,15 +69,19 @@
         self._current_at_s: dict[str, float] = {}
         self._reported_at_s: dict[str, float] = {}
         self._started_at_s = now
-        self._settled_at_s = now + timing.settle_s
-        self._relied_at_s = self._settled_at_s - timing.patience_s / 2
-        self._patience_s = timing.patience_s + source.random() * PATIENCE_SPREAD_SHARE * timing.patience_s
+        self._settled_at_s = now + timing.startup_delay_s
+        self._relied_at_s = self._settled_at_s - timing.max_report_age_s / 2
+        self._patience_s = (
+            timing.max_report_age_s + source.random() * PATIENCE_SPREAD_SHARE * timing.max_report_age_s
+        )
 
     def set_members(self, nodes: Iterable[str], strong: Collection[str] = ()) -> None:
         """Set the members, and which of them rank first; this node is a member in any case."""
         members = {*nodes, self._own}
         if self._own in strong:
-            self._settled_at_s = min(self._settled_at_s, self._started_at_s + self._timing.strong_settle_s)
+            self._settled_at_s = min(
+                self._settled_at_s, self._started_at_s + self._timing.strong_startup_delay_s
+            )
         self._ranked = sorted(
             members, key=lambda node: (node not in strong, weight(name_hash(node), self._subject), node)
         )
@@ -89,7 +93,7 @@
         """All members, the first by rank first."""
         return tuple(self._ranked)
 
-    def received(self, node: str, current: bool, synchronised: bool, now: float) -> None:
+    def record_report(self, node: str, current: bool, synchronised: bool, now: float) -> None:
         """Note that a node reported.
 
         Parameters
@@ -116,11 +120,11 @@
             node: at_s for node, at_s in self._reported_at_s.items() if now - at_s < self._timing.takeover_s
         }
 
-    def acts(self, now: float) -> bool:
+    def should_act(self, now: float) -> bool:
         """Whether this node is to act: too few current nodes above it report, and it had time to learn so."""
         return now >= self._settled_at_s and self._too_few(self._current_at_s, now)
 
-    def relies(self, now: float) -> bool:
+    def has_fresh_report(self, now: float) -> bool:
         """Whether a current node's report is young enough to rely on."""
         return now - self._relied_at_s <= self._patience_s
 
@@ -136,9 +140,9 @@
         """Whether fewer nodes than wanted reported above this one for long enough."""
         rank = self._ranked.index(self._own)
         silence_s = self._timing.takeover_s + rank * self._timing.step_s
-        if rank < self._timing.acting:
+        if rank < self._timing.active_nodes:
             return True
         if now - self._settled_at_s < silence_s:
             return False
         above = (reported_at_s.get(node, float("-inf")) for node in self._ranked[:rank])
-        return sum(now - at_s < silence_s for at_s in above) < self._timing.acting
+        return sum(now - at_s < silence_s for at_s in above) < self._timing.active_nodes
--- a/src/yokesill/quarantine/detector.py
+++ b/src/yokesill/quarantine/detector.py
@@ -23,7 +23,7 @@
 UNRECORDED_S = 3600.0
 # 1.1 KB each (bench/quarantine_cost.py), 4.7 MB in all. Beyond, the oldest are dropped, so many at a time
 # that sorting them is rare.
-MOST_RECORDS, FORGOTTEN_AT_ONCE = 4096, 512
+MAX_RECORDS, FORGOTTEN_AT_ONCE = 4096, 512
 
 
 class QuarantineStatus(enum.IntEnum):
@@ -106,7 +106,7 @@
 
     # --- evidence ---
 
-    def lost(self, fingerprint: str, loss: Loss, now: float) -> QuarantineStatus | None:
+    def record_loss(self, fingerprint: str, loss: Loss, now: float) -> QuarantineStatus | None:
         """Note that a server was lost under a request; return its status if that has changed."""
         if fingerprint in self._recorded:
             return None
@@ -122,18 +122,18 @@
         record.update_status()
         return record.status if record.status is not before else None
 
-    def share(self, fingerprint: str) -> None:
+    def mark_shared(self, fingerprint: str) -> None:
         """Note that other nodes know of a request."""
         record = self._records.get(fingerprint)
         if record is not None:
             record.shared = True
 
-    def shared(self, fingerprint: str) -> bool:
+    def is_shared(self, fingerprint: str) -> bool:
         """Whether other nodes know of a request."""
         record = self._records.get(fingerprint)
         return record is not None and record.shared
 
-    def answered(self, fingerprint: str, service: str, trial: bool) -> bool:
+    def record_answer(self, fingerprint: str, service: str, trial: bool) -> bool:
         """Note that a server answered a request; return whether that clears it of something.
 
         An answer in a trial clears it of all. Any other one clears it of its own service and of those
@@ -165,7 +165,7 @@
         self._forget_old()
         return True
 
-    def record(self, fingerprints: frozenset[str]) -> None:
+    def set_recorded(self, fingerprints: frozenset[str]) -> None:
         """Set which requests the registry records; one that is not recorded any more is cleared."""
         for fingerprint in self._recorded | fingerprints:
             self._records.pop(fingerprint, None)
@@ -183,7 +183,7 @@
 
     def _forget_old(self) -> None:
         """Keep the number of records bounded: the oldest go, quarantined ones last."""
-        if len(self._records) <= MOST_RECORDS:
+        if len(self._records) <= MAX_RECORDS:
             return
 
         def worth(fingerprint: str) -> tuple[QuarantineStatus, float]:
--- a/src/yokesill/quarantine/messages.py
+++ b/src/yokesill/quarantine/messages.py
@@ -4,7 +4,7 @@
 from functools import singledispatch
 from typing import Any, NamedTuple
 
-from yokesill.peers.frame import Kind, decode_frame, encode_frame, name
+from yokesill.peers.frame import Kind, decode_frame, encode_frame, parse_name
 from yokesill.quarantine.detector import Loss, QuarantineStatus
 
 QUARANTINE_KINDS = frozenset({Kind.LOSSES, Kind.ANSWERS, Kind.QUARANTINE_FINDINGS})
@@ -113,7 +113,7 @@
 
 
 def _name(value: Any) -> str:
-    return name(value, LONGEST_NAME_CHARS)
+    return parse_name(value, LONGEST_NAME_CHARS)
 
 
 _READERS: dict[int, Callable[..., Message]] = {
--- a/src/yokesill/registry/feed_states.py
+++ b/src/yokesill/registry/feed_states.py
@@ -27,7 +27,7 @@
     ZoneEvacuated,
     ZoneReopened,
 )
-from yokesill.peers.frame import count, split_extension, with_extension
+from yokesill.peers.frame import parse_count, split_extension, with_extension
 from yokesill.positions import Position
 from yokesill.registry.feeds import Batch
 from yokesill.registry.snapshots import (
@@ -183,7 +183,7 @@
         (feed, revision, content), extension = split_extension(data)
         if type(revision) is not int:
             raise ValueError(f"a revision {revision!r}")
-        timeline = 0 if extension is None else count(extension)
+        timeline = 0 if extension is None else parse_count(extension)
         event: Event
         if feed == CONFIGURATION:
             event = ConfigurationLearnt(configuration_from_wire(content))
--- a/src/yokesill/registry/snapshots.py
+++ b/src/yokesill/registry/snapshots.py
@@ -29,7 +29,7 @@
     ServersReplaced,
     VersionsEstablished,
 )
-from yokesill.peers.frame import count
+from yokesill.peers.frame import parse_count
 from yokesill.rollouts.orders import RolloutOrder, RolloutState
 
 # A node ignores snapshots of any other format.
@@ -71,7 +71,7 @@
         configuration = configuration_from_wire(item)
         records = tuple(server_from_wire(each) for each in item["servers"])
         evacuated = frozenset(str(zone) for zone in item["evacuated"])
-        timeline = count(item.get("timeline", 0))
+        timeline = parse_count(item.get("timeline", 0))
         orders = tuple(order_from_wire(each, timeline) for each in item["rollouts"])
         quarantined = frozenset(str(name) for name in item["quarantined"])
         established = {str(name): tuple(map(str, each)) for name, each in item["established"].items()}
--- a/src/yokesill/registry/zone_watch.py
+++ b/src/yokesill/registry/zone_watch.py
@@ -184,7 +184,7 @@
         behind = [each for each in report.feeds if not self._catch_up.apply(each)]
         current = report.current and not any(map(self._catch_up.outdated, report.feeds))
         if len(report.feeds) == len(self._followers):
-            self._group.received(report.node, current, not behind, now)
+            self._group.record_report(report.node, current, not behind, now)
         for each in behind:
             self._catch_up.fetch_soon(each.feed, member, self._tasks)
         watching = self.role is WatchRole.WATCHING
--- a/src/yokesill/rollouts/decider_role.py
+++ b/src/yokesill/rollouts/decider_role.py
@@ -87,7 +87,7 @@
         (self._able_at_s if reaches_registry else self._unable_at_s)[node] = now
         (self._unable_at_s if reaches_registry else self._able_at_s).pop(node, None)
         if self._group is not None:
-            self._group.received(node, reaches_registry, True, now)
+            self._group.record_report(node, reaches_registry, True, now)
 
     def reported(self, node: str, now: float) -> None:
         """Note that a node reported."""
@@ -116,7 +116,7 @@
         if len(self._listed_at_s) < len(self._cores):
             self._listed_at_s = {node: self._listed_at_s.get(node, now) for node in self._cores}
         assert self._group is not None
-        if not self._group.acts(now):
+        if not self._group.should_act(now):
             self._deciding_since_s = None
             return False
         began = self._deciding_since_s is None
@@ -190,10 +190,10 @@
         timing = RankTiming(
             takeover_s=self.patience_s,
             step_s=STEP_S,
-            patience_s=self.patience_s,
-            settle_s=0.0,
-            strong_settle_s=0.0,
-            acting=DECIDERS,
+            max_report_age_s=self.patience_s,
+            startup_delay_s=0.0,
+            strong_startup_delay_s=0.0,
+            active_nodes=DECIDERS,
         )
         self._group = RankedGroup(self._own, RANK_SUBJECT, timing, self._source, now)
         self._began_at_s = now
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -42,14 +42,14 @@
 from yokesill.serving.settings import GatewaySettings
 from yokesill.serving.state_snapshot import configuration_version, snapshot_of
 from yokesill.supervision import Supervisor
-from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.figures import GatewayMetrics
 
 
 class NodeComponents(NamedTuple):
     """What one node consists of; nothing runs yet."""
 
     life_cycle: LifeCycle
-    figures: GatewayFigures
+    figures: GatewayMetrics
     router: GatewayRouter
     supervisor: Supervisor
     driver: GatewayDriver
--- a/src/yokesill/serving/gauges.py
+++ b/src/yokesill/serving/gauges.py
@@ -12,7 +12,7 @@
 from yokesill.registry.following import RegistryFollowing
 from yokesill.serving.life_cycle import LifeCycle
 from yokesill.serving.state_snapshot import configuration_version
-from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.figures import GatewayMetrics
 from yokesill.upstreams.server_client import ServerClient
 from yokesill.watchers.role import WatchRole
 
@@ -28,7 +28,7 @@
     following: RegistryFollowing
 
 
-def render_figures(figures: GatewayFigures, sources: GaugeSources) -> bytes:
+def render_figures(figures: GatewayMetrics, sources: GaugeSources) -> bytes:
     """Set the gauges and return all figures in the text format."""
     life_cycle, router, coordinator, client, output, following = sources
     gauge = figures.gauge
--- a/src/yokesill/serving/request_path.py
+++ b/src/yokesill/serving/request_path.py
@@ -28,7 +28,7 @@
 from yokesill.serving.settings import GatewaySettings
 from yokesill.serving.state_snapshot import whole_feed
 from yokesill.supervision import Supervisor
-from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.figures import GatewayMetrics
 from yokesill.telemetry.observer import Observer
 from yokesill.upstreams.server_client import ServerClient
 
@@ -40,7 +40,7 @@
     dependencies: Dependencies
     options: GatewayOptions
     source: random.Random
-    figures: GatewayFigures
+    figures: GatewayMetrics
     observer: Observer
     router: GatewayRouter
     supervisor: Supervisor
@@ -69,7 +69,7 @@
 ) -> Core:
     """Return what all other components are built on."""
     options = settings.options()
-    figures = GatewayFigures()
+    figures = GatewayMetrics()
     observer = Observer(get_logger("requests"), figures)
     router = GatewayRouter(options, source, now)
     supervisor = Supervisor(partial(_count_failure, figures))
@@ -91,7 +91,7 @@
     )
 
 
-def _count_failure(figures: GatewayFigures, _part: str) -> None:
+def _count_failure(figures: GatewayMetrics, _part: str) -> None:
     figures.decisions["part_failed"] += 1
 
 
--- a/src/yokesill/telemetry/exposition.py
+++ b/src/yokesill/telemetry/exposition.py
@@ -14,13 +14,13 @@
 )
 from prometheus_client.registry import Collector
 
-from yokesill.telemetry.figures import Distribution, GatewayFigures
+from yokesill.telemetry.figures import Distribution, GatewayMetrics
 
 
 class FiguresCollector(Collector):
     """Converts a node's plain figures to the library's families."""
 
-    def __init__(self, figures: GatewayFigures) -> None:
+    def __init__(self, figures: GatewayMetrics) -> None:
         self._figures = figures
 
     def collect(self) -> Iterable[Metric]:
@@ -40,7 +40,7 @@
             yield GaugeMetricFamily(name, description, value=value)
 
 
-def render(figures: GatewayFigures) -> bytes:
+def render(figures: GatewayMetrics) -> bytes:
     """Return the figures as text."""
     registry = CollectorRegistry(auto_describe=False)
     registry.register(FiguresCollector(figures))
--- a/src/yokesill/telemetry/figures.py
+++ b/src/yokesill/telemetry/figures.py
@@ -31,7 +31,7 @@
         self.total += value
 
 
-class GatewayFigures:
+class GatewayMetrics:
     """The figures of one node.
 
     ``requests`` counts by route and outcome, ``decisions`` by the name of their log line, and
--- a/src/yokesill/telemetry/observer.py
+++ b/src/yokesill/telemetry/observer.py
@@ -9,7 +9,7 @@
 from yokesill.gateway.events import FinalAnswer, LogEvent, Refuse
 from yokesill.gateway.messages import GatewayRequest, RequestSummary
 from yokesill.logs import Logger
-from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.figures import GatewayMetrics
 
 
 class CoordinatedEnding(NamedTuple):
@@ -29,7 +29,7 @@
 class Observer:
     """Writes a line for each decision and counts it."""
 
-    def __init__(self, log: Logger, figures: GatewayFigures) -> None:
+    def __init__(self, log: Logger, figures: GatewayMetrics) -> None:
         self._log = log
         self._figures = figures
 
--- a/src/yokesill/upstreams/attempt_call.py
+++ b/src/yokesill/upstreams/attempt_call.py
@@ -7,7 +7,7 @@
 
 from yokesill.gateway.events import AttemptAnswered, AttemptFailed
 from yokesill.gateway.messages import Attempt
-from yokesill.upstreams.connection_set import ConnectionSet
+from yokesill.upstreams.connection_set import ServerConnectionPool
 from yokesill.upstreams.connections import ServerConnection
 from yokesill.verdict import Verdict
 
@@ -40,7 +40,7 @@
         "waiter",
     )
 
-    def __init__(self, attempt: Attempt, connections: ConnectionSet, done: Done) -> None:
+    def __init__(self, attempt: Attempt, connections: ServerConnectionPool, done: Done) -> None:
         self.attempt = attempt
         self.connections = connections
         self.done = done
--- a/src/yokesill/upstreams/connection_set.py
+++ b/src/yokesill/upstreams/connection_set.py
@@ -17,7 +17,7 @@
 Waiter = Callable[[ServerConnection | None], None]
 
 
-class ConnectionSet:
+class ServerConnectionPool:
     """Connections to one instance of a server; a call that finds all in use waits in order of arrival.
 
     ``refused_at`` is when the server last reset a new connection at once.
@@ -54,7 +54,7 @@
         """
         while self._idle:
             connection = self._idle.pop()
-            if now < connection.reusable_until and (not check or connection.quiet()):
+            if now < connection.reusable_until and (not check or connection.has_no_unread_data()):
                 return connection
             connection.close()
             self._count(-1)
--- a/src/yokesill/upstreams/connections.py
+++ b/src/yokesill/upstreams/connections.py
@@ -68,13 +68,13 @@
         return self._wire is not None
 
     @property
-    def reply_begun(self) -> bool:
+    def reply_started(self) -> bool:
         """Whether any byte of the pending reply has arrived."""
         return self._pending is not None and self._pending.reader.begun
 
-    def quiet(self) -> bool:
+    def has_no_unread_data(self) -> bool:
         """Whether nothing has arrived that was not passed on yet."""
-        return self._wire is not None and self._wire.quiet()
+        return self._wire is not None and self._wire.has_no_unread_data()
 
     def sent_whole(self) -> bool:
         """Whether the server was sent all of the last request.
--- a/src/yokesill/upstreams/losses.py
+++ b/src/yokesill/upstreams/losses.py
@@ -45,6 +45,6 @@
     The server's other connections that were idle then may be silent as well.
     """
     connection, reused = call.connection, call.connected_in_s is None
-    if connection is None or call.sent_at is None or not reused or connection.reply_begun:
+    if connection is None or call.sent_at is None or not reused or connection.reply_started:
         return None
     return call.sent_at if now - call.sent_at >= SILENT_AFTER_S else None
--- a/src/yokesill/upstreams/opening.py
+++ b/src/yokesill/upstreams/opening.py
@@ -9,7 +9,7 @@
 import anyio
 
 from yokesill.clock import Clock
-from yokesill.upstreams.connection_set import ConnectionSet
+from yokesill.upstreams.connection_set import ServerConnectionPool
 from yokesill.upstreams.connections import ServerConnection
 from yokesill.upstreams.wires import Dial
 from yokesill.verdict import Reason
@@ -31,7 +31,7 @@
 
 
 async def open_connection(
-    connections: ConnectionSet, dial: Dial, deadline_at_s: float, clock: Clock
+    connections: ServerConnectionPool, dial: Dial, deadline_at_s: float, clock: Clock
 ) -> ServerConnection | OpeningFailure:
     """Open a connection to a server.
 
@@ -72,7 +72,7 @@
 
 
 async def _settle(
-    connections: ConnectionSet, connection: ServerConnection, started: float, now: float
+    connections: ServerConnectionPool, connection: ServerConnection, started: float, now: float
 ) -> None:
     """Watch a new connection for a moment if the server refused one lately.
 
--- a/src/yokesill/upstreams/server_client.py
+++ b/src/yokesill/upstreams/server_client.py
@@ -21,7 +21,7 @@
 from yokesill.timers import Timers
 from yokesill.upstreams.attempt_bytes import encode_attempt, read_reply
 from yokesill.upstreams.attempt_call import VERDICT_OF_STATE, AttemptCall, Done
-from yokesill.upstreams.connection_set import ConnectionSet, idle_time_s
+from yokesill.upstreams.connection_set import ServerConnectionPool, idle_time_s
 from yokesill.upstreams.connections import ServerConnection
 from yokesill.upstreams.deadlines import Deadlines
 from yokesill.upstreams.losses import reason_of_loss, silent_since_s
@@ -55,7 +55,7 @@
         self.connections_changed: Callable[[str, int], None] = lambda _instance, _count: None
         self._names = names
         self._dial = dial
-        self._sets: dict[str, ConnectionSet] = {}
+        self._sets: dict[str, ServerConnectionPool] = {}
         self._calls: dict[int, AttemptCall] = {}
         self._table = transition_table("attempt")
         self._sent_state = self._table[("connecting", "connection_ready")]
@@ -96,12 +96,12 @@
 
     # --- getting a connection ---
 
-    def _set_of(self, attempt: Attempt) -> ConnectionSet:
+    def _set_of(self, attempt: Attempt) -> ServerConnectionPool:
         server = attempt.server
         connections = self._sets.get(server.instance)
         if connections is None:
             instance = server.instance
-            connections = ConnectionSet(
+            connections = ServerConnectionPool(
                 server.host, server.port, lambda count: self.connections_changed(instance, count)
             )
             self._sets[instance] = connections
--- a/src/yokesill/upstreams/wires.py
+++ b/src/yokesill/upstreams/wires.py
@@ -38,7 +38,7 @@
     def unsent_bytes(self) -> int:
         """Return how many bytes are still kept."""
 
-    def quiet(self) -> bool:
+    def has_no_unread_data(self) -> bool:
         """Whether neither bytes nor an end have arrived that were not passed on yet."""
 
     def close(self) -> None:
@@ -89,8 +89,8 @@
         """See ``Wire.unsent_bytes``."""
         return self._transport.get_write_buffer_size()
 
-    def quiet(self) -> bool:
-        """See ``Wire.quiet``; asks the kernel."""
+    def has_no_unread_data(self) -> bool:
+        """See ``Wire.has_no_unread_data``; asks the kernel."""
         poll = select.poll()
         poll.register(self._transport.get_extra_info("socket"), POLLED_EVENTS)
         return not poll.poll(0)
@@ -143,8 +143,8 @@
         """See ``Wire.unsent_bytes``."""
         return self._unsent
 
-    def quiet(self) -> bool:
-        """See ``Wire.quiet``; a stream can't be asked."""
+    def has_no_unread_data(self) -> bool:
+        """See ``Wire.has_no_unread_data``; a stream can't be asked."""
         return True
 
     def close(self) -> None:
--- a/src/yokesill/watchers/messages.py
+++ b/src/yokesill/watchers/messages.py
@@ -8,9 +8,9 @@
 from yokesill.peers.chunks import DATAGRAM_BYTES
 from yokesill.peers.frame import (
     WATCH_REPORT_KIND,
-    count,
     decode_frame,
     encode_frame,
+    parse_count,
     split_extension,
     with_extension,
 )
@@ -85,7 +85,7 @@
     if not isinstance(timelines, list) or len(timelines) != len(report.feeds):
         raise ValueError(f"timelines {timelines!r} of {len(report.feeds)} feeds")
     feeds = zip(report.feeds, timelines, strict=True)
-    return report._replace(feeds=tuple(feed._replace(timeline=count(each)) for feed, each in feeds))
+    return report._replace(feeds=tuple(feed._replace(timeline=parse_count(each)) for feed, each in feeds))
 
 
 def _report(node: Any, current: Any, feeds: Any) -> Report:
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -54,7 +54,7 @@
 from yokesill.serving.life_cycle import LifeCycle
 from yokesill.serving.probes import METRICS_PATH, ProbeApplication
 from yokesill.serving.settings import Address
-from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.figures import GatewayMetrics
 from yokesill.telemetry.observer import Observer
 from yokesill.upstreams import attempt_bytes
 from yokesill.verdict import Failure, Reason, Verdict
@@ -382,7 +382,7 @@
 
     known = SimpleNamespace(limits=RequestLimits(500, 20))
     driver: Any = SimpleNamespace(router=SimpleNamespace(configuration=known), execute=execute)
-    observer = Observer(logs.get_logger("forms"), GatewayFigures())
+    observer = Observer(logs.get_logger("forms"), GatewayMetrics())
 
     async def main() -> list[Any]:
         served = callers.GatewayApplication(driver, names.HEADER_NAMES, observer, "n1")
@@ -607,7 +607,7 @@
     "http.passed_on": _passed_on,
     "http.gathered": _gathered,
     "http.caller": _caller,
-    "http.head_too_slow": lambda: listener.HEAD_TOO_SLOW,
+    "http.head_too_slow": lambda: listener.REQUEST_TIMEOUT_RESPONSE,
     "http.server_request": _server_request,
     "http.server_reply": _server_reply,
     "http.probe": _probe,
--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -15,7 +15,7 @@
     CoordinatorChoice,
 )
 from yokesill.gateway.messages import GatewayRequest
-from yokesill.peers.capacity_rank import gathering_nodes, strong_nodes
+from yokesill.peers.capacity_rank import coordinator_nodes, strong_nodes
 from yokesill.verdict import Verdict
 
 WIDE = gather_route(services=tuple(f"s{number}" for number in range(LEAST_SERVICES)))
@@ -154,5 +154,5 @@
 
 def test_a_zone_without_strong_nodes_gathers_by_itself() -> None:
     nodes = [("a1", "a", 0.5), ("a2", "a", 0.5), ("a3", "a", 2.0), ("b1", "b", 0.5), ("b2", "b", 0.5)]
-    assert gathering_nodes(nodes) == {"a3", "b1", "b2"}
-    assert gathering_nodes([each for each in nodes if each[0] != "a3"]) == frozenset()
+    assert coordinator_nodes(nodes) == {"a3", "b1", "b2"}
+    assert coordinator_nodes([each for each in nodes if each[0] != "a3"]) == frozenset()
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -12,7 +12,7 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 import anyio
-from memory_servers import Heard, MemoryServer, MemoryStream
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest
 
 PAGE = 3
 CRLF = "\r\n"
@@ -95,7 +95,7 @@
         if self.changed is not None:
             self.changed.set()
 
-    async def script(self, _server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(self, _server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         """Answer one call."""
         method, target, _ = heard.head.split("\r\n")[0].split(" ")
         self.calls.append(f"{method} {target}")
--- a/tests/platform/test_start_is_lean.py
+++ b/tests/platform/test_start_is_lean.py
@@ -60,7 +60,7 @@
 
 def test_a_node_renders_its_figures_without_tls() -> None:
     use = "from yokesill.telemetry import exposition, figures\n"
-    use += "told = figures.GatewayFigures()\ntold.gauge('yokesill_nodes', 'Nodes', 3)\n"
+    use += "told = figures.GatewayMetrics()\ntold.gauge('yokesill_nodes', 'Nodes', 3)\n"
     use += "print(exposition.render(told).decode().splitlines()[-1], '_ssl' in sys.modules)"
     assert run(use) == "yokesill_nodes 3.0 False"
 
--- a/tests/serving/memory_servers.py
+++ b/tests/serving/memory_servers.py
@@ -58,7 +58,7 @@
 
 
 @dataclass
-class Heard:
+class ReceivedRequest:
     """One request as a server read it."""
 
     head: str
@@ -73,7 +73,7 @@
         return None
 
 
-Script = Callable[["MemoryServer", MemoryStream, Heard], Awaitable[None]]
+Script = Callable[["MemoryServer", MemoryStream, ReceivedRequest], Awaitable[None]]
 
 
 @dataclass
@@ -82,7 +82,7 @@
 
     script: Script
     tasks: anyio.abc.TaskGroup
-    heard: list[Heard] = field(default_factory=list)
+    heard: list[ReceivedRequest] = field(default_factory=list)
     opened: int = 0
     closed: int = 0
     refuse: bool = False
@@ -112,7 +112,7 @@
                 return
             while b"\r\n\r\n" in buffer:
                 head, _, rest = buffer.partition(b"\r\n\r\n")
-                heard = Heard(head.decode(), number)
+                heard = ReceivedRequest(head.decode(), number)
                 length = int(heard.header("content-length") or 0)
                 if len(rest) < length and self.window is None:
                     break
@@ -144,7 +144,7 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-async def well(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+async def well(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
     """Answer as a sound server does."""
     await stream.send(answer_bytes(heard.header("request-id")))
 
--- a/tests/serving/test_application.py
+++ b/tests/serving/test_application.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import run_virtual
 from harness import configuration, server, single_route
-from memory_servers import Heard, MemoryServer, MemoryStream, Script, well
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest, Script, well
 
 from yokesill import logs
 from yokesill.callers.application import GatewayApplication
@@ -19,7 +19,7 @@
 from yokesill.gateway.router import GatewayRouter
 from yokesill.serving.driver import GatewayDriver
 from yokesill.serving.header_names import HeaderNames
-from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.figures import GatewayMetrics
 from yokesill.telemetry.observer import Observer
 from yokesill.upstreams.server_client import ServerClient
 from yokesill.upstreams.wires import dial_streams
@@ -69,7 +69,7 @@
     def __init__(self, backend: MemoryServer, known: Configuration | None) -> None:
         self.backend = backend
         router = GatewayRouter(GatewayOptions(zone="z1"), random.Random(1), anyio.current_time())
-        observer = Observer(logs.get_logger("test"), GatewayFigures())
+        observer = Observer(logs.get_logger("test"), GatewayMetrics())
         client = ServerClient(HeaderNames(), dial_streams(backend.connect, backend.tasks))
         self.driver = GatewayDriver(router, client, observer.log_event)
         self.application = GatewayApplication(self.driver, HeaderNames(), observer, "n1")
@@ -187,13 +187,13 @@
 
 
 def test_a_refusal_promises_no_more_than_the_verdict() -> None:
-    async def shed(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+    async def shed(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
         await stream.send(b"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 
-    async def lost(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+    async def lost(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
         await stream.aclose()
 
-    async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
+    async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
         return None
 
     for script, status in ((shed, 503), (lost, 502), (silent, 504)):
@@ -207,7 +207,7 @@
 
 
 def test_a_caller_that_leaves_has_its_request_broken_off_at_the_server() -> None:
-    async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
+    async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
         return None
 
     async def main(served: Served) -> None:
--- a/tests/serving/test_coordinator.py
+++ b/tests/serving/test_coordinator.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import run_virtual
 from harness import configuration, gather_route
-from memory_servers import Heard, MemoryServer, MemoryStream
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest
 
 from yokesill.callers.answers import HttpAnswer
 from yokesill.coordinators.client import COORDINATE_PATH, CoordinatorClient
@@ -79,7 +79,7 @@
 
 # --- asking a coordinator ---
 
-Script = Callable[[MemoryServer, MemoryStream, Heard], Awaitable[None]]
+Script = Callable[[MemoryServer, MemoryStream, ReceivedRequest], Awaitable[None]]
 
 
 def ask(
@@ -106,7 +106,7 @@
     return outcomes, server, took
 
 
-async def answering(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def answering(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     body = encode_answer("id-1", GATHERED)
     await stream.send(HEAD % len(body))
     await anyio.sleep(0.3)
@@ -119,7 +119,7 @@
     assert server.opened == 1
 
 
-async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
+async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
     """Read the request and say nothing."""
 
 
@@ -131,7 +131,7 @@
     assert server.closed == 1
 
 
-async def refusing(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def refusing(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(b"HTTP/1.1 503 X\r\ncontent-length: 9\r\n\r\nstopping\n")
 
 
@@ -148,7 +148,7 @@
     assert outcomes[0].verdict is Verdict.NOT_RUN
 
 
-async def breaking(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def breaking(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(HEAD % 1000)
     await anyio.sleep(0.1)
     await stream.aclose()
@@ -160,7 +160,7 @@
     assert outcomes[0].verdict is Verdict.MAY_HAVE_RUN
 
 
-async def mixing(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def mixing(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     body = encode_answer("id-2", GATHERED)
     await stream.send(HEAD % len(body) + body)
 
@@ -170,13 +170,13 @@
     assert isinstance(outcomes[0], Failure)
 
 
-async def endless(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def endless(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(HEAD % 1000)
     await anyio.sleep_forever()
 
 
 def test_after_one_silent_connection_to_a_coordinator_no_other_old_one_is_used() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await anyio.sleep(0.01)
         if heard.connection > silent_up_to[0]:
             body = encode_answer("id-1", GATHERED)
@@ -335,7 +335,7 @@
         notes = Notes()
         answers = [first, ANSWER]
 
-        async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+        async def script(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
             body = encode_answer("id-1", GatheredAnswer(answers.pop(0), took_s))
             await stream.send(HEAD % len(body))
             await anyio.sleep(took_s)
--- a/tests/serving/test_figures.py
+++ b/tests/serving/test_figures.py
@@ -3,12 +3,12 @@
 from yokesill.gateway.events import LogEvent
 from yokesill.gateway.messages import RequestSummary
 from yokesill.telemetry.exposition import render
-from yokesill.telemetry.figures import GatewayFigures
+from yokesill.telemetry.figures import GatewayMetrics
 from yokesill.verdict import Verdict
 
 
 def test_counters_and_histograms_are_rendered() -> None:
-    figures = GatewayFigures()
+    figures = GatewayMetrics()
     figures.count_request("wide", "partial", RequestSummary("wide", 3, Verdict.RAN, 0.09, 18, 20, 23, 3))
     figures.count_request("none", "rejected", None)
     figures.count_event(LogEvent("attempt_added", {}))
--- a/tests/serving/test_remote_coordinators.py
+++ b/tests/serving/test_remote_coordinators.py
@@ -8,7 +8,7 @@
 import pytest
 from conftest import run_virtual
 from harness import configuration, gather_route, server
-from memory_servers import Heard, MemoryServer, MemoryStream
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest
 from test_coordinator import ANSWER, HEAD, WANTING, Notes, a_request
 
 from yokesill.callers.answers import HttpAnswer
@@ -121,7 +121,9 @@
                 if fault == "dark":
                     await anyio.sleep_forever()
 
-                async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+                async def script(
+                    _server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest
+                ) -> None:
                     if fault == "mute":
                         return
                     if fault == "full":
--- a/tests/serving/test_server_client.py
+++ b/tests/serving/test_server_client.py
@@ -5,7 +5,16 @@
 import anyio
 import pytest
 from conftest import run_virtual
-from memory_servers import Heard, MemoryServer, MemoryStream, Script, answer_bytes, attempt, call, well
+from memory_servers import (
+    MemoryServer,
+    MemoryStream,
+    ReceivedRequest,
+    Script,
+    answer_bytes,
+    attempt,
+    call,
+    well,
+)
 
 from yokesill.gateway.events import AttemptAnswered, AttemptFailed
 from yokesill.serving.header_names import HeaderNames
@@ -57,28 +66,28 @@
     with_server(well, main)
 
 
-async def _foreign(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def _foreign(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(answer_bytes("another"))
 
 
-async def _without_id(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def _without_id(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(answer_bytes(None))
 
 
-async def _coded(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+async def _coded(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
     await stream.send(answer_bytes(heard.header("request-id"), extra="Content-Encoding: gzip"))
 
 
-async def _cut(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+async def _cut(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
     await stream.send(answer_bytes(heard.header("request-id"))[:-2])
     await stream.aclose()
 
 
-async def _noise(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def _noise(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(b"\x00\x01 this is not HTTP\r\n\r\n")
 
 
-async def _unframed_reset(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+async def _unframed_reset(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
     await stream.send(answer_bytes(heard.header("request-id"), framed=False))
     assert stream.peer is not None
     stream.peer.reset = True
@@ -106,7 +115,7 @@
 
 
 def test_an_answer_without_a_length_ends_with_an_orderly_close() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await stream.send(answer_bytes(heard.header("request-id"), b"part one, ", framed=False))
         await stream.send(b"part two")
         await stream.aclose()
@@ -120,7 +129,7 @@
 
 
 def test_a_surplus_answer_is_never_taken_for_the_next_one() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         own = answer_bytes(heard.header("request-id"))
         await stream.send(own)
         await stream.send(own)
@@ -137,7 +146,7 @@
 
 
 def test_a_surplus_answer_in_the_place_of_the_next_one_is_nobodys() -> None:
-    async def script(server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         if len(server.heard) == 2:
             await stream.send(answer_bytes("id-1"))
         await stream.send(answer_bytes(heard.header("request-id")))
@@ -152,7 +161,7 @@
 
 
 def test_bytes_after_an_answer_close_the_connection() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await stream.send(answer_bytes(heard.header("request-id")) + b"HTTP/1.1 200 OK\r\n")
 
     async def main(server: MemoryServer, client: ServerClient) -> None:
@@ -172,7 +181,7 @@
     ],
 )
 def test_a_promise_that_it_did_not_run_is_kept_apart(status: str, extra: str, reason: Reason) -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
         await stream.send(answer_bytes(None, b"", status, extra))
 
     async def main(_server: MemoryServer, client: ServerClient) -> None:
@@ -182,7 +191,7 @@
 
 
 def test_a_plain_503_promises_nothing() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await stream.send(answer_bytes(heard.header("request-id"), b"", "503 Service Unavailable"))
 
     async def main(_server: MemoryServer, client: ServerClient) -> None:
@@ -194,7 +203,7 @@
 
 
 def test_a_silent_server_ends_the_attempt_at_its_deadline() -> None:
-    async def script(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
+    async def script(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
         return None
 
     async def main(_server: MemoryServer, client: ServerClient) -> None:
@@ -211,7 +220,7 @@
     def __init__(self) -> None:
         self.silent_up_to = 0
 
-    async def __call__(self, _server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def __call__(self, _server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await anyio.sleep(0.01)
         if heard.connection > self.silent_up_to:
             await stream.send(answer_bytes(heard.header("request-id")))
@@ -255,7 +264,7 @@
 
 
 def test_no_more_connections_than_allowed_are_opened_and_the_rest_wait_their_turn() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await anyio.sleep(0.1)
         await stream.send(answer_bytes(heard.header("request-id")))
 
@@ -276,7 +285,7 @@
 
 
 def test_whoever_waits_for_a_connection_until_its_deadline_has_not_run() -> None:
-    async def script(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
+    async def script(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
         return None
 
     async def main(server: MemoryServer, client: ServerClient) -> None:
@@ -297,7 +306,7 @@
 
 
 def test_nobody_waits_long_for_a_connection_since_its_server_may_leave_meanwhile() -> None:
-    async def script(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
+    async def script(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
         return None
 
     async def main(server: MemoryServer, client: ServerClient) -> None:
@@ -314,7 +323,7 @@
 
 
 def test_a_waiter_that_is_cancelled_passes_its_turn_on() -> None:
-    async def script(server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await anyio.sleep(0.1 if len(server.heard) <= 2 else 0.0)
         await stream.send(answer_bytes(heard.header("request-id")))
 
@@ -335,7 +344,7 @@
 
 
 def test_a_cancelled_attempt_closes_its_connection() -> None:
-    async def script(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
+    async def script(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
         return None
 
     async def main(server: MemoryServer, client: ServerClient) -> None:
@@ -349,7 +358,7 @@
 
 
 def test_a_head_request_has_no_body_whatever_length_is_told() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         head, _, _ = answer_bytes(heard.header("request-id"), b"12345").partition(b"12345")
         await stream.send(head)
 
@@ -384,7 +393,7 @@
 
 
 def test_a_server_that_breaks_off_a_long_body_may_have_run_it() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
         await stream.aclose()
 
     async def main(_server: MemoryServer, client: ServerClient) -> None:
@@ -394,7 +403,7 @@
     with_server(script, main)
 
 
-async def _reset_at_once(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def _reset_at_once(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     assert stream.peer is not None
     stream.peer.reset = True
     await stream.aclose()
@@ -440,7 +449,7 @@
 
 
 def test_a_reset_that_comes_while_the_server_works_is_no_refusal() -> None:
-    async def ends(server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def ends(server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await anyio.sleep(0.03)
         await _reset_at_once(server, stream, heard)
 
--- a/tests/serving/test_snapshots.py
+++ b/tests/serving/test_snapshots.py
@@ -8,7 +8,7 @@
 import pytest
 from conftest import run_virtual
 from harness import gather_route, server, single_route
-from memory_servers import Heard, MemoryServer, MemoryStream
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Configuration, ServiceLimits
@@ -55,7 +55,7 @@
     fed: list[ev.Event] = []
     known = [False]
 
-    async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
         await stream.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
     async def run() -> None:
--- a/tests/serving/zone.py
+++ b/tests/serving/zone.py
@@ -6,7 +6,7 @@
 
 import anyio
 from conftest import run_virtual
-from memory_servers import Heard, MemoryServer, MemoryStream
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest
 from store_standin import StoreStandin
 
 from yokesill.gateway import events as ev
@@ -107,7 +107,7 @@
         while self.frozen:
             await anyio.sleep(0.01)
 
-    async def _script(self, server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def _script(self, server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         if "stale=1" not in heard.head.split("\r\n")[0]:
             self.full_calls += 1
         await self.thawed()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -16,7 +16,7 @@
 from yokesill.rollouts.canary import Canary
 from yokesill.rollouts.messages import OrderDecision, RolloutDecisions
 from yokesill.rollouts.orders import OrderId, RolloutState
-from yokesill.upstreams.connection_set import ConnectionSet
+from yokesill.upstreams.connection_set import ServerConnectionPool
 from yokesill.upstreams.connections import ServerConnection
 from yokesill.watchers.role import WatchRole, create_group, watch_role
 from yokesill.watchers.timing import WatchTiming
@@ -129,7 +129,7 @@
 
 
 def test_a_connection_that_its_server_has_closed_meanwhile_is_not_used() -> None:
-    connections = ConnectionSet("10.0.0.1", 80, lambda _count: None)
+    connections = ServerConnectionPool("10.0.0.1", 80, lambda _count: None)
     rested = ServerConnection(connections.lost)
     assert connections.reserve(1)
     connections.opened()
@@ -149,7 +149,7 @@
     group = create_group("n9", terms, random.Random(1), 0.0)
     group.set_members([f"n{number}" for number in range(12)])
     for node in group.ranked[:2]:
-        group.received(node, current=True, synchronised=True, now=100.0)
+        group.record_report(node, current=True, synchronised=True, now=100.0)
     assert group.reporting(100.0) != {}
     assert group.reporting(100.0 + SUSPENDED_S) == {}
     assert watch_role(group, 100.0 + SUSPENDED_S) is not WatchRole.FOLLOWING
