--- a/src/yokesill/outliers/__init__.py
+++ b/src/yokesill/outliers/__init__.py
@@ -1,4 +1,4 @@
-"""Nodes find slow and failing servers together: what one sees late, all go around soon.
+"""Cluster-wide detection of slow and failing servers: nodes share observations and avoid suspected servers.
 
-Decides sans I/O; must not touch sockets, clocks or the router's state.
+Sans I/O: this package must not touch sockets, clocks or the router's state.
 """
--- a/src/yokesill/outliers/exchange.py
+++ b/src/yokesill/outliers/exchange.py
@@ -1,7 +1,7 @@
-"""One node's share in finding slow and failing servers.
+"""Connects one node to the cluster-wide detection of slow and failing servers.
 
-What it saw goes to each server's owners; as an owner it feeds its ``OutlierDetector`` with what all nodes
-saw, and passes suspicions on to all nodes.
+A node sends its observations of a server to that server's owners. As an owner, it feeds the observations of
+all nodes to its ``OutlierDetector`` and sends the resulting suspicions to all nodes.
 """
 
 import random
@@ -20,19 +20,19 @@
 from yokesill.peers.dissemination import Datagram, Dissemination, Peer
 from yokesill.peers.exchange import FindingQueue, ReportQueue
 
-# A node reports a server once in this time, as detectors take what comes within 0.1 s for one observation.
-LEAST_INTERVAL_S = 0.1
+# A node reports a server at most once in this time, since detectors count observations within 0.1 s as one.
+MIN_REPORT_INTERVAL_S = 0.1
 
 
 class OutlierExchange:
-    """One node's share in finding slow and failing servers.
+    """Shares one node's observations of servers, and suspicions, with the other nodes.
 
     Parameters
     ----------
     own
         This node.
     source
-        Chooses relays.
+        Random source for choosing relays.
     """
 
     def __init__(self, own: Peer, source: random.Random) -> None:
@@ -53,44 +53,54 @@
         return self._reports.pending or self._findings.pending
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
-        """Set the other nodes."""
+        """Replace the known peers; this node itself is ignored."""
         self._nodes.set_peers(peers)
 
     def observe(self, observation: Observation, now: float) -> list[Suspicion]:
-        """Report what this node saw of a server; return what this node itself finds from it."""
+        """Report an observation to the server's owners.
+
+        Returns
+        -------
+        list of Suspicion
+            The suspicion that it raises if this node is an owner; it is queued for all nodes too.
+        """
         instance = observation.instance
-        if now - self._reported_at_s.get(instance, -LEAST_INTERVAL_S) < LEAST_INTERVAL_S:
+        if now - self._reported_at_s.get(instance, -MIN_REPORT_INTERVAL_S) < MIN_REPORT_INTERVAL_S:
             return []
         self._reported_at_s[instance] = now
-        found: list[Suspicion] = []
+        suspicions: list[Suspicion] = []
         for node in self._nodes.owners_of(instance):
             if node == self._own.node:
-                found += self._detect(observation, now)
+                suspicions += self._detect(observation, now)
             else:
                 self._reports.add(node, observation)
-        return found
+        return suspicions
 
     def receive(self, data: bytes, now: float) -> list[Suspicion]:
-        """Read a datagram; return the suspicions that hold here now.
+        """Handle a datagram and return the suspicions that this node must apply.
 
         Raises
         ------
         ValueError
-            It is no message.
+            If it is not a valid message.
         """
         message = decode(data)
         if isinstance(message, Observations):
-            return [found for seen in message.observations for found in self._detect(seen, now)]
+            return [
+                suspicion
+                for observation in message.observations
+                for suspicion in self._detect(observation, now)
+            ]
         if message.relay:
             self._findings.relay(message.suspicions)
         return list(message.suspicions)
 
     def flush(self) -> list[Datagram]:
-        """Return what is to be sent now."""
+        """Return all queued datagrams and empty the queues."""
         return self._reports.flush() + self._findings.flush()
 
     def forget(self, instance: str) -> None:
-        """Drop what is kept of a server that is gone."""
+        """Drop the state of a server that was removed."""
         self._reported_at_s.pop(instance, None)
         self._nodes.forget(instance)
 
--- a/src/yokesill/outliers/messages.py
+++ b/src/yokesill/outliers/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of slow and failing servers: observations, and suspicions found from them."""
+"""Datagrams about slow and failing servers: observations, and the suspicions that they raise."""
 
 from collections.abc import Callable
 from functools import singledispatch
@@ -6,18 +6,18 @@
 
 from yokesill.peers.frame import Kind, decode_frame, encode_frame, parse_count, parse_text
 
-# An instance name and its share of the frame: names of the usual 12 bytes leave half of 1,200 bytes free.
+# With the usual 12-byte instance names, this many entries and the frame take half of the 1,200 bytes.
 ENTRIES_PER_DATAGRAM = 30
-# Datagrams carry no signature, so none may move traffic for longer than this; the detector gives 3 s at most.
-LONGEST_SUSPICION_S = 5.0
+# Datagrams are not signed, so none may divert traffic for longer than this. The detector's maximum is 3 s.
+MAX_ACCEPTED_SUSPICION_S = 5.0
 OUTLIER_KINDS = frozenset({Kind.OBSERVATIONS, Kind.SUSPICIONS})
 
 
 class Observation(NamedTuple):
-    """A server answered late, failed or is silent.
+    """A server that answered late, failed or stayed silent.
 
-    ``good_answers`` are those that the same node had from it in the last second or so and has not
-    reported yet: a busy server has some late answers among many good ones.
+    ``good_answers`` counts the good answers that the same node got from it in about the last second and has
+    not reported yet: a busy server has some late answers among many good ones.
     """
 
     instance: str
@@ -25,20 +25,20 @@
 
 
 class Observations(NamedTuple):
-    """What the sender saw just now."""
+    """The sender's latest observations."""
 
     observations: tuple[Observation, ...]
 
 
 class Suspicion(NamedTuple):
-    """A server to avoid for a while."""
+    """A server to avoid for ``for_s`` seconds."""
 
     instance: str
     for_s: float
 
 
 class Suspicions(NamedTuple):
-    """An owner's findings; with ``relay`` the receiver passes them on within its zone."""
+    """An owner's suspicions; with ``relay``, the receiver forwards them within its zone."""
 
     suspicions: tuple[Suspicion, ...]
     relay: bool
@@ -49,8 +49,8 @@
 
 @singledispatch
 def encode(message: Any) -> bytes:
-    """Return a message's datagram."""
-    raise TypeError(f"no datagram for {type(message).__name__}")
+    """Encode a message as a datagram."""
+    raise TypeError(f"cannot encode a message of type {type(message).__name__}")
 
 
 @encode.register
@@ -65,31 +65,34 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read a datagram.
+    """Decode a datagram.
 
     Raises
     ------
     ValueError
-        It is no message of this version.
+        If it is malformed or of an unsupported kind.
     """
-    return decode_frame(data, _READERS)
+    return decode_frame(data, _DECODERS)
 
 
-def _observations(entries: Any, *_later: Any) -> Observations:
+def _decode_observations(entries: Any, *_extensions: Any) -> Observations:
     return Observations(
         tuple(Observation(parse_text(instance), parse_count(good)) for instance, good in entries)
     )
 
 
-def _suspicions(entries: Any, relay: Any, *_later: Any) -> Suspicions:
-    return Suspicions(tuple(_suspicion(*each) for each in entries), bool(relay))
+def _decode_suspicions(entries: Any, relay: Any, *_extensions: Any) -> Suspicions:
+    return Suspicions(tuple(_decode_suspicion(*each) for each in entries), bool(relay))
 
 
-def _suspicion(instance: Any, for_ms: Any) -> Suspicion:
+def _decode_suspicion(instance: Any, for_ms: Any) -> Suspicion:
     for_s = float(for_ms) / 1000
-    if not 0 <= for_s <= LONGEST_SUSPICION_S:
-        raise ValueError(f"a suspicion of {for_s} s")
+    if not 0 <= for_s <= MAX_ACCEPTED_SUSPICION_S:
+        raise ValueError(f"suspicion of {for_s} s is outside 0 to {MAX_ACCEPTED_SUSPICION_S} s")
     return Suspicion(parse_text(instance), for_s)
 
 
-_READERS: dict[int, Callable[..., Message]] = {Kind.OBSERVATIONS: _observations, Kind.SUSPICIONS: _suspicions}
+_DECODERS: dict[int, Callable[..., Message]] = {
+    Kind.OBSERVATIONS: _decode_observations,
+    Kind.SUSPICIONS: _decode_suspicions,
+}
--- a/src/yokesill/peers/__init__.py
+++ b/src/yokesill/peers/__init__.py
@@ -1,5 +1,5 @@
-"""What all datagrams between nodes share: frame, chunks, whom a node tells, and who acts first by rank.
+"""Common parts of all datagrams between nodes: framing, chunking, recipients, and ranking of nodes.
 
-``outliers``, ``quarantine``, ``rollouts`` and ``watchers`` keep their messages' fields and their decisions.
-Sans I/O: ``serving/datagrams`` carries the bytes.
+``outliers``, ``quarantine``, ``rollouts`` and ``watchers`` define their own message fields and decisions.
+Sans I/O: ``serving/datagrams`` sends and receives the bytes.
 """
--- a/src/yokesill/peers/capacity_rank.py
+++ b/src/yokesill/peers/capacity_rank.py
@@ -1,49 +1,49 @@
-"""Which nodes are strong: they rank first among a zone's watchers and coordinate wide requests."""
+"""Selects strong nodes, which rank first among a zone's watchers and coordinate wide requests."""
 
 from collections.abc import Iterable, Mapping
 
-# A node coordinates for others only if it needs at most half of their time: a forwarded request costs a hop,
-# which must be won back (``docs/design/hand-over.md``).
+# A node coordinates for others only if it takes at most half of their time, which makes up for the extra hop
+# of a forwarded request (``docs/design/hand-over.md``).
 STRONG_FACTOR = 2.0
 
 
 def strong_nodes(cores: Mapping[str, float]) -> frozenset[str]:
-    """Return the nodes that have at least twice the processor of the middle one.
+    """Return the nodes that have at least twice the processor capacity of the median node.
 
     Parameters
     ----------
     cores
-        How much of a processor each node has, by its name.
+        The processor cores of each node, by its name.
 
     Returns
     -------
     frozenset of str
-        Empty where all are alike.
+        Empty if all nodes are alike.
     """
     if not cores:
         return frozenset()
-    middle = sorted(cores.values())[len(cores) // 2]
-    least = STRONG_FACTOR * middle
-    return frozenset(node for node, each in cores.items() if each >= least)
+    median = sorted(cores.values())[len(cores) // 2]
+    min_cores = STRONG_FACTOR * median
+    return frozenset(node for node, node_cores in cores.items() if node_cores >= min_cores)
 
 
 def coordinator_nodes(nodes: Iterable[tuple[str, str, float]]) -> frozenset[str]:
-    """Return which nodes of all zones coordinate wide requests: strong ones, or all of a zone without any.
+    """Return the nodes that coordinate wide requests: each zone's strong nodes, or all of a zone without any.
 
     Parameters
     ----------
     nodes
-        Of each node its name, its zone and its processor.
+        The name, zone and processor cores of each node.
 
     Returns
     -------
     frozenset of str
-        Empty where no zone has strong nodes.
+        Empty if no zone has strong nodes.
     """
     by_zone: dict[str, dict[str, float]] = {}
     for node, zone, cores in nodes:
         by_zone.setdefault(zone, {})[node] = cores
-    strong = {zone: strong_nodes(each) for zone, each in by_zone.items()}
+    strong = {zone: strong_nodes(zone_cores) for zone, zone_cores in by_zone.items()}
     if not any(strong.values()):
         return frozenset()
-    return frozenset().union(*(strong[zone] or each for zone, each in by_zone.items()))
+    return frozenset().union(*(strong[zone] or zone_cores for zone, zone_cores in by_zone.items()))
--- a/src/yokesill/peers/chunks.py
+++ b/src/yokesill/peers/chunks.py
@@ -1,34 +1,34 @@
-"""Splits the entries of a message into as many as fit into one datagram each."""
+"""Splits the entries of a message into chunks that each fit into one datagram."""
 
 from collections.abc import Callable, Iterable, Iterator
 from typing import TypeVar
 
-# Below the 1,280 bytes that every IPv6 link carries whole, less the heads of IP and UDP (48): a datagram that
-# the network splits is lost if one of its fragments is.
+# Below the 1,280 bytes that every IPv6 link carries unfragmented, less the IP and UDP headers (48 bytes): a
+# fragmented datagram is lost if any of its fragments is lost.
 DATAGRAM_BYTES = 1200
 
 Entry = TypeVar("Entry")
 
 
-def by_count(entries: Iterable[Entry], most: int) -> Iterator[tuple[Entry, ...]]:
-    """Split entries of about the same size into tuples of ``most``."""
-    rest = tuple(entries)
-    for start in range(0, len(rest), most):
-        yield rest[start : start + most]
+def by_count(entries: Iterable[Entry], max_entries: int) -> Iterator[tuple[Entry, ...]]:
+    """Split entries of about the same size into tuples of at most ``max_entries``."""
+    all_entries = tuple(entries)
+    for start in range(0, len(all_entries), max_entries):
+        yield all_entries[start : start + max_entries]
 
 
 def by_size(
-    entries: Iterable[Entry], most_bytes: int, size_of: Callable[[Entry], int]
+    entries: Iterable[Entry], max_bytes: int, size_of: Callable[[Entry], int]
 ) -> Iterator[tuple[Entry, ...]]:
-    """Split entries into tuples of at most ``most_bytes`` together; a larger entry goes alone."""
+    """Split entries into tuples of at most ``max_bytes`` in total; a larger entry gets a tuple of its own."""
     chunk: list[Entry] = []
-    taken_bytes = 0
+    chunk_bytes = 0
     for entry in entries:
         size_bytes = size_of(entry)
-        if chunk and taken_bytes + size_bytes > most_bytes:
+        if chunk and chunk_bytes + size_bytes > max_bytes:
             yield tuple(chunk)
-            chunk, taken_bytes = [], 0
+            chunk, chunk_bytes = [], 0
         chunk.append(entry)
-        taken_bytes += size_bytes
+        chunk_bytes += size_bytes
     if chunk:
         yield tuple(chunk)
--- a/src/yokesill/peers/dissemination.py
+++ b/src/yokesill/peers/dissemination.py
@@ -1,9 +1,9 @@
-"""Which nodes own a subject, and how a finding reaches all nodes.
+"""Assigns owners to subjects and selects the recipients of findings.
 
-A subject (a server, a request's fingerprint) has two owners, by rendezvous hash over all nodes: what many
-nodes see of it comes together there, and nobody is in charge of all. A finding goes to every node of the
-finder's zone and to two relays in each other zone, which pass it on within theirs, since traffic between
-zones is priced.
+A subject (a server or a request's fingerprint) has two owners, chosen by rendezvous hash over all nodes. They
+collect what many nodes observe of it, without one node in charge of all subjects. A finding goes to every
+node of the sender's zone and to two relays in each other zone, which forward it within theirs, since traffic
+between zones is billed.
 """
 
 import random
@@ -13,13 +13,13 @@
 
 from yokesill.rendezvous import name_hash, weight
 
-# One of a subject's owners may be gone. A third would add a datagram to each report.
+# One of a subject's owners may be down. A third would add a datagram to each report.
 OWNERS = 2
-# A zone learns a finding although one of its relays is gone.
+# A zone receives a finding even if one of its relays is down.
 RELAYS_PER_ZONE = 2
-# Owners are cached for so many subjects (a large site has some thousand servers); ranking the nodes for one
-# anew costs a hash for each node.
-OWNERS_CACHED = 20_000
+# Number of subjects whose owners are cached: a large site has some thousand servers. Ranking the nodes for a
+# subject costs one hash for each node.
+MAX_CACHED_SUBJECTS = 20_000
 
 
 class Peer(NamedTuple):
@@ -31,7 +31,7 @@
 
 
 class Datagram(NamedTuple):
-    """What to send where; ``address`` is ``IP:PORT``."""
+    """Bytes to send and their destination; ``address`` is ``IP:PORT``."""
 
     address: str
     data: bytes
@@ -45,7 +45,7 @@
     own
         This node.
     source
-        Chooses relays.
+        Random source for choosing relays.
     """
 
     def __init__(self, own: Peer, source: random.Random) -> None:
@@ -57,7 +57,7 @@
         self._owners: dict[str, tuple[str, ...]] = {}
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
-        """Set the other nodes."""
+        """Replace the known peers; this node itself is ignored."""
         known = {peer.node: peer for peer in peers if peer.node != self.own.node}
         if known == self._peers:
             return
@@ -66,41 +66,41 @@
         self._hashes = {node: name_hash(node) for node in (*known, self.own.node)}
         self._owners.clear()
 
-    def knows(self, address: str) -> bool:
-        """Whether a node is reached at an address."""
+    def is_peer(self, address: str) -> bool:
+        """Whether an address is that of a known peer."""
         return address in self._addresses
 
     def address_of(self, node: str) -> str | None:
-        """Return where a node is reached; ``None`` if it is gone."""
+        """Return a peer's address; ``None`` if it is not known (any more)."""
         peer = self._peers.get(node)
         return None if peer is None else peer.address
 
     def owners_of(self, subject: str) -> tuple[str, ...]:
-        """Return the nodes that own a subject, this one perhaps among them."""
+        """Return the nodes that own a subject; this node may be one of them."""
         owners = self._owners.get(subject)
         if owners is None:
-            hashed = name_hash(subject)
-            ranked = sorted(self._hashes, key=lambda node: weight(self._hashes[node], hashed))
-            if len(self._owners) >= OWNERS_CACHED:
+            subject_hash = name_hash(subject)
+            ranked = sorted(self._hashes, key=lambda node: weight(self._hashes[node], subject_hash))
+            if len(self._owners) >= MAX_CACHED_SUBJECTS:
                 self._owners.clear()
             owners = self._owners[subject] = tuple(ranked[:OWNERS])
         return owners
 
     def forget(self, subject: str) -> None:
-        """Drop what is cached of a subject that is gone."""
+        """Drop the cached owners of a subject that was removed."""
         self._owners.pop(subject, None)
 
-    def within_zone(self, data: bytes) -> list[Datagram]:
+    def to_own_zone(self, data: bytes) -> list[Datagram]:
         """Return a datagram for each other node of this zone."""
-        near = (peer for peer in self._peers.values() if peer.zone == self.own.zone)
-        return [Datagram(peer.address, data) for peer in near]
+        zone_peers = (peer for peer in self._peers.values() if peer.zone == self.own.zone)
+        return [Datagram(peer.address, data) for peer in zone_peers]
 
-    def everywhere(self, data: bytes) -> list[Datagram]:
+    def to_all_nodes(self, data: bytes) -> list[Datagram]:
         """Return a datagram for each other node."""
         return [Datagram(peer.address, data) for peer in self._peers.values()]
 
     def to_other_zones(self, data: bytes) -> list[Datagram]:
-        """Return a datagram for some relays in each other zone."""
+        """Return a datagram for each of ``RELAYS_PER_ZONE`` random relays in each other zone."""
         zones: dict[str, list[Peer]] = defaultdict(list)
         for peer in self._peers.values():
             if peer.zone != self.own.zone:
--- a/src/yokesill/peers/exchange.py
+++ b/src/yokesill/peers/exchange.py
@@ -1,6 +1,6 @@
-"""What a node has to send to others: reports to a subject's owners, findings to all nodes.
+"""Queues of outgoing entries: reports to a subject's owners, and findings to all nodes.
 
-Entries wait in the queues until the next ``flush``, so that what comes up in one moment shares datagrams.
+Entries stay queued until the next ``flush``, so that entries added at about the same time share datagrams.
 """
 
 from collections import defaultdict
@@ -14,16 +14,16 @@
 
 
 class ReportQueue(Generic[Entry]):
-    """Entries for single nodes.
+    """Queues entries for individual nodes.
 
     Parameters
     ----------
     nodes
-        Knows where each node is reached.
+        Gives each node's address.
     entries_per_datagram
         How many entries fit into one datagram.
     encode
-        Return the datagram of some entries.
+        Encodes some entries as a datagram.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
         self._by_node[node].append(entry)
 
     def flush(self) -> list[Datagram]:
-        """Return all that is queued; entries for nodes that are gone are dropped."""
+        """Return all queued datagrams and empty the queue; entries for unknown nodes are dropped."""
         datagrams: list[Datagram] = []
         for node, entries in self._by_node.items():
             address = self._nodes.address_of(node)
@@ -59,18 +59,18 @@
 
 
 class FindingQueue(Generic[Entry]):
-    """Findings for all nodes, and other nodes' findings that this one relays within its zone.
+    """Queues this node's findings for all nodes, and other nodes' findings to relay within its zone.
 
     Parameters
     ----------
     nodes
-        Knows the nodes and chooses relays.
+        Gives the nodes' addresses and chooses relays.
     entries_per_datagram
         How many findings fit into one datagram.
     encode
-        Return the datagram of some findings, and whether its receiver is to relay them.
+        Encodes some findings as a datagram; the flag says whether its receiver must relay them.
     is_urgent
-        Whether a finding is sent to each node directly and not by way of relays.
+        Whether a finding is sent to each node directly instead of through relays.
     """
 
     def __init__(
@@ -99,24 +99,24 @@
         return bool(self._urgent)
 
     def add(self, finding: Entry) -> None:
-        """Queue what this node found."""
+        """Queue a finding of this node."""
         is_urgent = self._is_urgent is not None and self._is_urgent(finding)
         (self._urgent if is_urgent else self._found).append(finding)
 
     def relay(self, findings: Iterable[Entry]) -> None:
-        """Queue what a node of another zone found, for the nodes of this zone."""
+        """Queue findings of a node in another zone for the nodes of this zone."""
         self._relayed += findings
 
     def flush(self) -> list[Datagram]:
-        """Return all that is queued."""
+        """Return all queued datagrams and empty the queues."""
         datagrams: list[Datagram] = []
         for chunk in by_count(self._urgent, self._entries_per_datagram):
-            datagrams += self._nodes.everywhere(self._encode(chunk, False))
+            datagrams += self._nodes.to_all_nodes(self._encode(chunk, False))
         for chunk in by_count(self._found, self._entries_per_datagram):
-            datagrams += self._nodes.within_zone(self._encode(chunk, False))
+            datagrams += self._nodes.to_own_zone(self._encode(chunk, False))
             datagrams += self._nodes.to_other_zones(self._encode(chunk, True))
         for chunk in by_count(self._relayed, self._entries_per_datagram):
-            datagrams += self._nodes.within_zone(self._encode(chunk, False))
+            datagrams += self._nodes.to_own_zone(self._encode(chunk, False))
         for queue in (self._urgent, self._found, self._relayed):
             queue.clear()
         return datagrams
--- a/src/yokesill/peers/frame.py
+++ b/src/yokesill/peers/frame.py
@@ -1,8 +1,8 @@
-"""The frame of every datagram between nodes: a CBOR array that begins with the number of its kind.
+"""The frame of every datagram between nodes: a CBOR array whose first item is the number of its kind.
 
-Owns the numbers of all kinds, and the checks of fields that several kinds share. A reader of a kind is a
-function of the frame's other items; whatever it can't read becomes one ``ValueError``, since anybody may
-send anything to a node's port.
+Defines the numbers of all kinds, and the validation of fields that several kinds share. The decoder of a kind
+is a function of the frame's other items. Everything that it can't decode is reported as a ``ValueError``,
+since any host may send arbitrary bytes to a node's port.
 """
 
 import enum
@@ -12,18 +12,18 @@
 
 import cbor2
 
-# CBOR's first byte of an array of two or three items; a number up to 23 is one byte by itself.
-_ARRAYS, _LARGEST_KIND = (0x82, 0x83), 23
-# More is no count of anything; times in milliseconds stay below it for 285,000 years.
-LARGEST_COUNT = 2**53
+# The first byte of a CBOR array of two or three items, and the largest integer that CBOR encodes in one byte.
+_ARRAY_HEADS, _MAX_KIND = (0x82, 0x83), 23
+# No real count is larger; times in milliseconds stay below this for 285,000 years.
+MAX_COUNT = 2**53
 
 Message = TypeVar("Message")
 
 
 class Kind(enum.IntEnum):
-    """The kinds of datagrams, by the number that each begins with.
+    """The kinds of datagrams, by the number in their first item.
 
-    ``outliers`` and ``quarantine`` share one socket, so ``kind_of`` decides who reads a datagram.
+    ``outliers`` and ``quarantine`` share one socket, so their datagrams are dispatched by ``kind_of``.
     """
 
     OBSERVATIONS = 1
@@ -35,52 +35,52 @@
     ROLLOUT_DECISIONS = 12
 
 
-# The same number as ``ANSWERS``: watchers' reports come over a socket of their own, where nothing else comes.
+# The same number as ``ANSWERS``: watchers' reports use a separate socket that receives nothing else.
 WATCH_REPORT_KIND = 4
 
 
 def encode_frame(kind: int, *fields: Any) -> bytes:
-    """Return the datagram of a kind."""
+    """Encode a datagram of a kind."""
     return cbor2.dumps([int(kind), *fields])
 
 
-def decode_frame(data: bytes, readers: Mapping[int, Callable[..., Message]]) -> Message:
-    """Read a datagram by the reader of its kind, which gets the frame's other items.
+def decode_frame(data: bytes, decoders: Mapping[int, Callable[..., Message]]) -> Message:
+    """Decode a datagram with its kind's decoder, which gets the frame's other items.
 
     Raises
     ------
     ValueError
-        It is malformed, or of a kind that has no reader.
+        If it is malformed, or of a kind without a decoder.
     """
     try:
         kind, *fields = cbor2.loads(data)
-        reader = readers.get(kind)
-        if reader is not None:
-            return reader(*fields)
+        decoder = decoders.get(kind)
+        if decoder is not None:
+            return decoder(*fields)
     except (TypeError, ValueError, OverflowError, cbor2.CBORDecodeError) as error:
-        raise ValueError(f"a malformed datagram: {error!r}") from error
-    raise ValueError(f"a datagram of kind {kind!r}")
+        raise ValueError(f"malformed datagram: {error!r}") from error
+    raise ValueError(f"unsupported datagram kind {kind!r}")
 
 
 def with_extension(data: bytes, extension: Any) -> bytes:
-    """Return a CBOR message with one more item behind it, which releases that don't know it pass over."""
+    """Append an item to a CBOR message; releases that don't support it ignore it."""
     return data + cbor2.dumps(extension)
 
 
 def split_extension(data: bytes) -> tuple[Any, Any]:
-    """Return a CBOR message and the item behind it; ``None`` if there is none, as of an older release.
+    """Return a CBOR message and the item after it; ``None`` if there is none, as from an older release.
 
     Raises
     ------
     ValueError
-        One of them can't be read.
+        If one of them is malformed.
     """
     stream = io.BytesIO(data)
     try:
         message = cbor2.load(stream)
         extension = cbor2.load(stream) if stream.tell() < len(data) else None
     except cbor2.CBORDecodeError as error:
-        raise ValueError(f"a malformed message: {error!r}") from error
+        raise ValueError(f"malformed message: {error!r}") from error
     return message, extension
 
 
@@ -90,29 +90,47 @@
     Raises
     ------
     ValueError
-        It is no datagram of ours: an array that begins with a small number.
+        If it is not an array whose first item is a small integer, as in all datagrams between nodes.
     """
-    if len(data) < 2 or data[0] not in _ARRAYS or data[1] > _LARGEST_KIND:
-        raise ValueError("no array that begins with a kind")
+    if len(data) < 2 or data[0] not in _ARRAY_HEADS or data[1] > _MAX_KIND:
+        raise ValueError(f"datagram starts with {data[:2]!r}; expected an array that begins with a kind")
     return data[1]
 
 
 def parse_text(value: Any) -> str:
-    """Return a value that must be a string."""
+    """Return the value if it is a string.
+
+    Raises
+    ------
+    ValueError
+        If it is not.
+    """
     if not isinstance(value, str):
-        raise ValueError("a text is needed")
+        raise ValueError(f"expected a string, got {value!r:.80}")
     return value
 
 
-def parse_name(value: Any, most_chars: int) -> str:
-    """Return a value that must be a string of 1 to ``most_chars`` characters."""
-    if not isinstance(value, str) or not 0 < len(value) <= most_chars:
-        raise ValueError(f"a name of up to {most_chars} characters is needed")
+def parse_name(value: Any, max_chars: int) -> str:
+    """Return the value if it is a string of 1 to ``max_chars`` characters.
+
+    Raises
+    ------
+    ValueError
+        If it is not.
+    """
+    if not isinstance(value, str) or not 0 < len(value) <= max_chars:
+        raise ValueError(f"expected a name of 1 to {max_chars} characters, got {value!r:.80}")
     return value
 
 
 def parse_count(value: Any) -> int:
-    """Return a value that must be a whole number from 0 to ``LARGEST_COUNT``."""
-    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= LARGEST_COUNT:
-        raise ValueError("a count is needed")
+    """Return the value if it is an integer from 0 to ``MAX_COUNT``.
+
+    Raises
+    ------
+    ValueError
+        If it is not.
+    """
+    if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_COUNT:
+        raise ValueError(f"expected an integer from 0 to {MAX_COUNT}, got {value!r:.80}")
     return value
--- a/src/yokesill/quarantine/__init__.py
+++ b/src/yokesill/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the servers that run them: found by what all nodes saw, and kept from servers.
+"""Cluster-wide detection and quarantine of requests that crash the servers that run them.
 
-Nothing here knows the router or what carries messages.
+This package is independent of the router and of the transport of its messages.
 """
--- a/src/yokesill/quarantine/detector.py
+++ b/src/yokesill/quarantine/detector.py
@@ -1,33 +1,33 @@
-"""When a request is suspected of crashing servers, quarantined, or released.
+"""Decides when a request is suspected of crashing servers, quarantined, or cleared.
 
-Inputs: servers lost under a request, servers that answered it, whether it ran alone there (a trial), and what
-other nodes found. A crash takes all requests of its server with it, so one loss says little of any of them. A
-request that several servers were lost under is suspected: it is tried at one server at a time. An answer in a
-trial clears it; servers lost in trials quarantine it. ``docs/design/quarantine.md`` has what was measured.
+Inputs: servers lost while running a request, servers that answered it, whether it ran alone there (a trial),
+and the findings of other nodes. A crash takes down all requests on its server, so a single loss is weak
+evidence against any of them. A request that was running on several lost servers is suspected and from then on
+tried on one server at a time. An answer in a trial clears it; losses in trials quarantine it.
+``docs/design/quarantine.md`` has the measurements.
 """
 
 import enum
 import heapq
 from typing import NamedTuple
 
-# With fewer losses a request can't be told from a server's own fault; an innocent request beside it was at
-# fewer of those servers, or is answered by others.
-LOST_TO_SUSPECT = 3
-# One trial may share its server with the very request that crashes servers; two in a row hardly do, nor does
-# one after so many losses that no server answered the request.
-TRIALS_TO_QUARANTINE, LOST_BESIDE_ONE_TRIAL = 2, 2 * LOST_TO_SUSPECT
-# Evidence is kept for so long: a request that crashes a server once in ten minutes costs less than the
-# memory.
-EVIDENCE_S = 600.0
-# A quarantine that nobody recorded in the registry ends after so long, as a recorded one does.
-UNRECORDED_S = 3600.0
-# 1.1 KB each (bench/quarantine_cost.py), 4.7 MB in all. Beyond, the oldest are dropped, so many at a time
-# that sorting them is rare.
-MAX_RECORDS, FORGOTTEN_AT_ONCE = 4096, 512
+# Fewer losses can't be distinguished from faults of the servers. An innocent request was running on fewer of
+# the lost servers, or is answered by others.
+LOSSES_TO_SUSPECT = 3
+# A single trial may share its server with the request that does crash servers. That is unlikely for two
+# trials in a row, and for one trial after ``LOSSES_FOR_SINGLE_TRIAL`` losses without an answer.
+TRIALS_TO_QUARANTINE, LOSSES_FOR_SINGLE_TRIAL = 2, 2 * LOSSES_TO_SUSPECT
+# How long evidence is kept: a request that crashes one server in ten minutes costs less than the memory.
+EVIDENCE_TTL_S = 600.0
+# How long a quarantine lasts that is not recorded in the registry; a recorded one lasts as long.
+UNRECORDED_QUARANTINE_TTL_S = 3600.0
+# A record takes 1.1 KB (bench/quarantine_cost.py), all of them 4.7 MB. Above the limit the oldest are
+# evicted, in batches so that sorting is rare.
+MAX_RECORDS, EVICTION_BATCH = 4096, 512
 
 
 class QuarantineStatus(enum.IntEnum):
-    """What holds for a request: it runs as any other, at one server at a time, or not at all."""
+    """How a request may run: without restriction, on one server at a time, or not at all."""
 
     CLEAR = 0
     SUSPECTED = 1
@@ -35,7 +35,7 @@
 
 
 class Loss(NamedTuple):
-    """A server that was lost under a request; ``trial`` if the request ran there alone."""
+    """A server that was lost while running a request; ``trial`` if the request ran there alone."""
 
     instance: str
     service: str
@@ -43,32 +43,32 @@
 
 
 class _Record:
-    """What is known of one request: servers lost under it, by service, and those of trials.
+    """Evidence against one request: lost servers by service, and the servers lost in trials.
 
-    ``shared`` if other nodes know something of it, too.
+    ``shared`` is set once other nodes have evidence or a finding about it, too.
     """
 
-    __slots__ = ("at_s", "lost", "shared", "status", "trials")
+    __slots__ = ("lost", "shared", "status", "trials", "updated_at_s")
 
     def __init__(self, now: float) -> None:
-        self.at_s = now
+        self.updated_at_s = now
         self.status = QuarantineStatus.CLEAR
         self.lost: dict[str, set[str]] = {}
         self.trials: set[str] = set()
         self.shared = False
 
     def update_status(self) -> None:
-        """Raise the status if the evidence is enough."""
+        """Raise the status if there is enough evidence."""
         lost = sum(map(len, self.lost.values()))
-        if self.status is QuarantineStatus.CLEAR and lost >= LOST_TO_SUSPECT:
+        if self.status is QuarantineStatus.CLEAR and lost >= LOSSES_TO_SUSPECT:
             self.status = QuarantineStatus.SUSPECTED
-        needed = 1 if lost >= LOST_BESIDE_ONE_TRIAL else TRIALS_TO_QUARANTINE
+        needed = 1 if lost >= LOSSES_FOR_SINGLE_TRIAL else TRIALS_TO_QUARANTINE
         if self.status is QuarantineStatus.SUSPECTED and len(self.trials) >= needed:
             self.status = QuarantineStatus.QUARANTINED
 
 
 class CrashDetector:
-    """What one node knows of requests that servers were lost under, by their fingerprints.
+    """One node's evidence and findings about requests that crash servers, by fingerprint.
 
     Times are in seconds of the node's clock.
     """
@@ -78,43 +78,47 @@
         self._recorded: frozenset[str] = frozenset()
 
     def __len__(self) -> int:
-        """Of how many requests something is known."""
+        """Return the number of requests with evidence or a quarantine."""
         return len(self._records) + len(self._recorded)
 
     @property
     def quarantined(self) -> frozenset[str]:
-        """All quarantined requests."""
-        unrecorded = (each for each, of in self._records.items() if of.status is QuarantineStatus.QUARANTINED)
+        """Fingerprints of all quarantined requests."""
+        unrecorded = (
+            fingerprint
+            for fingerprint, record in self._records.items()
+            if record.status is QuarantineStatus.QUARANTINED
+        )
         return self._recorded.union(unrecorded)
 
     @property
     def recorded(self) -> frozenset[str]:
-        """Those of them that the registry records."""
+        """Fingerprints of the quarantined requests that the registry records."""
         return self._recorded
 
     def status(self, fingerprint: str, now: float) -> QuarantineStatus:
-        """Return what holds for a request now."""
+        """Return a request's current status."""
         if fingerprint in self._recorded:
             return QuarantineStatus.QUARANTINED
-        record = self._current(fingerprint, now)
+        record = self._unexpired_record(fingerprint, now)
         return QuarantineStatus.CLEAR if record is None else record.status
 
     def suspected_services(self, fingerprint: str) -> frozenset[str]:
-        """Return the services that lost servers under a request and did not answer it since."""
+        """Return the services that lost servers to a request and have not answered it since."""
         record = self._records.get(fingerprint)
         return frozenset(record.lost) if record is not None else frozenset()
 
     # --- evidence ---
 
     def record_loss(self, fingerprint: str, loss: Loss, now: float) -> QuarantineStatus | None:
-        """Note that a server was lost under a request; return its status if that has changed."""
+        """Record that a server was lost while running a request; return the new status if it changed."""
         if fingerprint in self._recorded:
             return None
-        record = self._current(fingerprint, now)
+        record = self._unexpired_record(fingerprint, now)
         if record is None:
             record = self._records[fingerprint] = _Record(now)
-            self._forget_old()
-        record.at_s = now
+            self._evict_oldest()
+        record.updated_at_s = now
         record.lost.setdefault(loss.service, set()).add(loss.instance)
         before = record.status
         if loss.trial and before is QuarantineStatus.SUSPECTED:
@@ -123,22 +127,23 @@
         return record.status if record.status is not before else None
 
     def mark_shared(self, fingerprint: str) -> None:
-        """Note that other nodes know of a request."""
+        """Record that other nodes have evidence about a request."""
         record = self._records.get(fingerprint)
         if record is not None:
             record.shared = True
 
     def is_shared(self, fingerprint: str) -> bool:
-        """Whether other nodes know of a request."""
+        """Whether other nodes have evidence about a request."""
         record = self._records.get(fingerprint)
         return record is not None and record.shared
 
     def record_answer(self, fingerprint: str, service: str, trial: bool) -> bool:
-        """Note that a server answered a request; return whether that clears it of something.
+        """Record that a server answered a request; return whether that removed evidence.
 
-        An answer in a trial clears it of all. Any other one clears it of its own service and of those
-        that lost one server, by that server's own fault then; not of those that lost several: a request may
-        crash the servers of one shard and be answered by those of all others.
+        An answer in a trial removes all evidence. Any other answer removes the evidence of its own service
+        and of each service that lost a single server, since that loss was then the server's own fault.
+        Evidence of services that lost several servers stays: a request may crash the servers of one shard and
+        be answered by those of all others.
         """
         record = self._records.get(fingerprint)
         if record is None or record.status is QuarantineStatus.QUARANTINED:
@@ -147,48 +152,54 @@
             del self._records[fingerprint]
             return True
         before = len(record.lost)
-        record.lost = {name: of for name, of in record.lost.items() if name != service and len(of) > 1}
+        record.lost = {
+            name: instances
+            for name, instances in record.lost.items()
+            if name != service and len(instances) > 1
+        }
         if not record.lost:
             del self._records[fingerprint]
         return len(record.lost) < before
 
-    # --- what others found ---
+    # --- findings of other nodes and the registry ---
 
     def receive_status(self, fingerprint: str, status: QuarantineStatus, now: float) -> bool:
-        """Apply another node's finding; return whether it raises the status. It never lowers it."""
+        """Apply another node's finding, which never lowers the status; return whether it raised it."""
         if status <= self.status(fingerprint, now):
             return False
         record = self._records.setdefault(fingerprint, _Record(now))
-        record.at_s = now
+        record.updated_at_s = now
         record.status = status
         record.shared = True
-        self._forget_old()
+        self._evict_oldest()
         return True
 
     def set_recorded(self, fingerprints: frozenset[str]) -> None:
-        """Set which requests the registry records; one that is not recorded any more is cleared."""
+        """Replace the set of requests recorded in the registry; those no longer recorded are cleared."""
         for fingerprint in self._recorded | fingerprints:
             self._records.pop(fingerprint, None)
         self._recorded = fingerprints
 
-    def _current(self, fingerprint: str, now: float) -> _Record | None:
+    def _unexpired_record(self, fingerprint: str, now: float) -> _Record | None:
         record = self._records.get(fingerprint)
         if record is None:
             return None
-        kept_s = UNRECORDED_S if record.status is QuarantineStatus.QUARANTINED else EVIDENCE_S
-        if now - record.at_s <= kept_s:
+        ttl_s = (
+            UNRECORDED_QUARANTINE_TTL_S if record.status is QuarantineStatus.QUARANTINED else EVIDENCE_TTL_S
+        )
+        if now - record.updated_at_s <= ttl_s:
             return record
         del self._records[fingerprint]
         return None
 
-    def _forget_old(self) -> None:
-        """Keep the number of records bounded: the oldest go, quarantined ones last."""
+    def _evict_oldest(self) -> None:
+        """Evict the oldest records when there are too many, quarantined ones last."""
         if len(self._records) <= MAX_RECORDS:
             return
 
-        def worth(fingerprint: str) -> tuple[QuarantineStatus, float]:
+        def eviction_key(fingerprint: str) -> tuple[QuarantineStatus, float]:
             record = self._records[fingerprint]
-            return record.status, record.at_s
+            return record.status, record.updated_at_s
 
-        for fingerprint in heapq.nsmallest(FORGOTTEN_AT_ONCE, self._records, key=worth):
+        for fingerprint in heapq.nsmallest(EVICTION_BATCH, self._records, key=eviction_key):
             del self._records[fingerprint]
--- a/src/yokesill/quarantine/exchange.py
+++ b/src/yokesill/quarantine/exchange.py
@@ -1,9 +1,9 @@
-"""Whom one node tells about requests that crash servers.
+"""Distributes reports and findings about requests that crash servers.
 
-Losses and answers go to the request's owners. What follows from them is the router's ``CrashDetector`` to
-decide; this only knows whom to tell. A finding goes to all nodes: a suspicion by way of relays, a quarantine
-directly and at once, since the request's caller retries within milliseconds, at any node. Such findings are
-few: one for each request that crashes servers.
+Losses and answers go to the request's owners; the router's ``CrashDetector`` evaluates them, this module only
+selects the recipients. A finding goes to all nodes: a suspicion through relays, a quarantine directly and
+without delay, since the request's caller retries within milliseconds at any node. Quarantines are rare: one
+for each request that crashes servers.
 """
 
 import random
@@ -27,14 +27,14 @@
 
 
 class QuarantineExchange:
-    """What one node tells the others about requests that crash servers.
+    """Exchanges one node's reports and findings about requests that crash servers with the other nodes.
 
     Parameters
     ----------
     own
         This node.
     source
-        Chooses relays.
+        Random source for choosing relays.
     """
 
     def __init__(self, own: Peer, source: random.Random) -> None:
@@ -55,7 +55,7 @@
 
     @property
     def urgent(self) -> bool:
-        """Whether something is to be sent that can't wait for more to go with it."""
+        """Whether something is queued that must be sent without waiting for more to batch with it."""
         return self._findings.urgent
 
     @property
@@ -64,7 +64,7 @@
         return self._losses.pending or self._answers.pending or self._findings.pending
 
     def set_peers(self, peers: Iterable[Peer]) -> None:
-        """Set the other nodes."""
+        """Replace the known peers; this node itself is ignored."""
         self._nodes.set_peers(peers)
 
     def owns(self, fingerprint: str) -> bool:
@@ -72,36 +72,37 @@
         return self._own.node in self._nodes.owners_of(fingerprint)
 
     def report_loss(self, report: LossReport) -> None:
-        """Tell the other owners that a server was lost under a request."""
+        """Queue a report of a lost server for the request's other owners."""
         for node in self._other_owners(report.fingerprint):
             self._losses.add(node, report)
 
     def report_answer(self, report: AnswerReport) -> None:
-        """Tell the other owners that a server answered a request."""
+        """Queue a report of an answer for the request's other owners."""
         for node in self._other_owners(report.fingerprint):
             self._answers.add(node, report)
 
     def announce(self, finding: QuarantineFinding) -> None:
-        """Tell all nodes what this one found."""
+        """Queue this node's finding for all nodes."""
         self._findings.add(finding)
 
     def receive(self, data: bytes, sender: str) -> Message:
-        """Read a datagram from ``sender`` (``IP:PORT``).
+        """Decode a datagram from ``sender`` (``IP:PORT``), and queue findings that this node must relay.
 
         Raises
         ------
         ValueError
-            It is no message, or its sender is no node: a stranger could have any request refused.
+            If it is not a valid message, or its sender is not a known node: otherwise any host could get any
+            request refused.
         """
-        if not self._nodes.knows(sender):
-            raise ValueError("it comes from no node that is known")
+        if not self._nodes.is_peer(sender):
+            raise ValueError(f"sender {sender!r} is not a known node")
         message = decode(data)
         if isinstance(message, QuarantineFindings) and message.relay:
             self._findings.relay(message.findings)
         return message
 
     def flush(self) -> list[Datagram]:
-        """Return what is to be sent now."""
+        """Return all queued datagrams and empty the queues."""
         return self._losses.flush() + self._answers.flush() + self._findings.flush()
 
     def _other_owners(self, fingerprint: str) -> list[str]:
--- a/src/yokesill/quarantine/messages.py
+++ b/src/yokesill/quarantine/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of requests that crash servers: losses, answers, and findings."""
+"""Datagrams about requests that crash servers: losses, answers, and findings."""
 
 from collections.abc import Callable
 from functools import singledispatch
@@ -8,21 +8,21 @@
 from yokesill.quarantine.detector import Loss, QuarantineStatus
 
 QUARANTINE_KINDS = frozenset({Kind.LOSSES, Kind.ANSWERS, Kind.QUARANTINE_FINDINGS})
-# A fingerprint, a server's and a service's name take some 60 bytes of the 1,200 of a datagram.
+# A fingerprint, an instance name and a service name take about 60 of a datagram's 1,200 bytes.
 ENTRIES_PER_DATAGRAM = 16
-# Bounds what strangers' bytes may cost in memory: names here have some 20 characters.
-LONGEST_NAME_CHARS = 128
+# Bounds the memory that a datagram from any sender can take; real names have about 20 characters.
+MAX_NAME_CHARS = 128
 
 
 class LossReport(NamedTuple):
-    """A server ended under a request."""
+    """A server was lost while running a request."""
 
     fingerprint: str
     loss: Loss
 
 
 class AnswerReport(NamedTuple):
-    """A server of a service answered a request; ``trial`` if it was tried there alone."""
+    """A server of a service answered a request; ``trial`` if the request ran there alone."""
 
     fingerprint: str
     service: str
@@ -30,26 +30,26 @@
 
 
 class QuarantineFinding(NamedTuple):
-    """A request is to be suspected, or kept from servers."""
+    """A request's new status: suspected or quarantined."""
 
     fingerprint: str
     status: QuarantineStatus
 
 
 class Losses(NamedTuple):
-    """What the sender saw just now."""
+    """The sender's latest losses."""
 
     losses: tuple[LossReport, ...]
 
 
 class Answers(NamedTuple):
-    """What the sender saw answered just now, of requests that servers had been lost under."""
+    """The sender's latest answers to requests that had lost servers before."""
 
     answers: tuple[AnswerReport, ...]
 
 
 class QuarantineFindings(NamedTuple):
-    """An owner's findings; with ``relay`` the receiver passes them on within its zone."""
+    """An owner's findings; with ``relay``, the receiver forwards them within its zone."""
 
     findings: tuple[QuarantineFinding, ...]
     relay: bool
@@ -60,8 +60,8 @@
 
 @singledispatch
 def encode(message: Any) -> bytes:
-    """Return a message's datagram."""
-    raise TypeError(f"no datagram for {type(message).__name__}")
+    """Encode a message as a datagram."""
+    raise TypeError(f"cannot encode a message of type {type(message).__name__}")
 
 
 @encode.register
@@ -81,43 +81,47 @@
 
 
 def decode(data: bytes) -> Message:
-    """Read a datagram.
+    """Decode a datagram.
 
     Raises
     ------
     ValueError
-        It is no message of this version.
+        If it is malformed or of an unsupported kind.
     """
-    return decode_frame(data, _READERS)
+    return decode_frame(data, _DECODERS)
 
 
-def _losses(entries: Any, *_later: Any) -> Losses:
-    return Losses(tuple(_loss(*each) for each in entries))
+def _decode_losses(entries: Any, *_extensions: Any) -> Losses:
+    return Losses(tuple(_decode_loss(*each) for each in entries))
 
 
-def _loss(fingerprint: Any, instance: Any, service: Any, trial: Any) -> LossReport:
-    return LossReport(_name(fingerprint), Loss(_name(instance), _name(service), bool(trial)))
+def _decode_loss(fingerprint: Any, instance: Any, service: Any, trial: Any) -> LossReport:
+    return LossReport(
+        _parse_name(fingerprint), Loss(_parse_name(instance), _parse_name(service), bool(trial))
+    )
 
 
-def _answers(entries: Any, *_later: Any) -> Answers:
-    return Answers(tuple(_answer(*each) for each in entries))
+def _decode_answers(entries: Any, *_extensions: Any) -> Answers:
+    return Answers(tuple(_decode_answer(*each) for each in entries))
 
 
-def _answer(fingerprint: Any, service: Any, trial: Any) -> AnswerReport:
-    return AnswerReport(_name(fingerprint), _name(service), bool(trial))
+def _decode_answer(fingerprint: Any, service: Any, trial: Any) -> AnswerReport:
+    return AnswerReport(_parse_name(fingerprint), _parse_name(service), bool(trial))
 
 
-def _findings(entries: Any, relay: Any, *_later: Any) -> QuarantineFindings:
-    found = (QuarantineFinding(_name(fingerprint), QuarantineStatus(value)) for fingerprint, value in entries)
+def _decode_findings(entries: Any, relay: Any, *_later: Any) -> QuarantineFindings:
+    found = (
+        QuarantineFinding(_parse_name(fingerprint), QuarantineStatus(value)) for fingerprint, value in entries
+    )
     return QuarantineFindings(tuple(found), bool(relay))
 
 
-def _name(value: Any) -> str:
-    return parse_name(value, LONGEST_NAME_CHARS)
+def _parse_name(value: Any) -> str:
+    return parse_name(value, MAX_NAME_CHARS)
 
 
-_READERS: dict[int, Callable[..., Message]] = {
-    Kind.LOSSES: _losses,
-    Kind.ANSWERS: _answers,
-    Kind.QUARANTINE_FINDINGS: _findings,
+_DECODERS: dict[int, Callable[..., Message]] = {
+    Kind.LOSSES: _decode_losses,
+    Kind.ANSWERS: _decode_answers,
+    Kind.QUARANTINE_FINDINGS: _decode_findings,
 }
--- a/tests/outliers/test_judging.py
+++ b/tests/outliers/test_judging.py
@@ -1,4 +1,4 @@
-"""What many nodes see of a server comes together, and all go around it soon."""
+"""Detection of slow servers: observations of many nodes reach the owners, suspicions reach all nodes."""
 
 import random
 
@@ -11,7 +11,7 @@
 
 
 class Fleet:
-    """Nodes in zones that deliver one another's datagrams at once; ``dark`` ones get none."""
+    """Nodes in several zones whose datagrams are delivered immediately; ``unreachable`` nodes get none."""
 
     def __init__(self, zones: dict[str, int]) -> None:
         self.peers = [
@@ -21,8 +21,8 @@
         ]
         self.nodes = {peer.node: OutlierExchange(peer, random.Random(peer.node)) for peer in self.peers}
         self.suspicions: dict[str, list[Suspicion]] = {peer.node: [] for peer in self.peers}
-        self.dark: set[str] = set()
-        self.crossings = 0
+        self.unreachable: set[str] = set()
+        self.zone_crossings = 0
         self._node_at = {peer.address: peer for peer in self.peers}
         for exchange in self.nodes.values():
             exchange.set_peers(self.peers)
@@ -36,73 +36,77 @@
             for peer in self.peers:
                 for datagram in self.nodes[peer.node].flush():
                     target = self._node_at[datagram.address]
-                    self.crossings += target.zone != peer.zone
-                    if target.node not in self.dark:
+                    self.zone_crossings += target.zone != peer.zone
+                    if target.node not in self.unreachable:
                         found = self.nodes[target.node].receive(datagram.data, now)
                         self.suspicions[target.node] += found
 
 
-def test_late_answers_at_different_nodes_make_every_node_go_around_the_server() -> None:
+def test_late_answers_at_different_nodes_raise_a_suspicion_on_every_node() -> None:
     fleet = Fleet({"z1": 6, "z2": 6, "z3": 6})
     for number, node in enumerate(["z1-0", "z2-3", "z3-5"]):
         fleet.observe(node, "slow", 10.0 + number * 0.2)
-    told = {node for node, suspicions in fleet.suspicions.items() if suspicions}
-    assert told == set(fleet.nodes)
+    informed = {node for node, suspicions in fleet.suspicions.items() if suspicions}
+    assert informed == set(fleet.nodes)
     assert {each.instance for found in fleet.suspicions.values() for each in found} == {"slow"}
 
 
-def test_findings_cross_zones_a_few_times_only() -> None:
+def test_findings_cross_zones_through_relays_only() -> None:
     fleet = Fleet({"z1": 30, "z2": 30})
     for number in range(3):
         fleet.observe(f"z1-{number}", "slow", 10.0 + number * 0.2)
-    told = [node for node, suspicions in fleet.suspicions.items() if suspicions]
-    assert len(told) == 60
-    # Observations to two owners, and each owner's finding to two relays.
-    assert fleet.crossings <= 3 * 2 + 2 * 2
+    informed = [node for node, suspicions in fleet.suspicions.items() if suspicions]
+    assert len(informed) == 60
+    # Each observation goes to two owners, and each owner's finding to two relays.
+    assert fleet.zone_crossings <= 3 * 2 + 2 * 2
 
 
-def test_one_judge_that_is_gone_hides_nothing() -> None:
+def test_suspicions_are_raised_while_one_owner_is_down() -> None:
     fleet = Fleet({"z1": 4, "z2": 4})
     owners = fleet.nodes["z1-0"]._nodes.owners_of("slow")
-    fleet.dark.add(owners[0])
-    others = [peer.node for peer in fleet.peers if peer.node not in owners]
+    fleet.unreachable.add(owners[0])
+    non_owners = [peer.node for peer in fleet.peers if peer.node not in owners]
     for number in range(3):
-        fleet.observe(others[number], "slow", 10.0 + number * 0.2)
-    assert all(fleet.suspicions[node] for node in others)
+        fleet.observe(non_owners[number], "slow", 10.0 + number * 0.2)
+    assert all(fleet.suspicions[node] for node in non_owners)
 
 
-def test_what_waited_in_one_pause_is_one_observation() -> None:
-    judge = OutlierDetector()
-    assert [judge.observe(Observation("paused"), 10.0 + number * 0.005) for number in range(15)] == [
+def test_late_answers_of_one_pause_count_as_one_observation() -> None:
+    detector = OutlierDetector()
+    assert [detector.observe(Observation("paused"), 10.0 + number * 0.005) for number in range(15)] == [
         None
     ] * 15
 
 
-def test_some_late_answers_among_many_good_ones_are_no_slowness() -> None:
-    judge = OutlierDetector()
-    assert [judge.observe(Observation("busy", 4), 10.0 + number * 0.2) for number in range(20)] == [None] * 20
+def test_late_answers_among_many_good_ones_raise_no_suspicion() -> None:
+    detector = OutlierDetector()
+    assert [detector.observe(Observation("busy", 4), 10.0 + number * 0.2) for number in range(20)] == [
+        None
+    ] * 20
 
 
-def test_pauses_far_apart_are_no_slowness() -> None:
-    judge = OutlierDetector()
-    assert [judge.observe(Observation("paused"), 10.0 + number * 3.0) for number in range(10)] == [None] * 10
+def test_pauses_far_apart_raise_no_suspicion() -> None:
+    detector = OutlierDetector()
+    assert [detector.observe(Observation("paused"), 10.0 + number * 3.0) for number in range(10)] == [
+        None
+    ] * 10
 
 
-def test_a_server_that_stays_slow_is_suspected_sooner_and_longer() -> None:
-    judge = OutlierDetector()
+def test_repeated_suspicions_come_sooner_and_last_longer() -> None:
+    detector = OutlierDetector()
     found: list[tuple[float, float]] = []
     for tick in range(100):
         now = 10.0 + tick * 0.11
-        suspicion = judge.observe(Observation("slow"), now)
+        suspicion = detector.observe(Observation("slow"), now)
         if suspicion is not None:
             found.append((round(now - 10.0, 2), suspicion.for_s))
-    lengths = [for_s for _, for_s in found]
-    assert lengths[:4] == [0.7, 1.4, 2.8, 3.0]
-    exposed = found[1][0] - found[0][0] - found[0][1]
-    assert exposed <= 0.35
+    durations = [for_s for _, for_s in found]
+    assert durations[:4] == [0.7, 1.4, 2.8, 3.0]
+    unsuspected_s = found[1][0] - found[0][0] - found[0][1]
+    assert unsuspected_s <= 0.35
 
 
-def test_datagrams_carry_messages_whole() -> None:
+def test_messages_survive_encoding_and_decoding() -> None:
     for message in (
         Observations((Observation("i-1", 3), Observation("i-2"))),
         Suspicions((Suspicion("i-1", 0.7), Suspicion("i-2", 3.0)), relay=True),
@@ -121,21 +125,21 @@
         encode(Observations((Observation("x"),)))[:-1],
         b"\x83\x09\x80\xf4",
         b"\x83\x02\x81\x01\xf4",
-        # A time that is too large for a float.
+        # A duration that is too large for a float.
         b"\x83\x02\x81\x82\x61x\xc2\x58\x80" + b"\xff" * 128 + b"\xf4",
     ],
 )
-def test_bytes_that_are_no_message_are_rejected(data: bytes) -> None:
+def test_malformed_datagrams_are_rejected(data: bytes) -> None:
     with pytest.raises(ValueError):
         decode(data)
 
 
-def test_a_suspicion_longer_than_any_judge_gives_is_rejected() -> None:
+def test_suspicion_above_the_maximum_duration_is_rejected() -> None:
     with pytest.raises(ValueError):
         decode(encode(Suspicions((Suspicion("i-1", 60.0),), relay=False)))
 
 
-def test_many_servers_at_once_go_out_in_several_small_datagrams() -> None:
+def test_many_observations_are_split_into_small_datagrams() -> None:
     fleet = Fleet({"z1": 2, "z2": 2, "z3": 2})
     exchange = fleet.nodes["z1-0"]
     for number in range(200):
--- a/tests/quarantine/test_quarantine_exchange.py
+++ b/tests/quarantine/test_quarantine_exchange.py
@@ -1,4 +1,4 @@
-"""What nodes tell one another of requests that end servers: to whom, in which bytes, and from whom."""
+"""Datagrams about requests that crash servers: encoding, recipients, and accepted senders."""
 
 import random
 
@@ -34,13 +34,13 @@
 
 
 def exchange(peer: Peer) -> QuarantineExchange:
-    made = QuarantineExchange(peer, random.Random(peer.node))
-    made.set_peers(PEERS)
-    return made
+    created = QuarantineExchange(peer, random.Random(peer.node))
+    created.set_peers(PEERS)
+    return created
 
 
 @pytest.mark.parametrize("message", MESSAGES)
-def test_messages_come_back_as_they_went(message: Message) -> None:
+def test_messages_survive_encoding_and_decoding(message: Message) -> None:
     data = encode(message)
     assert decode(data) == message
     assert kind_of(data) in QUARANTINE_KINDS
@@ -50,45 +50,46 @@
     "data",
     [b"", b"\xff", b"\x82\x03", b"\x82\x03\x81\x81\x60", b"\x83\x05\x81\x82\x61a\x09\xf5", b"\x82\x09\x80"],
 )
-def test_bytes_that_are_no_message_are_told_apart(data: bytes) -> None:
+def test_malformed_datagrams_are_rejected(data: bytes) -> None:
     with pytest.raises(ValueError, match="datagram"):
         decode(data)
 
 
-def test_a_loss_goes_to_the_requests_judges_only() -> None:
-    seer = exchange(PEERS[0])
-    seer.report_loss(LossReport("ab", Loss("i-1", "s")))
-    reached = {each.address for each in seer.flush()}
+def test_loss_report_goes_to_the_other_owners_only() -> None:
+    observer = exchange(PEERS[0])
+    observer.report_loss(LossReport("ab", Loss("i-1", "s")))
+    reached = {each.address for each in observer.flush()}
     owners = {peer.address for peer in PEERS if exchange(peer).owns("ab")}
     assert reached == owners - {PEERS[0].address}
     assert len(owners) == 2
-    assert not seer.pending
+    assert not observer.pending
 
 
 @pytest.mark.parametrize(
-    ("status", "crossed"), [(QuarantineStatus.SUSPECTED, 2 * 2), (QuarantineStatus.QUARANTINED, 10)]
+    ("status", "expected_crossings"),
+    [(QuarantineStatus.SUSPECTED, 2 * 2), (QuarantineStatus.QUARANTINED, 10)],
 )
-def test_a_finding_reaches_every_node_and_a_suspicion_crosses_zones_a_few_times_only(
-    status: QuarantineStatus, crossed: int
+def test_finding_reaches_every_node_and_suspicion_crosses_zones_through_relays_only(
+    status: QuarantineStatus, expected_crossings: int
 ) -> None:
     nodes = {peer.address: exchange(peer) for peer in PEERS}
-    told: set[str] = set()
-    crossings = 0
+    informed: set[str] = set()
+    zone_crossings = 0
     nodes[PEERS[0].address].announce(QuarantineFinding("ab", status))
     assert nodes[PEERS[0].address].urgent is (status is QuarantineStatus.QUARANTINED)
     while any(each.pending for each in nodes.values()):
         for sender in PEERS:
             for datagram in nodes[sender.address].flush():
                 zone = next(peer.zone for peer in PEERS if peer.address == datagram.address)
-                crossings += zone != sender.zone
+                zone_crossings += zone != sender.zone
                 nodes[datagram.address].receive(datagram.data, sender.address)
-                told.add(datagram.address)
-    assert told == {peer.address for peer in PEERS[1:]}
-    assert crossings == crossed
+                informed.add(datagram.address)
+    assert informed == {peer.address for peer in PEERS[1:]}
+    assert zone_crossings == expected_crossings
 
 
-def test_nobody_but_a_node_can_have_a_request_refused() -> None:
+def test_datagram_from_an_unknown_sender_is_rejected() -> None:
     node = exchange(PEERS[0])
     data = encode(QuarantineFindings((QuarantineFinding("ab", QuarantineStatus.QUARANTINED),), relay=False))
-    with pytest.raises(ValueError, match="no node"):
+    with pytest.raises(ValueError, match="is not a known node"):
         node.receive(data, "10.9.9.9:7")
