--- a/src/yokesill/upstreams/__init__.py
+++ b/src/yokesill/upstreams/__init__.py
@@ -1,1 +1,1 @@
-"""The way to servers: connections, one request at a time on each, and what came back with a verdict."""
+"""The client side towards servers: connections, attempts, and the verdict on each attempt's outcome."""
--- a/src/yokesill/upstreams/attempt_bytes.py
+++ b/src/yokesill/upstreams/attempt_bytes.py
@@ -1,7 +1,7 @@
-"""The bytes sent to a server for an attempt, and what its reply means.
+"""Encodes attempts as HTTP requests to servers, and interprets the replies.
 
-Decides which replies count as this attempt's answer, and which promise that nothing ran. The names of headers
-come from ``serving.header_names``; nothing is owned here.
+Decides which replies count as this attempt's answer, and which guarantee that the request did not run. Header
+names come from ``serving.header_names``. Stateless.
 """
 
 import math
@@ -13,31 +13,31 @@
 from yokesill.serving.header_names import HeaderNames
 from yokesill.verdict import Failure, Reason, Verdict
 
-# A load report has three numbers, or four with the time of work.
+# A load report has three numbers, or four with the service time in percent.
 LOAD_FIELDS = 3
-LOAD_FIELDS_WITH_PACE = 4
+LOAD_FIELDS_WITH_SERVICE_TIME = 4
 
 
-def encode_attempt(attempt: Attempt, names: HeaderNames, left_s: float) -> bytes:
-    """Return an attempt's bytes: the caller's request, with what is left of its time.
+def encode_attempt(attempt: Attempt, names: HeaderNames, remaining_s: float) -> bytes:
+    """Return an attempt's bytes: the caller's request with the remaining time as its deadline.
 
     Parameters
     ----------
     attempt
-        What is sent, and to which incarnation.
+        The request, and the incarnation of the server that it is for.
     names
-        The headers spoken with servers.
-    left_s
-        What is left of the caller's time, in seconds; sent in whole milliseconds.
+        The names of the headers exchanged with servers.
+    remaining_s
+        The time until the attempt's deadline, in seconds; sent in whole milliseconds.
     """
     request = attempt.request
-    left_ms = max(1, math.floor(left_s * 1000))
+    remaining_ms = max(1, math.floor(remaining_s * 1000))
     lines = [request.method + b" " + request.target + b" HTTP/1.1"]
     replaced = (names.deadline, names.expect_instance)
     lines.extend([name + b": " + value for name, value in request.headers if name not in replaced])
-    lines.append(names.deadline + b": %d" % left_ms)
+    lines.append(names.deadline + b": %d" % remaining_ms)
     lines.append(names.expect_instance + b": " + attempt.server.instance.encode())
-    if request.body or _has_body(request):
+    if request.body or _needs_content_length(request):
         lines.append(b"content-length: %d" % len(request.body))
     lines.append(b"\r\n")
     return b"\r\n".join(lines) + request.body
@@ -46,45 +46,46 @@
 def read_reply(
     attempt: Attempt, reader: HttpReplyReader, headers: dict[bytes, bytes], names: HeaderNames
 ) -> ServerReply | Failure:
-    """Return a server's reply to this attempt.
+    """Interpret a server's reply to this attempt.
 
     Returns
     -------
     ServerReply or Failure
-        ``Failure`` with ``NOT_RUN`` when the server declined; with ``MAY_HAVE_RUN`` when the bytes
-        are another request's answer or none that may be passed on.
+        ``Failure`` with ``NOT_RUN`` if the server declined the request; with ``MAY_HAVE_RUN`` if the reply
+        belongs to another request or must not be passed on.
     """
     if reader.status == MISDIRECTED:
-        return Failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN, "another server has its address")
+        return Failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN, "another server now has this address")
     if names.not_executed in headers:
-        return Failure(Reason.SHED, Verdict.NOT_RUN, f"not executed, status {reader.status}")
+        return Failure(Reason.SHED, Verdict.NOT_RUN, f"not executed by the server, status {reader.status}")
     echoed = headers.get(names.request_id)
     if echoed is None or echoed.decode("latin-1") != attempt.request.request_id:
-        return Failure(Reason.FOREIGN_REPLY, Verdict.MAY_HAVE_RUN, "the answer names another request")
+        return Failure(Reason.FOREIGN_REPLY, Verdict.MAY_HAVE_RUN, "the reply names another request")
     signature = headers.get(names.signature)
     if reader.status < SERVER_ERROR:
         if b"content-encoding" in headers:
-            return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, "an answer with a content coding")
+            return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, "the reply has a content coding")
         if signature is None:
-            return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, "an answer without a signature")
-    load = _read_load(headers.get(names.load))
+            return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, "the reply has no signature")
+    load = _parse_load(headers.get(names.load))
     return ServerReply(reader.status, tuple(reader.headers), reader.body, signature, load)
 
 
-def _has_body(request: GatewayRequest) -> bool:
-    """Whether an empty body must be said to be empty."""
+def _needs_content_length(request: GatewayRequest) -> bool:
+    """Whether a ``Content-Length`` is needed even for an empty body."""
     return request.method in (b"POST", b"PUT", b"PATCH")
 
 
-def _read_load(value: bytes | None) -> Load | None:
-    """Read ``RUNNING,WAITING,SLOTS`` or that with the work time in percent; ``None`` if it is neither.
+def _parse_load(value: bytes | None) -> Load | None:
+    """Parse ``RUNNING,WAITING,SLOTS``, optionally followed by the service time in percent.
 
-    Not logged: servers need not report, and one that reports nonsense would log with each reply.
+    Returns ``None`` for anything else without logging it: load reports are optional, and a server with
+    malformed ones would cause a log line for each reply.
     """
     if value is None:
         return None
     fields: list[Any] = value.split(b",")
-    known = len(fields) in (LOAD_FIELDS, LOAD_FIELDS_WITH_PACE)
+    known = len(fields) in (LOAD_FIELDS, LOAD_FIELDS_WITH_SERVICE_TIME)
     if not known or not all(field.strip().isdigit() for field in fields):
         return None
     return Load(*(int(field) for field in fields))
--- a/src/yokesill/upstreams/attempt_call.py
+++ b/src/yokesill/upstreams/attempt_call.py
@@ -1,6 +1,6 @@
-"""One attempt in progress: what it holds, from waiting for a connection to its end.
+"""The state of one attempt in progress, from waiting for a connection until it ends.
 
-``ServerClient`` owns the calls; their states and verdicts are those of ``charts/attempt.yaml``.
+``ServerClient`` owns the calls. Their states and verdicts are defined by ``charts/attempt.yaml``.
 """
 
 from collections.abc import Callable
@@ -18,15 +18,15 @@
 }
 
 Outcome = AttemptAnswered | AttemptFailed
-Done = Callable[[Outcome], None]
+DoneCallback = Callable[[Outcome], None]
 
 
 class AttemptCall:
     """One attempt in progress.
 
-    ``waiter`` is set while it waits for a connection, ``connection`` from then on. ``connected_in_s`` is how
-    long opening the connection took, ``None`` for one that was used before. ``sent_at`` is in seconds of the
-    node's clock.
+    ``waiter`` is set while it waits for a connection, ``connection`` afterwards. ``connected_in_s`` is how
+    long opening the connection took, ``None`` for a reused one. ``sent_at`` is in seconds of the node's
+    clock.
     """
 
     __slots__ = (
@@ -40,7 +40,7 @@
         "waiter",
     )
 
-    def __init__(self, attempt: Attempt, connections: ServerConnectionPool, done: Done) -> None:
+    def __init__(self, attempt: Attempt, connections: ServerConnectionPool, done: DoneCallback) -> None:
         self.attempt = attempt
         self.connections = connections
         self.done = done
--- a/src/yokesill/upstreams/connection_set.py
+++ b/src/yokesill/upstreams/connection_set.py
@@ -1,26 +1,27 @@
-"""The connections to one instance of a server: a limited number, of which each call gets one.
+"""A bounded connection pool for one server instance; each call uses one connection exclusively.
 
-Owns the idle connections and the calls that wait for one; the limit comes with each attempt. Idle connections
-are closed before the server closes them.
+Owns the idle connections and the queue of calls that wait for one; the limit comes with each attempt. An idle
+connection is closed before the server's idle timeout.
 """
 
 from collections.abc import Callable
 
 from yokesill.upstreams.connections import ServerConnection
 
-# Share of the idle time announced by ``Keep-Alive`` for which a connection is used again: the rest is for
-# clocks and a request's way, since the server may close it as a request arrives.
-IDLE_SHARE = 0.8
-# Idle time of a server that announces none.
-IDLE_DEFAULT_S = 60.0
+# Share of the ``Keep-Alive`` timeout during which a connection is reused. The rest allows for clock
+# differences and the network delay of a request, since the server may close the connection just as the
+# request arrives.
+KEEP_ALIVE_SHARE = 0.8
+# Idle timeout of a server that announces none.
+DEFAULT_IDLE_TIMEOUT_S = 60.0
 
 Waiter = Callable[[ServerConnection | None], None]
 
 
 class ServerConnectionPool:
-    """Connections to one instance of a server; a call that finds all in use waits in order of arrival.
+    """Connections to one server instance; calls that find all in use wait in order of arrival.
 
-    ``refused_at`` is when the server last reset a new connection at once.
+    ``refused_at`` is when the server last reset a new connection immediately.
     """
 
     __slots__ = ("_changed", "_idle", "_open", "_waiters", "busy", "host", "port", "refused_at")
@@ -33,44 +34,44 @@
         self._changed = changed
         self._open = 0
         self._idle: list[ServerConnection] = []
-        # A list: it is nearly always empty, and an empty deque takes 0.7 KB a server.
+        # A list, since it is nearly always empty and an empty deque takes 0.7 KB per server.
         self._waiters: list[Waiter] = []
 
     def reserve(self, limit: int) -> bool:
-        """Count one of ``limit`` connections as in use, if one is free."""
+        """Reserve one of ``limit`` connections; return ``False`` if all are in use."""
         if self.busy >= limit:
             return False
         self.busy += 1
         return True
 
     def opened(self) -> None:
-        """Count a connection that was opened in a reserved place."""
-        self._count(1)
+        """Count a connection that was opened for a reservation."""
+        self._change_open_count(1)
 
     def take_idle(self, now: float, check: bool) -> ServerConnection | None:
-        """Return the open connection that was used last; ``None`` when a new one must be opened.
+        """Return the most recently used idle connection; ``None`` if a new one must be opened.
 
-        With ``check`` the kernel is asked whether it is still open and has nothing to read.
+        With ``check``, skip connections that the kernel reports as closed or as having unread data.
         """
         while self._idle:
             connection = self._idle.pop()
             if now < connection.reusable_until and (not check or connection.has_no_unread_data()):
                 return connection
             connection.close()
-            self._count(-1)
+            self._change_open_count(-1)
         return None
 
     def wait(self, waiter: Waiter) -> None:
-        """Call ``waiter`` when a connection is free; it gets an open one or the place of one."""
+        """Call ``waiter`` once a connection is free, with an open one, or ``None`` to open one itself."""
         self._waiters.append(waiter)
 
-    def stop_waiting(self, waiter: Waiter) -> None:
-        """Remove a waiter."""
+    def cancel_wait(self, waiter: Waiter) -> None:
+        """Remove a waiter from the queue."""
         if waiter in self._waiters:
             self._waiters.remove(waiter)
 
-    def give_back(self, connection: ServerConnection, reusable_until: float) -> None:
-        """Keep a connection whose reply was read to its end; the next waiter gets it."""
+    def release(self, connection: ServerConnection, reusable_until: float) -> None:
+        """Return a connection whose reply was read completely; the next waiter gets it."""
         connection.reusable_until = reusable_until
         if self._waiters:
             self._waiters.pop(0)(connection)
@@ -78,54 +79,54 @@
         self.busy -= 1
         self._idle.append(connection)
 
-    def drop(self, connection: ServerConnection | None) -> None:
-        """Close a connection that must not be used again; the next waiter gets its place.
+    def discard(self, connection: ServerConnection | None) -> None:
+        """Close a connection that must not be reused; the next waiter gets its reservation.
 
-        ``None`` gives up a place in which none was opened.
+        ``None`` releases a reservation for which no connection was opened.
         """
         if connection is not None:
             connection.close()
-            self._count(-1)
+            self._change_open_count(-1)
         if self._waiters:
             self._waiters.pop(0)(None)
         else:
             self.busy -= 1
 
-    def lost(self, connection: ServerConnection) -> None:
-        """Forget an idle connection that has ended."""
+    def remove_idle(self, connection: ServerConnection) -> None:
+        """Remove an idle connection that was closed by the server."""
         if connection in self._idle:
             self._idle.remove(connection)
-            self._count(-1)
+            self._change_open_count(-1)
 
-    def _count(self, change: int) -> None:
-        self._open += change
+    def _change_open_count(self, delta: int) -> None:
+        self._open += delta
         self._changed(self._open)
 
-    def distrust(self, since: float) -> None:
-        """Close connections that have been idle since before ``since`` (seconds of the node's clock).
+    def close_idle_since(self, since: float) -> None:
+        """Close connections that have been idle since before ``since``, in seconds of the node's clock.
 
-        One that was used then stayed silent without a reset: whatever silenced it may have silenced
-        these too, and each would cost a request its time.
+        Called when a connection that was reused at ``since`` got neither a reply nor a reset. The cause may
+        affect the others too, and each would make one request time out.
         """
-        silent = [each for each in self._idle if each.rested_at is not None and each.rested_at <= since]
-        for connection in silent:
+        stale = [each for each in self._idle if each.idle_since is not None and each.idle_since <= since]
+        for connection in stale:
             self._idle.remove(connection)
             connection.close()
-            self._count(-1)
+            self._change_open_count(-1)
 
     def close(self) -> None:
         """Close the idle connections."""
         while self._idle:
             self._idle.pop().close()
-            self._count(-1)
+            self._change_open_count(-1)
 
 
-def idle_time_s(keep_alive: bytes | None) -> float:
-    """Return how long a connection may rest, in seconds, by the server's ``Keep-Alive`` header."""
+def idle_timeout_s(keep_alive: bytes | None) -> float:
+    """Return how long a connection may stay idle, in seconds, by the server's ``Keep-Alive`` header."""
     if keep_alive is None:
-        return IDLE_DEFAULT_S
+        return DEFAULT_IDLE_TIMEOUT_S
     for part in keep_alive.split(b","):
         name, _, value = part.strip().partition(b"=")
         if name.lower() == b"timeout" and value.isdigit():
-            return int(value) * IDLE_SHARE
-    return IDLE_DEFAULT_S
+            return int(value) * KEEP_ALIVE_SHARE
+    return DEFAULT_IDLE_TIMEOUT_S
--- a/src/yokesill/upstreams/connections.py
+++ b/src/yokesill/upstreams/connections.py
@@ -1,71 +1,71 @@
-"""One connection to a server: one request at a time, and callbacks instead of waiting.
+"""A connection to a server that handles one request at a time and reports by callbacks.
 
-A connection whose reply was not read to its end, or on which bytes arrive without a request, is closed and
-never used again. Relies on ``wires`` for the bytes and ``comm.http_reply`` for reading replies.
+A connection whose reply was not read completely, or that receives bytes without a pending request, is closed
+and never reused. ``wires`` transfers the bytes, ``comm.http_reply`` parses the replies.
 """
 
 from collections.abc import Callable
 from typing import NamedTuple
 
 from yokesill.comm.http_reply import HttpReplyReader, ReplyError
-from yokesill.upstreams.wires import Dial, Wire
+from yokesill.upstreams.wires import ByteTransport, Dial
 
-Ended = Callable[[HttpReplyReader | Exception], None]
+OnReplyEnd = Callable[[HttpReplyReader | Exception], None]
 
 
 class ResetBeforeReplyError(Exception):
-    """A connection was reset before any byte of the reply came."""
+    """A connection was reset before any byte of the reply arrived."""
 
 
 class ClosedBeforeReplyError(Exception):
-    """A server closed a connection before any byte of the reply came: it ended, or gave the request up."""
+    """A server closed a connection before any byte of the reply: it ended, or abandoned the request."""
 
 
 class PendingReply(NamedTuple):
-    """What a connection waits for; ``ended`` gets the whole reply, or the error that ended it."""
+    """The reply that a connection waits for; ``on_end`` gets the complete reply or an error."""
 
     reader: HttpReplyReader
-    ended: Ended
+    on_end: OnReplyEnd
 
 
 class ServerConnection:
     """One connection to a server.
 
-    ``reusable_until`` is when the server may close it for idleness, ``rested_at`` since when it has
-    been idle, in seconds of the node's clock. ``opened_in_s`` is how long connecting took (a round trip).
+    ``reusable_until`` is when the server may close it as idle, and ``idle_since`` when it became idle, in
+    seconds of the node's clock. ``opened_in_s`` is how long connecting took, which is a round trip.
     """
 
-    __slots__ = ("_lost", "_pending", "_wire", "opened_in_s", "rested_at", "reusable_until")
+    __slots__ = ("_on_lost", "_pending", "_transport", "idle_since", "opened_in_s", "reusable_until")
 
-    def __init__(self, lost: Callable[["ServerConnection"], None]) -> None:
+    def __init__(self, on_lost: Callable[["ServerConnection"], None]) -> None:
         self.reusable_until = 0.0
         self.opened_in_s = 0.0
-        self.rested_at: float | None = None
-        self._lost = lost
+        self.idle_since: float | None = None
+        self._on_lost = on_lost
         self._pending: PendingReply | None = None
-        self._wire: Wire | None = None
+        self._transport: ByteTransport | None = None
 
     async def open(self, dial: Dial, host: str, port: int) -> None:
-        """Connect; raises ``OSError``."""
-        self._wire = await dial(host, port, self)
+        """Connect to the server; raises ``OSError``."""
+        self._transport = await dial(host, port, self)
 
-    def start(self, request: bytes, bodiless: bool, ended: Ended) -> None:
-        """Send a request; ``ended`` is called once, never within this call."""
-        self._pending = PendingReply(HttpReplyReader(bodiless), ended)
-        if self._wire is not None:
-            self._wire.write(request)
+    def start(self, request: bytes, bodiless: bool, on_end: OnReplyEnd) -> None:
+        """Send a request; ``on_end`` is called once, never before this call returns."""
+        self._pending = PendingReply(HttpReplyReader(bodiless), on_end)
+        if self._transport is not None:
+            self._transport.write(request)
 
     def close(self) -> None:
-        """Close at once, without a callback."""
+        """Close immediately, without a callback."""
         self._pending = None
-        wire, self._wire = self._wire, None
-        if wire is not None:
-            wire.close()
+        transport, self._transport = self._transport, None
+        if transport is not None:
+            transport.close()
 
     @property
     def is_open(self) -> bool:
         """Whether neither side is known to have closed it."""
-        return self._wire is not None
+        return self._transport is not None
 
     @property
     def reply_started(self) -> bool:
@@ -73,25 +73,25 @@
         return self._pending is not None and self._pending.reader.begun
 
     def has_no_unread_data(self) -> bool:
-        """Whether nothing has arrived that was not passed on yet."""
-        return self._wire is not None and self._wire.has_no_unread_data()
+        """Whether the connection is open and all received data has been delivered."""
+        return self._transport is not None and self._transport.has_no_unread_data()
 
-    def sent_whole(self) -> bool:
-        """Whether the server was sent all of the last request.
+    def request_sent(self) -> bool:
+        """Whether the last request was sent completely.
 
-        A server may answer a long request before it has read it. What is left of that request would
-        be taken for the next one.
+        A server may answer a long request before it has read all of it. On a reused connection, the rest of
+        that request would be read as the next one.
         """
-        return self._wire is not None and self._wire.unsent_bytes() == 0
+        return self._transport is not None and self._transport.unsent_bytes() == 0
 
-    # --- WireUser ---
+    # --- TransportUser ---
 
     def data_received(self, data: bytes) -> None:
-        """Read bytes of the reply; close on bytes without a request."""
+        """Feed bytes to the pending reply; close the connection if there is none."""
         pending = self._pending
         if pending is None:
             self.close()
-            self._lost(self)
+            self._on_lost(self)
             return
         try:
             pending.reader.feed(data)
@@ -101,27 +101,27 @@
         if pending.reader.complete:
             self._end(pending, pending.reader)
 
-    def wire_closed(self, error: Exception | None) -> None:
-        """End the pending reply: one without a length is complete, any other is lost."""
-        self._wire = None
+    def transport_closed(self, error: Exception | None) -> None:
+        """End the pending reply: one without a length is complete, any other one failed."""
+        self._transport = None
         pending = self._pending
         if pending is None:
-            self._lost(self)
+            self._on_lost(self)
             return
         if error is not None:
-            begun = pending.reader.begun
-            self._end(pending, error if begun else ResetBeforeReplyError(repr(error)))
+            started = pending.reader.begun
+            self._end(pending, error if started else ResetBeforeReplyError(repr(error)))
             return
         if not pending.reader.begun:
-            self._end(pending, ClosedBeforeReplyError("closed before a reply"))
+            self._end(pending, ClosedBeforeReplyError("connection closed before a reply"))
             return
         try:
             pending.reader.end_of_stream()
-        except ReplyError as broken:
-            self._end(pending, broken)
+        except ReplyError as malformed:
+            self._end(pending, malformed)
         else:
             self._end(pending, pending.reader)
 
     def _end(self, pending: PendingReply, outcome: HttpReplyReader | Exception) -> None:
         self._pending = None
-        pending.ended(outcome)
+        pending.on_end(outcome)
--- a/src/yokesill/upstreams/deadlines.py
+++ b/src/yokesill/upstreams/deadlines.py
@@ -1,6 +1,6 @@
-"""Watches the deadlines of calls: the attempts of one request share theirs, and so one timer.
+"""Tracks the deadlines of calls; calls with the same deadline, such as those of one request, share a timer.
 
-Owns the calls by deadline until they end or expire; the timers are ``ServerClient``'s.
+Owns the calls by deadline until they end or expire. ``ServerClient`` owns the timers.
 """
 
 from collections.abc import Callable
@@ -10,7 +10,7 @@
 
 
 class Deadlines:
-    """Calls ``expire`` with each call that is still watched at its deadline."""
+    """Calls ``expire`` for each call that is still watched at its deadline."""
 
     __slots__ = ("_calls", "_expire", "_timers")
 
@@ -20,25 +20,25 @@
         self._expire = expire
 
     def watch(self, call: AttemptCall) -> None:
-        """Watch a call's deadline."""
+        """Start watching a call's deadline."""
         deadline_at_s = call.attempt.deadline_at_s
-        sharing = self._calls.get(deadline_at_s)
-        if sharing is None:
-            sharing = self._calls[deadline_at_s] = {}
+        calls = self._calls.get(deadline_at_s)
+        if calls is None:
+            calls = self._calls[deadline_at_s] = {}
             self._timers.set(deadline_at_s, lambda: self._expire_all(deadline_at_s))
-        sharing[call.attempt.number] = call
+        calls[call.attempt.number] = call
 
     def forget(self, call: AttemptCall) -> None:
         """Stop watching a call that ended.
 
-        Kept until their deadlines, the ended calls of some seconds would hold their requests'
-        headers and bodies: 156 bytes a call and up, 5.6 MB at 9,000 sub-requests a second.
+        If they were kept until their deadlines, the ended calls of several seconds would keep their requests'
+        headers and bodies alive: at least 156 bytes per call, 5.6 MB at 9,000 sub-requests per second.
         """
         deadline_at_s = call.attempt.deadline_at_s
-        sharing = self._calls.get(deadline_at_s)
-        if sharing is not None:
-            sharing.pop(call.attempt.number, None)
-            if not sharing:
+        calls = self._calls.get(deadline_at_s)
+        if calls is not None:
+            calls.pop(call.attempt.number, None)
+            if not calls:
                 del self._calls[deadline_at_s]
 
     def _expire_all(self, deadline_at_s: float) -> None:
--- a/src/yokesill/upstreams/losses.py
+++ b/src/yokesill/upstreams/losses.py
@@ -1,21 +1,22 @@
-"""Decides what a lost or silent connection says of its server.
+"""Classifies lost and silent connections.
 
-Inputs: the call, the error, the node's clock in seconds. A reset that comes back within a round trip was sent
-before the server can have worked on the request: on a new connection it is a refusal, on an idle one the
-server had dropped it. Anything later is a loss under way, of which the request may have run.
+Inputs: the call, the error, and the time by the node's clock in seconds. A reset within a round trip was sent
+before the server can have processed the request: on a new connection it is a refusal, on a connection that
+was idle the server had already dropped it. A later reset is a loss in mid-exchange, and the request may have
+run.
 """
 
 from yokesill.upstreams.attempt_call import AttemptCall
 from yokesill.upstreams.connections import ResetBeforeReplyError
 from yokesill.verdict import Reason
 
-# A connection that was idle for this time and is reset when used was dropped by its server before.
-FORGOTTEN_AFTER_IDLE_S = 0.5
-# A reset that the request met on its way comes back within a round trip, which connecting took at least; the
-# margins are for the clocks' ticks.
+# A connection that was idle for this time and is reset on reuse had already been dropped by its server.
+DROPPED_AFTER_IDLE_S = 0.5
+# A reset in direct response to the request arrives within a round trip, and connecting took at least that
+# long. The margins allow for the resolution of the clocks.
 PROMPT_ROUND_TRIPS = 1.5
 PROMPT_MARGIN_S = 0.002
-# A connection without a byte for this time may be silent for good; pauses of servers are shorter.
+# A connection without a byte for this time may be dead; pauses of servers are shorter.
 SILENT_AFTER_S = 0.5
 
 
@@ -25,24 +26,24 @@
         return Reason.CONNECTION_LOST
     if call.connected_in_s is not None:
         return Reason.CONNECTION_REFUSED
-    rested_at = call.connection.rested_at if call.connection is not None else None
-    if rested_at is None or call.sent_at is None:
+    idle_since = call.connection.idle_since if call.connection is not None else None
+    if idle_since is None or call.sent_at is None:
         return Reason.CONNECTION_LOST
-    forgotten = call.sent_at - rested_at >= FORGOTTEN_AFTER_IDLE_S
+    forgotten = call.sent_at - idle_since >= DROPPED_AFTER_IDLE_S
     return Reason.CONNECTION_FORGOTTEN if forgotten else Reason.CONNECTION_LOST
 
 
 def _is_prompt(call: AttemptCall, now: float) -> bool:
-    """Whether what comes now was sent before the server can have worked on the request."""
+    """Whether an event arriving now was sent before the server can have processed the request."""
     if call.connection is None or call.sent_at is None:
         return True
     return now - call.sent_at <= PROMPT_ROUND_TRIPS * call.connection.opened_in_s + PROMPT_MARGIN_S
 
 
 def silent_since_s(call: AttemptCall, now: float) -> float | None:
-    """Return since when an idle connection that was used again has brought no byte; ``None`` if it has.
+    """Return when a reused connection was last written to if it has since been silent, else ``None``.
 
-    The server's other connections that were idle then may be silent as well.
+    The server's other connections that were idle at that time may be dead as well.
     """
     connection, reused = call.connection, call.connected_in_s is None
     if connection is None or call.sent_at is None or not reused or connection.reply_started:
--- a/src/yokesill/upstreams/opening.py
+++ b/src/yokesill/upstreams/opening.py
@@ -1,7 +1,7 @@
-"""Opens connections to servers, and tells a refusal from a failure.
+"""Opens connections to servers, and distinguishes refusals from failures.
 
-A refusal says that the server holds as many connections as its limit; it is no fault of the server. The limit
-itself is the gateway's decision; here a new connection is only watched before its first use.
+A refusal means that the server has reached its connection limit, which is not a fault. The gateway decides
+how many connections to use; this module only observes a new connection for a moment before its first use.
 """
 
 from typing import NamedTuple
@@ -14,13 +14,13 @@
 from yokesill.upstreams.wires import Dial
 from yokesill.verdict import Reason
 
-# Bounds what a dead server costs one attempt; its deadline may be sooner.
+# Bounds the time that an attempt loses to a dead server; its deadline may be sooner.
 CONNECT_TIMEOUT_S = 1.0
-# For this time after a refusal new connections are watched before their first use.
-WATCH_AFTER_REFUSAL_S = 3.0
-# How long a new connection is watched: a reset follows the accept within a round trip.
-SETTLING_S = 0.004
-SETTLING_ROUND_TRIPS = 1.0
+# For this time after a refusal, new connections are observed before their first use.
+OBSERVE_AFTER_REFUSAL_S = 3.0
+# How long a new connection is observed: a reset follows the accept within a round trip.
+OBSERVATION_S = 0.004
+OBSERVATION_ROUND_TRIPS = 1.0
 
 
 class OpeningFailure(NamedTuple):
@@ -38,28 +38,28 @@
     Parameters
     ----------
     connections
-        The server's connections, in which a place was reserved.
+        The server's connection pool, with a reservation for this connection.
     dial
-        Connects.
+        Opens the transport.
     deadline_at_s
-        Until when it is of use, in seconds of the node's clock.
+        When the attempt expires, in seconds of the node's clock.
     clock
         The node's clock.
 
     Returns
     -------
     ServerConnection or OpeningFailure
-        A refusal (``CONNECTION_REFUSED``) says that the server holds as many connections as its limit.
+        The reason ``CONNECTION_REFUSED`` means that the server has reached its connection limit.
     """
-    connection = ServerConnection(connections.lost)
+    connection = ServerConnection(connections.remove_idle)
     started = clock()
     timeout_s = min(CONNECT_TIMEOUT_S, deadline_at_s - started)
     try:
         with anyio.fail_after(timeout_s):
             await connection.open(dial, connections.host, connections.port)
-            await _settle(connections, connection, started, clock())
+            await _observe_after_refusal(connections, connection, started, clock())
     except TimeoutError:
-        failure = OpeningFailure(Reason.CONNECT_FAILED, f"no answer in {timeout_s:.2f} s")
+        failure = OpeningFailure(Reason.CONNECT_FAILED, f"not connected within {timeout_s:.2f} s")
     except ConnectionResetError as error:
         connections.refused_at = clock()
         failure = OpeningFailure(Reason.CONNECTION_REFUSED, repr(error))
@@ -71,16 +71,16 @@
     return failure
 
 
-async def _settle(
+async def _observe_after_refusal(
     connections: ServerConnectionPool, connection: ServerConnection, started: float, now: float
 ) -> None:
-    """Watch a new connection for a moment if the server refused one lately.
+    """Observe a new connection for a moment if the server recently refused one.
 
-    A server at its limit of connections accepts a new one and resets it at once.
-    A request that had been sent on it would count as one that may have run.
+    A server at its connection limit accepts a new connection and resets it immediately. A request already
+    sent on it would count as possibly executed.
     """
-    if now - connections.refused_at > WATCH_AFTER_REFUSAL_S:
+    if now - connections.refused_at > OBSERVE_AFTER_REFUSAL_S:
         return
-    await anyio.sleep(SETTLING_S + SETTLING_ROUND_TRIPS * (now - started))
+    await anyio.sleep(OBSERVATION_S + OBSERVATION_ROUND_TRIPS * (now - started))
     if not connection.is_open:
-        raise ConnectionResetError("reset before its first use")
+        raise ConnectionResetError("connection reset before its first use")
--- a/src/yokesill/upstreams/wires.py
+++ b/src/yokesill/upstreams/wires.py
@@ -1,8 +1,8 @@
-"""Byte connections that call back when bytes come.
+"""Byte transports to servers that deliver received bytes by callback.
 
-The way to servers carries a hundred exchanges for one wide request, and a task and a cancel scope
-for each costs more than the exchange. So a connection here is a callback, as in uvicorn's own
-listener: over asyncio's transports in a serving node, over any anyio byte stream in virtual time.
+A wide request causes a hundred exchanges with servers, and a task and a cancel scope for each would cost more
+than the exchange. Connections here therefore use callbacks, as uvicorn's listener does: over asyncio
+transports in a serving node, and over any anyio byte stream in virtual time.
 """
 
 import asyncio
@@ -19,113 +19,113 @@
 StreamConnector = Callable[[str, int], Awaitable[anyio.abc.ByteStream]]
 
 
-class WireUser(Protocol):
-    """The user of a connection."""
+class TransportUser(Protocol):
+    """Receives the bytes and the end of a transport."""
 
     def data_received(self, data: bytes) -> None:
         """Called with bytes as they arrive."""
 
-    def wire_closed(self, error: Exception | None) -> None:
-        """Called at the end of the connection; ``None`` if the other side closed it normally."""
+    def transport_closed(self, error: Exception | None) -> None:
+        """Called when the transport ends; ``error`` is ``None`` if the other side closed it normally."""
 
 
-class Wire(Protocol):
-    """One open connection."""
+class ByteTransport(Protocol):
+    """One open transport."""
 
     def write(self, data: bytes) -> None:
-        """Send bytes; what can't be sent yet is kept and sent in order."""
+        """Send bytes; those that can't be sent yet are buffered and sent in order."""
 
     def unsent_bytes(self) -> int:
-        """Return how many bytes are still kept."""
+        """Return the number of buffered bytes."""
 
     def has_no_unread_data(self) -> bool:
-        """Whether neither bytes nor an end have arrived that were not passed on yet."""
+        """Whether all received bytes have been delivered, and no end of the connection is waiting."""
 
     def close(self) -> None:
-        """Close at once, without a further callback."""
+        """Close immediately, without a further callback."""
 
 
-Dial = Callable[[str, int, WireUser], Awaitable[Wire]]
+Dial = Callable[[str, int, TransportUser], Awaitable[ByteTransport]]
 
 
-class TcpWire(asyncio.BufferedProtocol):
-    """A TCP connection over asyncio's transport.
+class TcpTransport(asyncio.BufferedProtocol):
+    """A TCP connection over an asyncio transport.
 
-    All connections read into one buffer: its bytes are handed on before the next read, and a buffer
-    for each read would cost more than the read.
+    All connections share one read buffer: its bytes are copied out before the next read, and allocating a
+    buffer for each read would cost more than the read.
     """
 
     _buffer = memoryview(bytearray(READ_BYTES))
 
-    def __init__(self, user: WireUser) -> None:
-        self._user: WireUser | None = user
+    def __init__(self, user: TransportUser) -> None:
+        self._user: TransportUser | None = user
         self._transport: asyncio.Transport
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the open transport."""
+        """Store the asyncio transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def get_buffer(self, sizehint: int) -> memoryview:
-        """Return the buffer to read into."""
+        """Return the shared read buffer."""
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Hand bytes to the user."""
+        """Pass the received bytes to the user."""
         if self._user is not None:
             self._user.data_received(bytes(self._buffer[:nbytes]))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Hand the end to the user."""
+        """Report the end of the connection to the user."""
         user, self._user = self._user, None
         if user is not None:
-            user.wire_closed(exc)
+            user.transport_closed(exc)
 
     def write(self, data: bytes) -> None:
-        """See ``Wire.write``."""
+        """See ``ByteTransport.write``."""
         self._transport.write(data)
 
     def unsent_bytes(self) -> int:
-        """See ``Wire.unsent_bytes``."""
+        """See ``ByteTransport.unsent_bytes``."""
         return self._transport.get_write_buffer_size()
 
     def has_no_unread_data(self) -> bool:
-        """See ``Wire.has_no_unread_data``; asks the kernel."""
+        """See ``ByteTransport.has_no_unread_data``; polls the socket."""
         poll = select.poll()
         poll.register(self._transport.get_extra_info("socket"), POLLED_EVENTS)
         return not poll.poll(0)
 
     def close(self) -> None:
-        """See ``Wire.close``."""
+        """See ``ByteTransport.close``."""
         self._user = None
         self._transport.abort()
 
 
-async def dial_tcp(host: str, port: int, user: WireUser) -> Wire:
+async def dial_tcp(host: str, port: int, user: TransportUser) -> ByteTransport:
     """Open a TCP connection.
 
     Raises
     ------
     OSError
-        It could not be opened.
+        If the connection could not be opened.
     """
     loop = asyncio.get_running_loop()
-    _, wire = await loop.create_connection(lambda: TcpWire(user), host, port)
-    return wire
+    _, transport = await loop.create_connection(lambda: TcpTransport(user), host, port)
+    return transport
 
 
-class StreamWire:
-    """A connection over an anyio byte stream; a task reads it and another one writes."""
+class StreamTransport:
+    """A connection over an anyio byte stream, with one task that reads and one that writes."""
 
-    def __init__(self, stream: anyio.abc.ByteStream, user: WireUser) -> None:
+    def __init__(self, stream: anyio.abc.ByteStream, user: TransportUser) -> None:
         self._stream = stream
-        self._user: WireUser | None = user
+        self._user: TransportUser | None = user
         self._unsent = 0
         self._outbox, self._inbox = anyio.create_memory_object_stream[bytes](math.inf)
         self._scope = anyio.CancelScope()
 
     async def run(self) -> None:
-        """Read and write until it is closed."""
+        """Read and write until the stream is closed."""
         with self._scope:
             async with anyio.create_task_group() as task_group:
                 task_group.start_soon(self._send)
@@ -135,20 +135,20 @@
             await anyio.aclose_forcefully(self._stream)
 
     def write(self, data: bytes) -> None:
-        """See ``Wire.write``."""
+        """See ``ByteTransport.write``."""
         self._unsent += len(data)
         self._outbox.send_nowait(data)
 
     def unsent_bytes(self) -> int:
-        """See ``Wire.unsent_bytes``."""
+        """See ``ByteTransport.unsent_bytes``."""
         return self._unsent
 
     def has_no_unread_data(self) -> bool:
-        """See ``Wire.has_no_unread_data``; a stream can't be asked."""
+        """See ``ByteTransport.has_no_unread_data``; always ``True``, as streams can't be polled."""
         return True
 
     def close(self) -> None:
-        """See ``Wire.close``."""
+        """See ``ByteTransport.close``."""
         self._user = None
         self._scope.cancel()
 
@@ -157,7 +157,7 @@
             try:
                 await self._stream.send(data)
             except (anyio.BrokenResourceError, OSError):
-                # Reported by ``_receive``, which ends with the connection and says why.
+                # ``_receive`` ends with the same connection and reports the error.
                 return
             self._unsent -= len(data)
 
@@ -168,22 +168,22 @@
                 data = await self._stream.receive(READ_BYTES)
             except anyio.EndOfStream:
                 break
-            except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as broken:
-                error = broken
+            except (anyio.BrokenResourceError, anyio.ClosedResourceError, OSError) as receive_error:
+                error = receive_error
                 break
             if self._user is not None:
                 self._user.data_received(data)
         user, self._user = self._user, None
         if user is not None:
-            user.wire_closed(error)
+            user.transport_closed(error)
 
 
 def dial_streams(connect: StreamConnector, task_group: anyio.abc.TaskGroup) -> Dial:
-    """Return a way to dial over anyio byte streams, whose tasks run in ``task_group``."""
+    """Return a ``Dial`` over anyio byte streams whose tasks run in ``task_group``."""
 
-    async def dial(host: str, port: int, user: WireUser) -> Wire:
-        wire = StreamWire(await connect(host, port), user)
-        task_group.start_soon(wire.run)
-        return wire
+    async def dial(host: str, port: int, user: TransportUser) -> ByteTransport:
+        transport = StreamTransport(await connect(host, port), user)
+        task_group.start_soon(transport.run)
+        return transport
 
     return dial
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -130,10 +130,10 @@
 
 def test_a_connection_that_its_server_has_closed_meanwhile_is_not_used() -> None:
     connections = ServerConnectionPool("10.0.0.1", 80, lambda _count: None)
-    rested = ServerConnection(connections.lost)
+    rested = ServerConnection(connections.remove_idle)
     assert connections.reserve(1)
     connections.opened()
-    connections.give_back(rested, reusable_until=110.0)
+    connections.release(rested, reusable_until=110.0)
     assert connections.take_idle(100.0 + SUSPENDED_S, check=False) is None
 
 
