--- a/src/yokesill/callers/__init__.py
+++ b/src/yokesill/callers/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' side: sockets, the listener, and an application that reads requests whole and answers them."""
+"""The server side towards callers: sockets, the listener, and the ASGI application that answers requests."""
--- a/src/yokesill/callers/answers.py
+++ b/src/yokesill/callers/answers.py
@@ -1,7 +1,7 @@
-"""Turns a request's final answer into an HTTP status, headers and body.
+"""Converts a request's final answer into an HTTP status, headers and body.
 
-The one place that maps a refusal to a status: 503 promises that no server ran the request, 502 and 504 say
-that one may have. Relies on the verdict that the gateway's decisions put into each failure.
+This is the only module that maps refusals to statuses: 503 guarantees that no server ran the request, 502 and
+504 mean that one may have. The mapping relies on the verdict that the gateway sets in each failure.
 """
 
 from typing import NamedTuple
@@ -15,7 +15,7 @@
 
 
 class HttpAnswer(NamedTuple):
-    """What is sent to a caller; ``outcome`` names it in logs and metrics."""
+    """An HTTP response to a caller; ``outcome`` is its label in logs and metrics."""
 
     status: int
     headers: Headers
@@ -24,7 +24,7 @@
 
 
 def to_http(final: FinalAnswer, request_id: str, names: HeaderNames) -> HttpAnswer:
-    """Return the HTTP answer of a final answer."""
+    """Return the HTTP response for a final answer."""
     match final:
         case PassOn(_, reply):
             outcome = "answered" if reply.succeeded else "server_failure"
@@ -46,7 +46,7 @@
 
 
 def refused(final: Refuse, request_id: str, names: HeaderNames) -> HttpAnswer:
-    """Return a refusal: a status that promises no more than the verdict, and when to come back."""
+    """Return a refusal: a status that guarantees no more than the verdict, and when to retry."""
     failure = final.failure
     headers: Headers = (
         (names.request_id, request_id.encode("latin-1")),
--- a/src/yokesill/callers/application.py
+++ b/src/yokesill/callers/application.py
@@ -1,8 +1,7 @@
-"""The ASGI application for callers: reads a request whole, runs it here or at a coordinator, answers it.
+"""The ASGI application for callers: reads requests, runs them here or on a coordinator, answers them.
 
-Plain ASGI under uvicorn: paths are operators' own, so a web framework would have nothing to route. Owns the
-count of requests in flight; relies on ``serving.driver`` for running them, ``answers`` for statuses and
-headers.
+Plain ASGI under uvicorn: operators define the paths, so a web framework would have nothing to route. Owns the
+count of requests in flight; ``serving.driver`` runs the requests, ``answers`` sets statuses and headers.
 """
 
 import itertools
@@ -24,32 +23,32 @@
 Scope = MutableMapping[str, Any]
 Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
-# Returns another node's final answer, or the request as this node must run it itself.
-RunElsewhere = Callable[[GatewayRequest], Awaitable[HttpAnswer | GatewayRequest]]
+# Returns the final answer of another node, or the request that this node must run itself.
+ForwardRequest = Callable[[GatewayRequest], Awaitable[HttpAnswer | GatewayRequest]]
 
-# Bounds what a caller can put into each log line of its request.
-REQUEST_ID_LIMIT_BYTES = 128
-# A request that arrives just before a starting node is ready is answered instead of refused; the wait takes
-# from the request's latency objective.
-FIRST_CONFIGURATION_WAIT_S = 0.12
+# Bounds the caller's share of each log line about its request.
+MAX_REQUEST_ID_BYTES = 128
+# A request that arrives shortly before a starting node is ready is answered instead of refused. The wait
+# counts towards the request's latency objective.
+MAX_CONFIGURATION_WAIT_S = 0.12
 
 
 class CallerDisconnectedError(Exception):
-    """The caller closed before its request was whole."""
+    """The caller disconnected before its request was complete."""
 
 
 class BadRequest(NamedTuple):
-    """A request that is not passed on, and why."""
+    """The response to a request that is rejected without running it."""
 
     status: int
     detail: str
 
 
 class GatewayApplication:
-    """Answers callers; ``stopping`` makes every answer close its connection, and so does ``partitioned``.
+    """Answers callers; while ``stopping`` or ``partitioned`` is set, every answer closes its connection.
 
-    ``synchronised`` is set once requests can be served; those that arrive before wait for it, within
-    ``FIRST_CONFIGURATION_WAIT_S``. ``forward`` runs a caller's request at another node where that is better.
+    ``synchronised`` is set once requests can be served; earlier requests wait for it up to
+    ``MAX_CONFIGURATION_WAIT_S``. ``forward`` runs a caller's request on another node where that is better.
     """
 
     def __init__(
@@ -58,10 +57,11 @@
         names: HeaderNames,
         observer: Observer,
         prefix: str,
-        forward: RunElsewhere | None = None,
+        forward: ForwardRequest | None = None,
     ) -> None:
         self.stopping = False
-        # While this node is partitioned from the other zones callers reconnect, perhaps to another node.
+        # While this node is partitioned from the other zones, callers must reconnect, possibly to another
+        # node.
         self.partitioned = False
         self.synchronised = anyio.Event()
         self.in_flight = 0
@@ -73,7 +73,7 @@
         self._numbers = itertools.count(1)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Serve one ASGI request; other scope types are ignored."""
         if scope["type"] != "http":
             return
         self.in_flight += 1
@@ -85,12 +85,12 @@
     async def _serve(self, scope: Scope, receive: Receive, send: Send) -> None:
         arrived_at = anyio.current_time()
         if not self.synchronised.is_set():
-            with anyio.move_on_after(FIRST_CONFIGURATION_WAIT_S):
+            with anyio.move_on_after(MAX_CONFIGURATION_WAIT_S):
                 await self.synchronised.wait()
         try:
             read = await self._read(scope, receive, arrived_at)
         except CallerDisconnectedError:
-            # Not logged: without its whole request there is nothing to run, and nothing to name in a line.
+            # Not logged: an incomplete request can't be run, nor identified in a log line.
             return
         if isinstance(read, BadRequest):
             self._observer.rejected(read.status, read.detail, scope["path"])
@@ -114,7 +114,7 @@
             return BadRequest(CONTENT_TOO_LARGE, "the body is too large")
         values = dict(headers)
         request_id = values.get(self._names.request_id, b"").decode("latin-1")
-        if not 0 < len(request_id) <= REQUEST_ID_LIMIT_BYTES:
+        if not 0 < len(request_id) <= MAX_REQUEST_ID_BYTES:
             return BadRequest(BAD_REQUEST, f"a {self._names.request_id.decode()} header is needed")
         query = scope["query_string"]
         return GatewayRequest(
@@ -134,18 +134,18 @@
     # --- running ---
 
     def next_key(self) -> str:
-        """Return a new request's key, unique among nodes and starts."""
+        """Return a key for a new request, unique across nodes and restarts."""
         return f"{self._prefix}-{next(self._numbers)}"
 
     async def run(
-        self, request: GatewayRequest, receive: Receive, forward: RunElsewhere | None = None
+        self, request: GatewayRequest, receive: Receive, forward: ForwardRequest | None = None
     ) -> HttpAnswer | None:
-        """Run a request, at another node if ``forward`` says so.
+        """Run a request, on another node if ``forward`` returns its answer.
 
         Returns
         -------
         HttpAnswer or None
-            ``None`` if the caller left; its attempts are cancelled.
+            ``None`` if the caller disconnected; the request's attempts are cancelled.
         """
         answer: HttpAnswer | None = None
 
@@ -162,7 +162,7 @@
             self._observer.caller_left(request)
         return answer
 
-    async def _answer(self, request: GatewayRequest, forward: RunElsewhere | None) -> HttpAnswer:
+    async def _answer(self, request: GatewayRequest, forward: ForwardRequest | None) -> HttpAnswer:
         if forward is not None:
             forwarded = await forward(request)
             if isinstance(forwarded, HttpAnswer):
@@ -184,7 +184,7 @@
 
 
 async def read_body(receive: Receive, limit: int) -> bytes | None:
-    """Return the whole body, or ``None`` when it is larger than ``limit`` bytes."""
+    """Return the complete body, or ``None`` if it is larger than ``limit`` bytes."""
     chunks: list[bytes] = []
     size = 0
     more = True
@@ -202,12 +202,12 @@
 
 
 def _host_name(value: bytes) -> str:
-    """Return a ``Host`` header's name without its port, in lower case."""
+    """Return the host name of a ``Host`` header without the port, in lower case."""
     return value.decode("latin-1").rpartition("@")[2].split(":")[0].lower()
 
 
 def _timeout_s(value: bytes | None) -> float | None:
-    """Read milliseconds; ``None`` when the caller did not say how long it waits."""
+    """Parse milliseconds; ``None`` if the caller sent no valid timeout."""
     if value is None or not value.isdigit():
         return None
     return int(value) / 1000
--- a/src/yokesill/callers/headers.py
+++ b/src/yokesill/callers/headers.py
@@ -1,6 +1,6 @@
-"""Which headers a gateway passes on: all but the hop-by-hop ones, which concern one connection only.
+"""Removes hop-by-hop headers, which apply to a single connection, from forwarded messages.
 
-Used in both directions, for requests to servers and for answers to callers. RFC 9110, section 7.6.1.
+Used in both directions, for requests to servers and for answers to callers. See RFC 9110, section 7.6.1.
 """
 
 from collections.abc import Iterable
@@ -25,9 +25,9 @@
 
 
 def end_to_end_headers(headers: Iterable[tuple[bytes, bytes]]) -> Headers:
-    """Return the headers (names in lower case) that go on to the other side."""
+    """Return the headers to forward; the names must be in lower case."""
     pairs = list(headers)
-    named = {
+    connection_options = {
         token.strip().lower() for name, value in pairs if name == b"connection" for token in value.split(b",")
     }
-    return tuple(pair for pair in pairs if pair[0] not in HOP_BY_HOP and pair[0] not in named)
+    return tuple(pair for pair in pairs if pair[0] not in HOP_BY_HOP and pair[0] not in connection_options)
--- a/src/yokesill/callers/sockets.py
+++ b/src/yokesill/callers/sockets.py
@@ -1,6 +1,6 @@
 """Opens listening sockets.
 
-Imports next to nothing: a starting node opens the callers' socket before it loads everything else.
+Imports only the standard library: a starting node opens the callers' socket before it loads everything else.
 """
 
 import socket
@@ -11,12 +11,12 @@
 
 
 def listen(host: str, port: int) -> socket.socket:
-    """Return a socket that listens already; raises ``OSError`` and ``OverflowError``.
+    """Return a listening socket; raises ``OSError`` and ``OverflowError``.
 
-    What connects before anybody accepts waits in the socket's queue.
+    Connections made before the first accept wait in the socket's queue.
     """
-    # The protocol by its name: asyncio switches Nagle's algorithm off only where it is named, and with it
-    # an answer's body waits for the caller's delayed acknowledgement of the head, 40 ms.
+    # The protocol must be given: asyncio disables Nagle's algorithm only if it is IPPROTO_TCP. With Nagle's
+    # algorithm, an answer's body waits 40 ms for the caller's delayed acknowledgement of the head.
     listening = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     try:
         listening.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -31,7 +31,8 @@
 def listen_early(address: str) -> socket.socket | None:
     """Return a socket that listens on ``HOST:PORT``.
 
-    ``None``, with a line on standard error, if it can't be opened: the listener tries again later.
+    If the socket can't be opened, prints the error to standard error and returns ``None``; the listener
+    retries later.
     """
     host, _, port = address.rpartition(":")
     try:
--- a/src/yokesill/telemetry/__init__.py
+++ b/src/yokesill/telemetry/__init__.py
@@ -1,1 +1,1 @@
-"""Log lines and metrics of a node's decisions: counted as they happen, rendered when they are asked for."""
+"""Log lines and metrics of a node's decisions; metrics are counted immediately and rendered on demand."""
--- a/src/yokesill/telemetry/exposition.py
+++ b/src/yokesill/telemetry/exposition.py
@@ -1,6 +1,7 @@
-"""Renders a node's figures in Prometheus' text format, by prometheus-client.
+"""Renders a node's metrics in the Prometheus text format with prometheus-client.
 
-Imported at the first call of ``/metrics`` only. The names of metrics and labels are relied on by operators.
+Imported only on the first call of ``/metrics``. Operators depend on the names of metrics
+and labels.
 """
 
 from collections.abc import Iterable, Iterator
@@ -14,17 +15,17 @@
 )
 from prometheus_client.registry import Collector
 
-from yokesill.telemetry.figures import Distribution, GatewayMetrics
+from yokesill.telemetry.figures import GatewayMetrics, Histogram
 
 
-class FiguresCollector(Collector):
-    """Converts a node's plain figures to the library's families."""
+class MetricsCollector(Collector):
+    """Converts a node's metrics to prometheus-client metric families."""
 
     def __init__(self, figures: GatewayMetrics) -> None:
         self._figures = figures
 
     def collect(self) -> Iterable[Metric]:
-        """Return every family."""
+        """Yield all metric families."""
         figures = self._figures
         requests = CounterMetricFamily(
             "yokesill_requests", "Requests by route and outcome", labels=["route", "outcome"]
@@ -32,40 +33,40 @@
         for (route, outcome), count in figures.requests.items():
             requests.add_metric([route, outcome], count)
         yield requests
-        yield _counts("yokesill_decisions", "Logged decisions by name", "name", figures.decisions)
-        yield _counts("yokesill_attempts", "Attempts by cause: first or extra", "cause", figures.attempts)
-        yield _distributions("yokesill_request_seconds", "Time to the final answer", figures.latency)
-        yield _distributions("yokesill_coverage", "Share of the services in an answer", figures.coverage)
+        yield _counter_family("yokesill_decisions", "Logged decisions by name", "name", figures.decisions)
+        yield _counter_family(
+            "yokesill_attempts", "Attempts by cause: first or extra", "cause", figures.attempts
+        )
+        yield _histogram_family("yokesill_request_seconds", "Time to the final answer", figures.latency)
+        yield _histogram_family("yokesill_coverage", "Share of the services in an answer", figures.coverage)
         for name, (description, value) in figures.gauges.items():
             yield GaugeMetricFamily(name, description, value=value)
 
 
 def render(figures: GatewayMetrics) -> bytes:
-    """Return the figures as text."""
+    """Return the metrics in the text format."""
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(FiguresCollector(figures))
+    registry.register(MetricsCollector(figures))
     return generate_latest(registry)
 
 
-def _counts(name: str, description: str, label: str, counts: dict[str, int]) -> CounterMetricFamily:
+def _counter_family(name: str, description: str, label: str, counts: dict[str, int]) -> CounterMetricFamily:
     family = CounterMetricFamily(name, description, labels=[label])
     for value, count in counts.items():
         family.add_metric([value], count)
     return family
 
 
-def _distributions(
-    name: str, description: str, distributions: dict[str, Distribution]
-) -> HistogramMetricFamily:
+def _histogram_family(name: str, description: str, histograms: dict[str, Histogram]) -> HistogramMetricFamily:
     family = HistogramMetricFamily(name, description, labels=["route"])
-    for route, distribution in distributions.items():
-        family.add_metric([route], list(_buckets(distribution)), distribution.total)
+    for route, histogram in histograms.items():
+        family.add_metric([route], list(_buckets(histogram)), histogram.total)
     return family
 
 
-def _buckets(distribution: Distribution) -> Iterator[tuple[str, float]]:
-    """Return cumulative counts by upper bound, as the format wants them."""
-    running = 0
-    for bound, count in zip((*distribution.bounds, None), distribution.counts, strict=True):
-        running += count
-        yield ("+Inf" if bound is None else str(bound), running)
+def _buckets(histogram: Histogram) -> Iterator[tuple[str, float]]:
+    """Yield the cumulative count for each upper bound, as the format requires."""
+    cumulative_count = 0
+    for bound, count in zip((*histogram.bounds, None), histogram.counts, strict=True):
+        cumulative_count += count
+        yield ("+Inf" if bound is None else str(bound), cumulative_count)
--- a/src/yokesill/telemetry/figures.py
+++ b/src/yokesill/telemetry/figures.py
@@ -1,7 +1,7 @@
-"""A serving node's counters and histograms as plain numbers, filled by ``observer`` as things happen.
+"""A serving node's metrics as plain numbers; ``observer`` updates the counters and histograms.
 
-``exposition`` renders them when ``/metrics`` is called: without a scraper a node doesn't load
-prometheus-client. Names of metrics are in ``exposition`` and ``serving.gauges``.
+``exposition`` renders them when ``/metrics`` is called, so a node that is not scraped doesn't load
+prometheus-client. ``exposition`` and ``serving.gauges`` define the names of metrics.
 """
 
 import bisect
@@ -10,13 +10,13 @@
 from yokesill.gateway.events import LogEvent
 from yokesill.gateway.messages import RequestSummary
 
-# Upper bounds of buckets; relied on by dashboards.
+# Upper bounds of the histogram buckets; dashboards depend on them.
 LATENCY_BOUNDS_S = (0.01, 0.02, 0.05, 0.1, 0.15, 0.25, 0.5, 1.0, 2.5, 5.0, 15.0)
 COVERAGE_BOUNDS = (0.5, 0.75, 0.9, 0.95, 0.999, 1.0)
 
 
-class Distribution:
-    """Counts of values by upper bound; the last count is of those above all bounds."""
+class Histogram:
+    """Counts of values by upper bound; the last count is for values above all bounds."""
 
     __slots__ = ("bounds", "counts", "total")
 
@@ -32,7 +32,7 @@
 
 
 class GatewayMetrics:
-    """The figures of one node.
+    """The metrics of one node.
 
     ``requests`` counts by route and outcome, ``decisions`` by the name of their log line, and
     ``attempts`` by cause (first or extra).
@@ -42,8 +42,8 @@
         self.requests: Counter[tuple[str, str]] = Counter()
         self.decisions: Counter[str] = Counter()
         self.attempts: Counter[str] = Counter()
-        self.latency: dict[str, Distribution] = {}
-        self.coverage: dict[str, Distribution] = {}
+        self.latency: dict[str, Histogram] = {}
+        self.coverage: dict[str, Histogram] = {}
         self.gauges: dict[str, tuple[str, float]] = {}
 
     def count_event(self, event: LogEvent) -> None:
@@ -51,13 +51,13 @@
         self.decisions[event.name] += 1
 
     def count_request(self, route: str, outcome: str, summary: RequestSummary | None) -> None:
-        """Count a request's end."""
+        """Count a request that ended, and its latency and coverage."""
         self.requests[(route, outcome)] += 1
         if summary is None:
             return
         if route not in self.latency:
-            self.latency[route] = Distribution(LATENCY_BOUNDS_S)
-            self.coverage[route] = Distribution(COVERAGE_BOUNDS)
+            self.latency[route] = Histogram(LATENCY_BOUNDS_S)
+            self.coverage[route] = Histogram(COVERAGE_BOUNDS)
         self.latency[route].observe(summary.elapsed_s)
         self.coverage[route].observe(summary.covered / max(1, summary.asked))
         self.attempts["first"] += summary.attempts - summary.extra_attempts
--- a/src/yokesill/telemetry/observer.py
+++ b/src/yokesill/telemetry/observer.py
@@ -1,7 +1,7 @@
-"""Writes one log line for each decision and each end of a request, and counts it.
+"""Logs and counts each decision and each request that ended.
 
-Log lines go through ``logs``, which never waits; names of events and fields are relied on by ``explain``,
-``docs/OPERATIONS.md`` and a metric's labels. The router decides what is worth a line.
+Log lines go through ``logs``, which never blocks. ``explain``, ``docs/OPERATIONS.md`` and a metric's labels
+depend on the names of events and fields. The router decides which decisions are logged.
 """
 
 from typing import NamedTuple
@@ -13,9 +13,10 @@
 
 
 class CoordinatedEnding(NamedTuple):
-    """How a request ended that a coordinator gathered.
+    """The result of a request that a coordinator ran.
 
-    ``elapsed_s`` passed at the node that the caller sent it to, ``gathering_s`` of them at the coordinator.
+    ``elapsed_s`` is the time at the node that received it from the caller, ``gathering_s`` the part of it
+    that the coordinator took.
     """
 
     route: str
@@ -27,7 +28,7 @@
 
 
 class Observer:
-    """Writes a line for each decision and counts it."""
+    """Logs and counts decisions and requests that ended."""
 
     def __init__(self, log: Logger, figures: GatewayMetrics) -> None:
         self._log = log
@@ -39,7 +40,7 @@
         self._log.info(event.name, **event.details)
 
     def answered(self, request: GatewayRequest, final: FinalAnswer, status: int, outcome: str) -> None:
-        """Log and count how a request ended, by its HTTP status and the outcome's name."""
+        """Log and count a request that ended, with its HTTP status and outcome."""
         summary = final.summary
         route = summary.route if summary else "none"
         self._figures.count_request(route, outcome, summary)
@@ -56,7 +57,7 @@
         )
 
     def coordinated(self, request: GatewayRequest, ending: CoordinatedEnding) -> None:
-        """Log and count how a request ended that a coordinator gathered; its log has the rest."""
+        """Log and count a request that a coordinator ran; the coordinator's log has the details."""
         self._figures.count_request(ending.route, ending.outcome, None)
         self._log.info(
             "request_ended",
@@ -70,12 +71,12 @@
         )
 
     def caller_left(self, request: GatewayRequest) -> None:
-        """Log and count a caller that left before its answer."""
+        """Log and count a caller that disconnected before its answer."""
         self._figures.count_request("unknown", "caller_left", None)
         self._log.info("caller_left", request=request.request_id)
 
     def rejected(self, status: int, detail: str, path: str) -> None:
-        """Log and count a request that was rejected before any decision on it."""
+        """Log and count a request that was rejected before it reached the router."""
         self._figures.count_request("none", "rejected", None)
         self._log.warning("request_rejected", status=status, detail=detail, path=path)
 
