--- a/tests/serving/memory_servers.py
+++ b/tests/serving/memory_servers.py
@@ -1,4 +1,4 @@
-"""Servers in memory: byte streams in virtual time, answering by a script."""
+"""In-memory servers over byte streams in virtual time, with scripted answers."""
 
 import math
 from collections.abc import Awaitable, Callable
@@ -16,7 +16,7 @@
 
 
 class MemoryStream(anyio.abc.ByteStream):
-    """One side of a connection; ``reset`` makes its end a break. It reads ``window`` bytes at the most."""
+    """One side of a connection; with ``reset`` it ends in a reset. It receives at most ``window`` bytes."""
 
     def __init__(self) -> None:
         self.inbox_send, self.inbox = anyio.create_memory_object_stream[bytes](math.inf)
@@ -59,7 +59,7 @@
 
 @dataclass
 class ReceivedRequest:
-    """One request as a server read it."""
+    """One request as a server received it."""
 
     head: str
     connection: int
@@ -78,11 +78,11 @@
 
 @dataclass
 class MemoryServer:
-    """Runs ``script`` for each request that it reads; a ``full`` one resets new connections at once."""
+    """Runs ``script`` for each received request; if ``full``, it resets new connections immediately."""
 
     script: Script
     tasks: anyio.abc.TaskGroup
-    heard: list[ReceivedRequest] = field(default_factory=list)
+    received: list[ReceivedRequest] = field(default_factory=list)
     opened: int = 0
     closed: int = 0
     refuse: bool = False
@@ -112,14 +112,14 @@
                 return
             while b"\r\n\r\n" in buffer:
                 head, _, rest = buffer.partition(b"\r\n\r\n")
-                heard = ReceivedRequest(head.decode(), number)
-                length = int(heard.header("content-length") or 0)
+                request = ReceivedRequest(head.decode(), number)
+                length = int(request.header("content-length") or 0)
                 if len(rest) < length and self.window is None:
                     break
-                heard.body, buffer = rest[:length], rest[length:]
-                self.heard.append(heard)
+                request.body, buffer = rest[:length], rest[length:]
+                self.received.append(request)
                 try:
-                    await self.script(self, stream, heard)
+                    await self.script(self, stream, request)
                 except anyio.BrokenResourceError:
                     return
                 if stream.closed:
@@ -144,13 +144,13 @@
     return "\r\n".join(lines).encode() + b"\r\n\r\n" + body
 
 
-async def well(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
-    """Answer as a sound server does."""
-    await stream.send(answer_bytes(heard.header("request-id")))
+async def answer_normally(_server: MemoryServer, stream: MemoryStream, request: ReceivedRequest) -> None:
+    """Answer as a healthy server does."""
+    await stream.send(answer_bytes(request.header("request-id")))
 
 
 async def call(client: ServerClient, sent: Attempt) -> AttemptAnswered | AttemptFailed:
-    """Send an attempt and wait for its end; being cancelled cancels the attempt."""
+    """Send an attempt and wait for its end; cancelling the call cancels the attempt."""
     ended = anyio.Event()
     outcomes: list[AttemptAnswered | AttemptFailed] = []
 
@@ -159,7 +159,7 @@
         ended.set()
 
     client.send(sent, done)
-    assert not outcomes, "told within the call"
+    assert not outcomes, "done was called before send returned"
     try:
         await ended.wait()
     except BaseException:
--- a/tests/serving/test_application.py
+++ b/tests/serving/test_application.py
@@ -1,4 +1,4 @@
-"""The callers' side, by ASGI and in virtual time: what is read, refused, answered and broken off."""
+"""The ASGI application for callers in virtual time: reading, rejecting, answering and cancelling requests."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -9,7 +9,7 @@
 import pytest
 from conftest import run_virtual
 from harness import configuration, server, single_route
-from memory_servers import MemoryServer, MemoryStream, ReceivedRequest, Script, well
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest, Script, answer_normally
 
 from yokesill import logs
 from yokesill.callers.application import GatewayApplication
@@ -30,7 +30,7 @@
 
 
 class Answer:
-    """What the application sent."""
+    """The response that the application sent."""
 
     def __init__(self) -> None:
         self.status = 0
@@ -45,7 +45,7 @@
 
 
 class Caller:
-    """One caller's request; ``leaves_after`` (s) it disconnects."""
+    """One caller's request; after ``leaves_after`` seconds the caller disconnects."""
 
     def __init__(self, body: list[bytes], leaves_after: float | None) -> None:
         self._messages = [
@@ -63,8 +63,8 @@
         return {"type": "http.disconnect"}
 
 
-class Served:
-    """An application over one server in memory."""
+class ApplicationHarness:
+    """An application with one in-memory server."""
 
     def __init__(self, backend: MemoryServer, known: Configuration | None) -> None:
         self.backend = backend
@@ -102,14 +102,14 @@
         return answer
 
 
-def serving(
-    main: Callable[[Served], Awaitable[None]],
-    script: Script = well,
+def run_application(
+    main: Callable[[ApplicationHarness], Awaitable[None]],
+    script: Script = answer_normally,
     known: Configuration | None = CONFIGURATION,
 ) -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            served = Served(MemoryServer(script, tasks), known)
+            served = ApplicationHarness(MemoryServer(script, tasks), known)
             await tasks.start(served.driver.run)
             await anyio.wait_all_tasks_blocked()
             await main(served)
@@ -118,8 +118,8 @@
     run_virtual(run)
 
 
-def test_a_request_goes_through_with_path_query_method_body_and_own_headers() -> None:
-    async def main(served: Served) -> None:
+def test_path_query_method_body_and_end_to_end_headers_are_forwarded() -> None:
+    async def main(served: ApplicationHarness) -> None:
         extra: Headers = [
             (b"x-own", b"1"),
             (b"connection", b"x-hop"),
@@ -129,14 +129,14 @@
         answer = await served.ask(headers=GOOD + extra, body=[b"ab", b"c"], method="POST")
         assert (answer.status, answer.body) == (200, b"hello")
         assert answer.headers[b"server-signature"] == b"sig"
-        heard = served.backend.heard[0]
-        assert heard.head.startswith("POST /one/a%20b?q=1 HTTP/1.1\r\n")
-        assert heard.body == b"abc"
-        assert (heard.header("x-own"), heard.header("x-hop")) == ("1", None)
-        assert (heard.header("host"), heard.header("request-id")) == ("Shop.Example:80", "r1")
-        assert heard.header("expect-instance") == "i-1"
+        request = served.backend.received[0]
+        assert request.head.startswith("POST /one/a%20b?q=1 HTTP/1.1\r\n")
+        assert request.body == b"abc"
+        assert (request.header("x-own"), request.header("x-hop")) == ("1", None)
+        assert (request.header("host"), request.header("request-id")) == ("Shop.Example:80", "r1")
+        assert request.header("expect-instance") == "i-1"
 
-    serving(main)
+    run_application(main)
 
 
 @pytest.mark.parametrize(
@@ -147,33 +147,33 @@
         (GOOD, [b"x" * 600_000, b"x" * 600_000], 413),
     ],
 )
-def test_a_bad_request_is_answered_and_reaches_no_server(
+def test_bad_request_is_rejected_without_reaching_a_server(
     headers: Headers, body: list[bytes], status: int
 ) -> None:
-    async def main(served: Served) -> None:
+    async def main(served: ApplicationHarness) -> None:
         answer = await served.ask(headers=headers, body=body)
         assert answer.status == status
         assert answer.headers[b"connection"] == b"close"
-        assert served.backend.heard == []
+        assert served.backend.received == []
 
-    serving(main)
+    run_application(main)
 
 
-def test_an_unknown_path_is_404_and_no_configuration_503() -> None:
-    async def known(served: Served) -> None:
+def test_unknown_path_is_404_and_missing_configuration_is_503() -> None:
+    async def known(served: ApplicationHarness) -> None:
         assert (await served.ask("/none/x")).status == 404
 
-    async def unknown(served: Served) -> None:
+    async def unknown(served: ApplicationHarness) -> None:
         answer = await served.ask(body=[b"some body"], method="POST")
         assert answer.status == 503
         assert float(answer.headers[b"retry-after"]) > 0
 
-    serving(known)
-    serving(unknown, known=None)
+    run_application(known)
+    run_application(unknown, known=None)
 
 
-def test_a_request_that_comes_just_before_the_first_configuration_waits_for_it_a_moment() -> None:
-    async def main(served: Served) -> None:
+def test_request_shortly_before_the_first_configuration_waits_for_it() -> None:
+    async def main(served: ApplicationHarness) -> None:
         async def learn() -> None:
             await anyio.sleep(0.1)
             served.learn(CONFIGURATION)
@@ -183,61 +183,61 @@
             answer = await served.ask()
         assert answer.status == 200
 
-    serving(main, known=None)
+    run_application(main, known=None)
 
 
-def test_a_refusal_promises_no_more_than_the_verdict() -> None:
-    async def shed(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
+def test_status_of_a_refusal_guarantees_no_more_than_the_verdict() -> None:
+    async def shed(_server: MemoryServer, stream: MemoryStream, _request: ReceivedRequest) -> None:
         await stream.send(b"HTTP/1.1 503 X\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n")
 
-    async def lost(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
+    async def lost(_server: MemoryServer, stream: MemoryStream, _request: ReceivedRequest) -> None:
         await stream.aclose()
 
-    async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
+    async def silent(_server: MemoryServer, _stream: MemoryStream, _request: ReceivedRequest) -> None:
         return None
 
     for script, status in ((shed, 503), (lost, 502), (silent, 504)):
 
-        async def main(served: Served, status: int = status) -> None:
+        async def main(served: ApplicationHarness, status: int = status) -> None:
             answer = await served.ask()
             assert answer.status == status
             assert float(answer.headers[b"retry-after"]) > 0
 
-        serving(main, script)
+        run_application(main, script)
 
 
-def test_a_caller_that_leaves_has_its_request_broken_off_at_the_server() -> None:
-    async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
+def test_disconnect_of_the_caller_cancels_its_request() -> None:
+    async def silent(_server: MemoryServer, _stream: MemoryStream, _request: ReceivedRequest) -> None:
         return None
 
-    async def main(served: Served) -> None:
+    async def main(served: ApplicationHarness) -> None:
         started = anyio.current_time()
         answer = await served.ask(leaves_after=0.2)
         assert answer.status == 0
         assert anyio.current_time() - started < 0.4
         assert served.driver.router.in_flight == 0
 
-    serving(main, silent)
+    run_application(main, silent)
 
 
-def test_while_stopping_every_answer_closes_its_connection() -> None:
-    async def main(served: Served) -> None:
+def test_every_answer_closes_its_connection_while_stopping() -> None:
+    async def main(served: ApplicationHarness) -> None:
         served.application.stopping = True
         assert (await served.ask()).headers[b"connection"] == b"close"
 
-    serving(main)
+    run_application(main)
 
 
-def test_while_cut_off_every_answer_closes_its_connection() -> None:
-    async def main(served: Served) -> None:
+def test_every_answer_closes_its_connection_while_partitioned() -> None:
+    async def main(served: ApplicationHarness) -> None:
         served.application.partitioned = True
         assert (await served.ask()).headers[b"connection"] == b"close"
 
-    serving(main)
+    run_application(main)
 
 
-def test_connections_to_a_forgotten_server_are_closed() -> None:
-    async def main(served: Served) -> None:
+def test_connections_to_a_removed_server_are_closed() -> None:
+    async def main(served: ApplicationHarness) -> None:
         forgotten: list[str] = []
         served.driver.forgotten = forgotten.append
         await served.ask()
@@ -248,4 +248,4 @@
         assert served.backend.closed == 1
         assert forgotten == ["i-1"]
 
-    serving(main)
+    run_application(main)
--- a/tests/serving/test_attempt_bytes.py
+++ b/tests/serving/test_attempt_bytes.py
@@ -1,4 +1,4 @@
-"""What a server's reply tells beside its answer."""
+"""Parsing of the load report in a server's reply."""
 
 import pytest
 
@@ -35,7 +35,7 @@
         (b"1,2,3,x", None),
     ],
 )
-def test_a_load_report_has_three_figures_or_a_fourth_for_the_time_of_work(
+def test_load_report_has_three_numbers_and_optionally_the_service_time(
     report: bytes, load: Load | None
 ) -> None:
     assert load_of(report) == load
--- a/tests/serving/test_figures.py
+++ b/tests/serving/test_figures.py
@@ -1,4 +1,4 @@
-"""The figures in the text format."""
+"""Rendering of metrics in the Prometheus text format."""
 
 from yokesill.gateway.events import LogEvent
 from yokesill.gateway.messages import RequestSummary
--- a/tests/serving/test_listening.py
+++ b/tests/serving/test_listening.py
@@ -1,4 +1,4 @@
-"""Callers' connections as a node accepts them."""
+"""Socket options of accepted caller connections."""
 
 import asyncio
 import socket
@@ -6,7 +6,7 @@
 from yokesill.callers.sockets import listen
 
 
-def test_an_answers_body_does_not_wait_for_the_acknowledgement_of_its_head() -> None:
+def test_accepted_connections_have_nagles_algorithm_disabled() -> None:
     async def accept_one() -> int:
         accepted: asyncio.Future[int] = asyncio.get_running_loop().create_future()
 
--- a/tests/serving/test_outlier_link.py
+++ b/tests/serving/test_outlier_link.py
@@ -1,4 +1,4 @@
-"""Datagrams between nodes over real sockets: findings arrive, and bad bytes or a taken port do no harm."""
+"""Suspicions between nodes over real sockets, with malformed datagrams and with a port already in use."""
 
 import contextlib
 import random
@@ -28,13 +28,13 @@
 
 
 class Node:
-    """One link and what it was told to suspect."""
+    """A node's link, and the suspicions that it applied."""
 
     def __init__(self, name: str, port: int) -> None:
         self.peer = Peer(name, f"{LOOPBACK}:{port}", "z1")
         self.exchange = OutlierExchange(self.peer, random.Random(1))
         self.suspicions: list[Suspicion] = []
-        self.told = anyio.Event()
+        self.informed = anyio.Event()
         self.datagrams = SharedDatagrams(DatagramSocket(Address(LOOPBACK, port), get_logger("outliers")))
         self.link = OutlierLink(self.exchange, self.suspect, self.datagrams.wake)
         self.datagrams.add(self.link)
@@ -42,7 +42,7 @@
     def suspect(self, suspicions: Iterable[Suspicion]) -> None:
         self.suspicions += suspicions
         if self.suspicions:
-            self.told.set()
+            self.informed.set()
 
 
 @contextlib.asynccontextmanager
@@ -57,40 +57,40 @@
         tasks.cancel_scope.cancel()
 
 
-async def observe_until_told(seer: Node, other: Node) -> None:
+async def observe_until_informed(observer: Node, receiver: Node) -> None:
     with anyio.fail_after(20):
-        while not other.told.is_set():
-            seer.link.observe(SLOW)
+        while not receiver.informed.is_set():
+            observer.link.observe(SLOW)
             await anyio.sleep(0.12)
 
 
-def test_what_one_node_sees_the_other_goes_around() -> None:
+def test_observations_of_one_node_raise_a_suspicion_on_the_other() -> None:
     async def main() -> None:
         async with two_nodes() as (first, second):
-            await observe_until_told(first, second)
+            await observe_until_informed(first, second)
             assert second.suspicions[0].instance == "slow"
 
     anyio.run(main)
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff", b"\x83\x02\x81\x82\x61x\x1a\xff\xff\xff\xff\xf4"])
-def test_bytes_that_are_no_message_end_nothing(data: bytes) -> None:
+def test_malformed_datagrams_do_not_stop_the_socket(data: bytes) -> None:
     async def main() -> None:
         async with two_nodes() as (first, second):
             host, _, port = second.peer.address.rpartition(":")
-            with contextlib.closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as stranger:
-                stranger.sendto(data, (host, int(port)))
-            await observe_until_told(first, second)
+            with contextlib.closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as sender:
+                sender.sendto(data, (host, int(port)))
+            await observe_until_informed(first, second)
             assert {each.instance for each in second.suspicions} == {"slow"}
 
     anyio.run(main)
 
 
-def test_a_node_whose_port_is_taken_goes_on_alone() -> None:
+def test_node_without_its_port_detects_on_its_own() -> None:
     async def main() -> None:
         port = free_port()
-        with contextlib.closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as taken:
-            taken.bind((LOOPBACK, port))
+        with contextlib.closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as occupied:
+            occupied.bind((LOOPBACK, port))
             node = Node("n1", port)
             await node.datagrams.run()
             for _ in range(4):
@@ -101,11 +101,11 @@
     anyio.run(main)
 
 
-def test_a_node_whose_port_is_taken_keeps_nothing_to_send() -> None:
+def test_node_without_its_port_queues_nothing() -> None:
     async def main() -> None:
         port = free_port()
-        with contextlib.closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as taken:
-            taken.bind((LOOPBACK, port))
+        with contextlib.closing(socket.socket(socket.AF_INET, socket.SOCK_DGRAM)) as occupied:
+            occupied.bind((LOOPBACK, port))
             node = Node("n1", port)
             node.exchange.set_peers([node.peer, Peer("n2", f"{LOOPBACK}:1", "z1")])
             node.link.observe(SLOW)
--- a/tests/serving/test_quarantine_link.py
+++ b/tests/serving/test_quarantine_link.py
@@ -1,4 +1,4 @@
-"""A node's record of requests that end servers: written until it stands, and lifted after its time."""
+"""Registry records of quarantined requests: written with retries, and lifted after their time."""
 
 import random
 
@@ -19,26 +19,26 @@
 
 
 class Records(QuarantineRecords):
-    """Takes nothing for the first ``refused`` calls."""
+    """Fails the first ``refused`` calls."""
 
     def __init__(self, refused: int = 0) -> None:
         self.refused = refused
         self.calls: list[str] = []
 
     async def record(self, fingerprint: str) -> Failure | None:
-        return self._take(f"record {fingerprint}")
+        return self._call(f"record {fingerprint}")
 
     async def lift(self, fingerprint: str) -> Failure | None:
-        return self._take(f"lift {fingerprint}")
+        return self._call(f"lift {fingerprint}")
 
-    def _take(self, call: str) -> Failure | None:
+    def _call(self, call: str) -> Failure | None:
         self.calls.append(call)
         self.refused -= 1
         return DOWN if self.refused >= 0 else None
 
 
-def with_link(records: Records, finding: ev.RequestJudged, for_s: float, recorded: frozenset[str]) -> None:
-    """Let a node find something, with what the registry records already, and wait."""
+def run_link(records: Records, finding: ev.RequestJudged, for_s: float, recorded: frozenset[str]) -> None:
+    """Run a link for ``for_s`` seconds after a finding, with some fingerprints already recorded."""
 
     async def main() -> None:
         crashes = CrashTracker()
@@ -54,28 +54,28 @@
     run_virtual(main)
 
 
-def test_what_is_found_is_recorded_as_often_as_it_takes_and_once() -> None:
+def test_quarantine_is_recorded_with_retries_until_the_first_success() -> None:
     records = Records(refused=4)
-    with_link(records, FOUND, 30.0, frozenset())
+    run_link(records, FOUND, 30.0, frozenset())
     assert records.calls == ["record 00ff"] * 5
 
 
-def test_what_others_have_recorded_and_what_is_only_suspected_needs_no_call() -> None:
+def test_recorded_quarantine_and_mere_suspicion_cause_no_call() -> None:
     records = Records()
-    with_link(records, FOUND, 30.0, frozenset({"00ff"}))
-    with_link(records, FOUND._replace(status=QuarantineStatus.SUSPECTED), 30.0, frozenset())
+    run_link(records, FOUND, 30.0, frozenset({"00ff"}))
+    run_link(records, FOUND._replace(status=QuarantineStatus.SUSPECTED), 30.0, frozenset())
     assert records.calls == []
 
 
-def test_a_record_is_lifted_after_its_time() -> None:
+def test_record_is_lifted_after_its_time() -> None:
     records = Records()
-    with_link(records, FOUND, RECORD_KEPT_S - LIFT_CHECK_S, frozenset({"00ff"}))
+    run_link(records, FOUND, RECORD_KEPT_S - LIFT_CHECK_S, frozenset({"00ff"}))
     assert records.calls == []
-    with_link(records, FOUND, RECORD_KEPT_S + 4 * LIFT_CHECK_S, frozenset({"00ff"}))
+    run_link(records, FOUND, RECORD_KEPT_S + 4 * LIFT_CHECK_S, frozenset({"00ff"}))
     assert set(records.calls) == {"lift 00ff"}
 
 
-def test_what_a_restored_registry_may_have_lost_is_recorded_again_by_its_owners() -> None:
+def test_owners_record_quarantines_again_after_a_registry_restore() -> None:
     records = Records(refused=2)
 
     async def main() -> None:
--- a/tests/serving/test_what_is_let_go.py
+++ b/tests/serving/test_what_is_let_go.py
@@ -1,4 +1,4 @@
-"""What has ended is let go of at once: not at its deadline, not when garbage is looked for."""
+"""Objects are freed as soon as they are unused, without garbage collection or waiting for deadlines."""
 
 import gc
 import random
@@ -9,7 +9,7 @@
 import pytest
 from conftest import run_virtual
 from harness import RouterHarness, gather_route
-from memory_servers import MemoryServer, attempt, call, well
+from memory_servers import MemoryServer, answer_normally, attempt, call
 
 from yokesill.comm.http_reply import HttpReplyReader
 from yokesill.gateway.events import EvacuationsReplaced, Event
@@ -26,57 +26,59 @@
 
 
 @pytest.fixture(autouse=True)
-def _without_collections() -> Iterator[None]:
+def _disable_garbage_collection() -> Iterator[None]:
     gc.collect()
     gc.disable()
     yield
     gc.enable()
 
 
-def alive(kind: type) -> int:
+def count_live(kind: type) -> int:
     return sum(isinstance(each, kind) for each in gc.get_objects())
 
 
-def test_a_reply_goes_with_its_last_user() -> None:
+def test_reply_is_freed_with_its_last_reference() -> None:
     reader = HttpReplyReader()
     reader.feed(REPLY)
-    gone = weakref.ref(reader)
+    reference = weakref.ref(reader)
     del reader
-    assert gone() is None
+    assert reference() is None
 
 
-def test_bytes_after_a_whole_reply_are_surplus_however_late() -> None:
+def test_late_bytes_after_a_complete_reply_are_surplus() -> None:
     reader = HttpReplyReader()
     reader.feed(REPLY)
     reader.feed(b"x")
     assert (reader.body, reader.surplus) == (b"ok", True)
 
 
-def test_an_answered_attempt_is_not_kept_until_its_deadline() -> None:
+def test_answered_attempt_is_freed_before_its_deadline() -> None:
     async def run() -> None:
         async with anyio.create_task_group() as tasks:
-            client = ServerClient(HeaderNames(), dial_streams(MemoryServer(well, tasks).connect, tasks))
+            client = ServerClient(
+                HeaderNames(), dial_streams(MemoryServer(answer_normally, tasks).connect, tasks)
+            )
             await tasks.start(client.run)
             await call(client, attempt(1, seconds=60.0))
             await anyio.sleep(0.1)
-            assert alive(AttemptCall) == 0
+            assert count_live(AttemptCall) == 0
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
 
 
-def test_an_answered_request_goes_with_its_answer() -> None:
+def test_answered_request_is_freed_after_its_answer() -> None:
     harness = RouterHarness(gather_route())
     key = harness.arrive()
     for sent in harness.of(key):
         harness.answer(sent)
     harness.advance(0.01)
     assert key in harness.finals
-    assert alive(RequestMachine) == 0
+    assert count_live(RequestMachine) == 0
 
 
 class QuietFeed(Feed):
-    """Lists one evacuated zone and then knows of no change."""
+    """Lists one evacuated zone, then reports no changes."""
 
     name = "evacuations"
 
@@ -92,7 +94,7 @@
         return Batch(position, ())
 
 
-def test_a_list_is_not_held_while_the_next_change_is_waited_for() -> None:
+def test_listed_batch_is_freed_while_waiting_for_changes() -> None:
     def take(_event: Event) -> None:
         pass
 
