--- a/src/yokesill/upstreams/attempt_bytes.py
+++ b/src/yokesill/upstreams/attempt_bytes.py
@@ -55,18 +55,18 @@
         belongs to another request or must not be passed on.
     """
     if reader.status == MISDIRECTED:
-        return Failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN, "another server now has this address")
+        return Failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN, "another server has its address")
     if names.not_executed in headers:
-        return Failure(Reason.SHED, Verdict.NOT_RUN, f"not executed by the server, status {reader.status}")
+        return Failure(Reason.SHED, Verdict.NOT_RUN, f"not executed, status {reader.status}")
     echoed = headers.get(names.request_id)
     if echoed is None or echoed.decode("latin-1") != attempt.request.request_id:
-        return Failure(Reason.FOREIGN_REPLY, Verdict.MAY_HAVE_RUN, "the reply names another request")
+        return Failure(Reason.FOREIGN_REPLY, Verdict.MAY_HAVE_RUN, "the answer names another request")
     signature = headers.get(names.signature)
     if reader.status < SERVER_ERROR:
         if b"content-encoding" in headers:
-            return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, "the reply has a content coding")
+            return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, "an answer with a content coding")
         if signature is None:
-            return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, "the reply has no signature")
+            return Failure(Reason.MALFORMED_REPLY, Verdict.MAY_HAVE_RUN, "an answer without a signature")
     load = _parse_load(headers.get(names.load))
     return ServerReply(reader.status, tuple(reader.headers), reader.body, signature, load)
 
--- a/src/yokesill/upstreams/connections.py
+++ b/src/yokesill/upstreams/connections.py
@@ -113,7 +113,7 @@
             self._end(pending, error if started else ResetBeforeReplyError(repr(error)))
             return
         if not pending.reader.begun:
-            self._end(pending, ClosedBeforeReplyError("connection closed before a reply"))
+            self._end(pending, ClosedBeforeReplyError("closed before a reply"))
             return
         try:
             pending.reader.end_of_stream()
--- a/src/yokesill/upstreams/opening.py
+++ b/src/yokesill/upstreams/opening.py
@@ -59,7 +59,7 @@
             await connection.open(dial, connections.host, connections.port)
             await _observe_after_refusal(connections, connection, started, clock())
     except TimeoutError:
-        failure = OpeningFailure(Reason.CONNECT_FAILED, f"not connected within {timeout_s:.2f} s")
+        failure = OpeningFailure(Reason.CONNECT_FAILED, f"no answer in {timeout_s:.2f} s")
     except ConnectionResetError as error:
         connections.refused_at = clock()
         failure = OpeningFailure(Reason.CONNECTION_REFUSED, repr(error))
@@ -83,4 +83,4 @@
         return
     await anyio.sleep(OBSERVATION_S + OBSERVATION_ROUND_TRIPS * (now - started))
     if not connection.is_open:
-        raise ConnectionResetError("connection reset before its first use")
+        raise ConnectionResetError("reset before its first use")
--- a/src/yokesill/upstreams/server_client.py
+++ b/src/yokesill/upstreams/server_client.py
@@ -226,12 +226,12 @@
         if call.waiter is not None:
             self._fail(call, Reason.OVERLOADED, "all connections are in use")
         elif call.connection is None:
-            self._fail(call, Reason.CONNECT_FAILED, "no connection by the deadline")
+            self._fail(call, Reason.CONNECT_FAILED, "not connected by the deadline")
         else:
             since_s = silent_since_s(call, self._clock())
             if since_s is not None:
                 call.connections.close_idle_since(since_s)
-            self._fail(call, Reason.TIMED_OUT, "no complete reply by the deadline")
+            self._fail(call, Reason.TIMED_OUT, "no whole answer by the deadline")
 
     def _fail(self, call: AttemptCall, reason: Reason, detail: str) -> None:
         if self._pop_call(call.attempt.number) is None:
--- a/tests/serving/crash_fleet.py
+++ b/tests/serving/crash_fleet.py
@@ -1,6 +1,6 @@
-"""Many gateway nodes over servers that a request can end, in virtual time.
+"""A fleet of gateway nodes, in virtual time, with servers that a request can crash.
 
-Each node has a real router and driver; servers, the registry, datagrams and callers are models.
+Each node has a real router and driver; servers, the registry, datagrams and callers are simulated.
 """
 
 import itertools
@@ -30,24 +30,24 @@
 REPLICAS = 3
 ROUTE = gather_route(0.89, SHARDS, attempts=3)
 DEADLY = "/wide/deadly"
-WORK_S, RESTART_S, NOTICED_S, FEED_DELAY_S, DATAGRAM_S = 0.04, 1.0, 3.6, 0.35, 0.002
-GATHERING_S = 0.015
-CONTACT_S = 5.0
-TERMS = BudgetLimits(ratio=0.2, allowance=58.0, window_s=10.0)
+SERVICE_TIME_S, RESTART_S, REMOVAL_DELAY_S, FEED_DELAY_S, DATAGRAM_S = 0.04, 1.0, 3.6, 0.35, 0.002
+BATCHING_S = 0.015
+MAX_CONTACT_S = 5.0
+BUDGET = BudgetLimits(ratio=0.2, allowance=58.0, window_s=10.0)
 LOST = Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, "closed before a reply")
-DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "nobody listens")
+DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "connection refused")
 
 
 class Arrival(NamedTuple):
-    """A request that reached a server: when (s), which one, from which node."""
+    """A request that reached a server: its time in seconds, its path, and the sending node."""
 
     at_s: float
     path: str
     node: str
 
 
-class ModelServers:
-    """Servers by place; ``deadly`` says which paths end a server that has worked on them for a moment."""
+class SimulatedServers:
+    """Simulated servers; ``deadly`` says which paths crash a server partway through processing."""
 
     def __init__(self, fleet: "CrashFleet") -> None:
         self.fleet = fleet
@@ -56,7 +56,7 @@
         self.deadly: Callable[[str], bool] = lambda path: path == DEADLY
         self._numbers = itertools.count(1)
         self._up: dict[str, ServerRecord] = {}
-        self._under_way: dict[str, dict[tuple[str, int], anyio.Event]] = {}
+        self._in_progress: dict[str, dict[tuple[str, int], anyio.Event]] = {}
         for service in fleet.services:
             for replica in range(REPLICAS):
                 self._start(service, f"z{replica % 3 + 1}")
@@ -68,11 +68,11 @@
         number = next(self._numbers)
         record = ServerRecord(f"{service}-{number}", service, "10.1.0.1", 80 + number, zone, 5)
         self._up[record.instance] = record
-        self._under_way[record.instance] = {}
+        self._in_progress[record.instance] = {}
         return record
 
     async def run_attempt(self, attempt: Attempt, node: str) -> ServerReply | Failure:
-        """Run an attempt as its server would."""
+        """Process an attempt as its server would."""
         instance = attempt.server.instance
         await anyio.sleep(0.001)
         if instance not in self._up:
@@ -80,37 +80,37 @@
         path = attempt.request.path
         self.arrivals.append(Arrival(anyio.current_time(), path, node))
         number = (node, attempt.number)
-        over = self._under_way[instance][number] = anyio.Event()
-        work_s = WORK_S * self.fleet.source.uniform(0.5, 1.5)
-        with anyio.move_on_after(work_s * (0.7 if self.deadly(path) else 1.0)):
-            await over.wait()
-        if over.is_set():
+        lost = self._in_progress[instance][number] = anyio.Event()
+        service_time_s = SERVICE_TIME_S * self.fleet.source.uniform(0.5, 1.5)
+        with anyio.move_on_after(service_time_s * (0.7 if self.deadly(path) else 1.0)):
+            await lost.wait()
+        if lost.is_set():
             return LOST
         if self.deadly(path):
             self.crash(instance)
             return LOST
-        del self._under_way[instance][number]
+        del self._in_progress[instance][number]
         return ServerReply(200, (), b"", f"{instance}.{attempt.number}".encode())
 
     def crash(self, instance: str) -> None:
-        """End a server: whatever is under way there is lost; another one starts in its place."""
+        """Crash a server: its attempts in progress are lost, and a replacement starts."""
         record = self._up.pop(instance)
         self.crashed_at_s.append(anyio.current_time())
-        for over in self._under_way.pop(instance).values():
-            over.set()
+        for lost in self._in_progress.pop(instance).values():
+            lost.set()
         self.fleet.tasks.start_soon(self._replace, record)
 
     async def _replace(self, record: ServerRecord) -> None:
         await anyio.sleep(RESTART_S)
         started = self._start(record.service, record.zone)
         await anyio.sleep(FEED_DELAY_S)
-        self.fleet.tell(ev.ServerListed(started))
-        await anyio.sleep(NOTICED_S - RESTART_S - FEED_DELAY_S)
-        self.fleet.tell(ev.ServerRemoved(record.instance))
+        self.fleet.publish(ev.ServerListed(started))
+        await anyio.sleep(REMOVAL_DELAY_S - RESTART_S - FEED_DELAY_S)
+        self.fleet.publish(ev.ServerRemoved(record.instance))
 
 
-class ModelClient:
-    """One node's way to the model servers."""
+class SimulatedClient:
+    """One node's client for the simulated servers."""
 
     def __init__(self, fleet: "CrashFleet", node: str) -> None:
         self.connections_changed: Callable[[str, int], None] = lambda _instance, _count: None
@@ -144,7 +144,7 @@
 
 
 class Registry(QuarantineRecords):
-    """Records what is kept from servers, and tells all nodes that it reaches; ``down``: it takes nothing."""
+    """Records quarantined requests and publishes them to all nodes; while ``down``, it refuses all calls."""
 
     def __init__(self, fleet: "CrashFleet") -> None:
         self._fleet = fleet
@@ -156,7 +156,7 @@
         if self.down:
             return DOWN
         self.recorded |= {fingerprint}
-        self._fleet.tasks.start_soon(self._tell, ev.RequestQuarantined(fingerprint))
+        self._fleet.tasks.start_soon(self._publish, ev.RequestQuarantined(fingerprint))
         return None
 
     async def lift(self, fingerprint: str) -> Failure | None:
@@ -164,27 +164,27 @@
         if self.down:
             return DOWN
         self.recorded -= {fingerprint}
-        self._fleet.tasks.start_soon(self._tell, ev.QuarantineLifted(fingerprint))
+        self._fleet.tasks.start_soon(self._publish, ev.QuarantineLifted(fingerprint))
         return None
 
-    async def _tell(self, event: ev.Event) -> None:
+    async def _publish(self, event: ev.Event) -> None:
         await anyio.sleep(FEED_DELAY_S)
-        self._fleet.tell(event)
+        self._fleet.publish(event)
 
 
 class CrashNode:
-    """One node; ``dead``: it is gone. ``deaf``: no datagram leaves or reaches it."""
+    """One node; a ``killed`` one is gone, and an ``isolated`` one neither sends nor receives datagrams."""
 
     def __init__(self, fleet: "CrashFleet", name: str) -> None:
         self.name = name
         self.fleet = fleet
-        self.dead = self.deaf = False
+        self.killed = self.isolated = False
         number = int(name.removeprefix("n"))
         self.zone = f"z{number % 3 + 1}"
-        options = GatewayOptions(self.zone, name, budget=TERMS)
+        options = GatewayOptions(self.zone, name, budget=BUDGET)
         source = random.Random(1000 + number)
         self.router = GatewayRouter(options, source, anyio.current_time() - 100.0)
-        self.driver = GatewayDriver(self.router, ModelClient(fleet, name), lambda _note: None)
+        self.driver = GatewayDriver(self.router, SimulatedClient(fleet, name), lambda _note: None)
         self.peer = Peer(name, f"10.0.0.{number + 1}:9", self.zone)
         self.exchange = QuarantineExchange(self.peer, source)
         feed = (self.router.quarantine, self.driver.feed)
@@ -201,34 +201,34 @@
                 await self.driver.run()
 
     async def _send(self) -> None:
-        await anyio.sleep(0.0 if self.link.urgent else GATHERING_S)
-        datagrams = [] if self.deaf or self.dead else self.link.flush()
+        await anyio.sleep(0.0 if self.link.urgent else BATCHING_S)
+        datagrams = [] if self.isolated or self.killed else self.link.flush()
         await anyio.sleep(DATAGRAM_S)
         for datagram in datagrams:
             for node in self.fleet.nodes:
-                if node.peer.address == datagram.address and not node.dead and not node.deaf:
+                if node.peer.address == datagram.address and not node.killed and not node.isolated:
                     node.link.receive(datagram.data, self.peer.address, anyio.current_time())
                     if node.link.pending:
                         self.fleet.tasks.start_soon(node._send)
 
     def learn(self, event: ev.Event) -> None:
-        if not self.dead:
+        if not self.killed:
             self.driver.feed(event)
 
     def kill(self) -> None:
-        self.dead = True
+        self.killed = True
         self.scope.cancel()
 
 
 class CrashFleet:
-    """Nodes, servers and callers; ``finals`` counts how requests ended, by path's first word and outcome."""
+    """Nodes, servers and callers; ``finals`` counts requests by kind (deadly or other) and outcome."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, nodes: int, seed: int, routes: tuple[Route, ...]) -> None:
         self.tasks = tasks
         self.source = random.Random(seed)
         self.routes = routes
         self.services = tuple(dict.fromkeys(name for route in routes for name in route.services))
-        self.servers = ModelServers(self)
+        self.servers = SimulatedServers(self)
         self.registry = Registry(self)
         self.finals: Counter[tuple[str, str]] = Counter()
         self.nodes: list[CrashNode] = []
@@ -237,11 +237,11 @@
             self.start_node(f"n{number}")
 
     def start_node(self, name: str) -> CrashNode:
-        """Start a node that knows only what the registry and its peers tell."""
+        """Start a node without state other than what the registry and its peers send."""
         node = CrashNode(self, name)
         self.nodes = [each for each in self.nodes if each.name != name] + [node]
         self.tasks.start_soon(node.run)
-        self.tell(ev.NodesCounted(len(self.nodes)))
+        self.publish(ev.NodesCounted(len(self.nodes)))
         for each in self.nodes:
             each.exchange.set_peers(other.peer for other in self.nodes)
         node.learn(ev.ConfigurationLearnt(configuration(1, *self.routes)))
@@ -253,43 +253,43 @@
     def node(self, name: str) -> CrashNode:
         return next(each for each in self.nodes if each.name == name)
 
-    def tell(self, event: ev.Event) -> None:
-        """Tell every node what the registry told."""
+    def publish(self, event: ev.Event) -> None:
+        """Deliver an event of the registry to every node."""
         for node in self.nodes:
             node.learn(event)
 
-    async def ask(self, name: str, path: str = DEADLY, patience_s: float = 4.0) -> ev.FinalAnswer:
-        """Send a request to a node; return its final answer."""
+    async def send_request(self, name: str, path: str = DEADLY, timeout_s: float = 4.0) -> ev.FinalAnswer:
+        """Send a request to a node and return its final answer."""
         number = next(self._numbers)
         now = anyio.current_time()
         request = GatewayRequest(
-            f"k{number}", f"id-{number}", b"GET", HOST, path, path.encode(), (), b"", now, patience_s
+            f"k{number}", f"id-{number}", b"GET", HOST, path, path.encode(), (), b"", now, timeout_s
         )
         final = await self.node(name).driver.execute(request)
         outcome = final.failure.reason.value if isinstance(final, ev.Refuse) else "answered"
         self.finals[("deadly" if path == DEADLY else "other", outcome)] += 1
         return final
 
-    async def _one_of_others(self, number: int) -> None:
+    async def _send_other_request(self, number: int) -> None:
         node = self.source.choice(self.nodes)
-        await self.ask(node.name, f"/wide/other-{number}", patience_s=4.0)
+        await self.send_request(node.name, f"/wide/other-{number}", timeout_s=4.0)
 
-    async def others(self, per_s: float, for_s: float) -> None:
-        """Let other callers come at random nodes, each with a request of its own."""
+    async def send_other_requests(self, per_s: float, for_s: float) -> None:
+        """Send other requests, each with its own path, to random nodes for ``for_s`` seconds."""
         end = anyio.current_time() + for_s
         for number in itertools.count(1):
             await anyio.sleep(self.source.expovariate(per_s))
             if anyio.current_time() > end:
                 return
-            self.tasks.start_soon(self._one_of_others, number)
+            self.tasks.start_soon(self._send_other_request, number)
 
     def sent(self, path: str = DEADLY, since_s: float = 0.0) -> int:
-        """How often a path reached servers since a moment."""
+        """Return how often a path has reached servers since ``since_s``."""
         return sum(each.path == path and each.at_s >= since_s for each in self.servers.arrivals)
 
-    def sent_in_spite(self, path: str = DEADLY) -> int:
-        """How often it reached servers later than the bound after it had ended the third one."""
-        return self.sent(path, sorted(self.servers.crashed_at_s)[2] + CONTACT_S)
+    def sent_after_bound(self, path: str = DEADLY) -> int:
+        """Return how often it reached servers later than ``MAX_CONTACT_S`` after the third crash."""
+        return self.sent(path, sorted(self.servers.crashed_at_s)[2] + MAX_CONTACT_S)
 
 
 def run_crash_fleet(
@@ -298,7 +298,7 @@
     seed: int = 1,
     routes: tuple[Route, ...] = (ROUTE,),
 ) -> None:
-    """Run ``body`` beside a fleet that serves."""
+    """Run ``body`` with a running fleet."""
 
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
