--- a/src/yokesill/callers/application.py
+++ b/src/yokesill/callers/application.py
@@ -60,8 +60,7 @@
         forward: ForwardRequest | None = None,
     ) -> None:
         self.stopping = False
-        # While this node is partitioned from the other zones, callers must reconnect, possibly to another
-        # node.
+        # While this node is partitioned from the other zones, callers reconnect, possibly to another node.
         self.partitioned = False
         self.synchronised = anyio.Event()
         self.in_flight = 0
--- a/src/yokesill/outliers/exchange.py
+++ b/src/yokesill/outliers/exchange.py
@@ -57,12 +57,12 @@
         self._nodes.set_peers(peers)
 
     def observe(self, observation: Observation, now: float) -> list[Suspicion]:
-        """Report an observation to the server's owners.
+        """Report an observation to the server's owners, at most once per ``MIN_REPORT_INTERVAL_S``.
 
         Returns
         -------
         list of Suspicion
-            The suspicion that it raises if this node is an owner; it is queued for all nodes too.
+            The suspicion that it raises if this node is an owner; the suspicion is also queued for all nodes.
         """
         instance = observation.instance
         if now - self._reported_at_s.get(instance, -MIN_REPORT_INTERVAL_S) < MIN_REPORT_INTERVAL_S:
--- a/src/yokesill/peers/dissemination.py
+++ b/src/yokesill/peers/dissemination.py
@@ -71,7 +71,7 @@
         return address in self._addresses
 
     def address_of(self, node: str) -> str | None:
-        """Return a peer's address; ``None`` if it is not known (any more)."""
+        """Return a peer's address; ``None`` if it is unknown."""
         peer = self._peers.get(node)
         return None if peer is None else peer.address
 
--- a/src/yokesill/peers/frame.py
+++ b/src/yokesill/peers/frame.py
@@ -12,7 +12,8 @@
 
 import cbor2
 
-# The first byte of a CBOR array of two or three items, and the largest integer that CBOR encodes in one byte.
+# The initial bytes of CBOR arrays of two and three items, and the largest integer that CBOR encodes in one
+# byte.
 _ARRAY_HEADS, _MAX_KIND = (0x82, 0x83), 23
 # No real count is larger; times in milliseconds stay below this for 285,000 years.
 MAX_COUNT = 2**53
@@ -90,7 +91,7 @@
     Raises
     ------
     ValueError
-        If it is not an array whose first item is a small integer, as in all datagrams between nodes.
+        If it is not an array that begins with a small integer, as all datagrams between nodes are.
     """
     if len(data) < 2 or data[0] not in _ARRAY_HEADS or data[1] > _MAX_KIND:
         raise ValueError(f"datagram starts with {data[:2]!r}; expected an array that begins with a kind")
@@ -103,7 +104,7 @@
     Raises
     ------
     ValueError
-        If it is not.
+        If it is not a string.
     """
     if not isinstance(value, str):
         raise ValueError(f"expected a string, got {value!r:.80}")
@@ -116,7 +117,7 @@
     Raises
     ------
     ValueError
-        If it is not.
+        If it is not a string, is empty, or is too long.
     """
     if not isinstance(value, str) or not 0 < len(value) <= max_chars:
         raise ValueError(f"expected a name of 1 to {max_chars} characters, got {value!r:.80}")
@@ -129,7 +130,7 @@
     Raises
     ------
     ValueError
-        If it is not.
+        If it is not an integer or is out of range.
     """
     if isinstance(value, bool) or not isinstance(value, int) or not 0 <= value <= MAX_COUNT:
         raise ValueError(f"expected an integer from 0 to {MAX_COUNT}, got {value!r:.80}")
--- a/src/yokesill/peers/ranks.py
+++ b/src/yokesill/peers/ranks.py
@@ -12,8 +12,8 @@
 
 from yokesill.rendezvous import name_hash, weight
 
-# Each node adds up to this share to ``max_report_age_s``, so that not all query the registry at the same
-# time; ``WatchTiming.within`` allows for it.
+# Each node extends ``max_report_age_s`` by a random share up to this, so that not all query the registry at
+# the same time; ``WatchTiming.within`` allows for it.
 REPORT_AGE_JITTER = 0.25
 
 
@@ -137,7 +137,7 @@
         return self._too_few_above(self._reported_at_s, now)
 
     def _too_few_above(self, reported_at_s: dict[str, float], now: float) -> bool:
-        """Whether fewer than ``active_nodes`` nodes above this one have reported within its takeover time."""
+        """Whether too few higher-ranked nodes reported within this node's takeover time."""
         rank = self._ranked.index(self._own)
         silence_s = self._timing.takeover_s + rank * self._timing.step_s
         if rank < self._timing.active_nodes:
--- a/src/yokesill/upstreams/connection_set.py
+++ b/src/yokesill/upstreams/connection_set.py
@@ -51,7 +51,8 @@
     def take_idle(self, now: float, check: bool) -> ServerConnection | None:
         """Return the most recently used idle connection; ``None`` if a new one must be opened.
 
-        With ``check``, skip connections that the kernel reports as closed or as having unread data.
+        With ``check``, close connections that the kernel reports as closed or as having unread data, and skip
+        them.
         """
         while self._idle:
             connection = self._idle.pop()
@@ -103,7 +104,7 @@
         self._changed(self._open)
 
     def close_idle_since(self, since: float) -> None:
-        """Close connections that have been idle since before ``since``, in seconds of the node's clock.
+        """Close connections that became idle no later than ``since``, in seconds of the node's clock.
 
         Called when a connection that was reused at ``since`` got neither a reply nor a reset. The cause may
         affect the others too, and each would make one request time out.
--- a/src/yokesill/upstreams/losses.py
+++ b/src/yokesill/upstreams/losses.py
@@ -41,9 +41,10 @@
 
 
 def silent_since_s(call: AttemptCall, now: float) -> float | None:
-    """Return when a reused connection was last written to if it has since been silent, else ``None``.
+    """Return when the request was sent on a reused connection that has been silent since, else ``None``.
 
-    The server's other connections that were idle at that time may be dead as well.
+    Only a silence of ``SILENT_AFTER_S`` or longer counts. The server's other connections that were idle when
+    the request was sent may be dead as well.
     """
     connection, reused = call.connection, call.connected_in_s is None
     if connection is None or call.sent_at is None or not reused or connection.reply_started:
