--- a/src/yokesill/telemetry/exposition.py
+++ b/src/yokesill/telemetry/exposition.py
@@ -21,32 +21,32 @@
 class MetricsCollector(Collector):
     """Converts a node's metrics to prometheus-client metric families."""
 
-    def __init__(self, figures: GatewayMetrics) -> None:
-        self._figures = figures
+    def __init__(self, metrics: GatewayMetrics) -> None:
+        self._metrics = metrics
 
     def collect(self) -> Iterable[Metric]:
         """Yield all metric families."""
-        figures = self._figures
+        metrics = self._metrics
         requests = CounterMetricFamily(
             "yokesill_requests", "Requests by route and outcome", labels=["route", "outcome"]
         )
-        for (route, outcome), count in figures.requests.items():
+        for (route, outcome), count in metrics.requests.items():
             requests.add_metric([route, outcome], count)
         yield requests
-        yield _counter_family("yokesill_decisions", "Logged decisions by name", "name", figures.decisions)
+        yield _counter_family("yokesill_decisions", "Logged decisions by name", "name", metrics.decisions)
         yield _counter_family(
-            "yokesill_attempts", "Attempts by cause: first or extra", "cause", figures.attempts
+            "yokesill_attempts", "Attempts by cause: first or extra", "cause", metrics.attempts
         )
-        yield _histogram_family("yokesill_request_seconds", "Time to the final answer", figures.latency)
-        yield _histogram_family("yokesill_coverage", "Share of the services in an answer", figures.coverage)
-        for name, (description, value) in figures.gauges.items():
+        yield _histogram_family("yokesill_request_seconds", "Time to the final answer", metrics.latency)
+        yield _histogram_family("yokesill_coverage", "Share of the services in an answer", metrics.coverage)
+        for name, (description, value) in metrics.gauges.items():
             yield GaugeMetricFamily(name, description, value=value)
 
 
-def render(figures: GatewayMetrics) -> bytes:
+def render(metrics: GatewayMetrics) -> bytes:
     """Return the metrics in the text format."""
     registry = CollectorRegistry(auto_describe=False)
-    registry.register(MetricsCollector(figures))
+    registry.register(MetricsCollector(metrics))
     return generate_latest(registry)
 
 
--- a/src/yokesill/telemetry/observer.py
+++ b/src/yokesill/telemetry/observer.py
@@ -30,20 +30,20 @@
 class Observer:
     """Logs and counts decisions and requests that ended."""
 
-    def __init__(self, log: Logger, figures: GatewayMetrics) -> None:
+    def __init__(self, log: Logger, metrics: GatewayMetrics) -> None:
         self._log = log
-        self._figures = figures
+        self._metrics = metrics
 
     def log_event(self, event: LogEvent) -> None:
         """Log and count one decision."""
-        self._figures.count_event(event)
+        self._metrics.count_event(event)
         self._log.info(event.name, **event.details)
 
     def answered(self, request: GatewayRequest, final: FinalAnswer, status: int, outcome: str) -> None:
         """Log and count a request that ended, with its HTTP status and outcome."""
         summary = final.summary
         route = summary.route if summary else "none"
-        self._figures.count_request(route, outcome, summary)
+        self._metrics.count_request(route, outcome, summary)
         details = {} if summary is None else _summary_details(summary)
         if isinstance(final, Refuse):
             details |= {"verdict": final.failure.verdict.label, "detail": final.failure.detail}
@@ -58,7 +58,7 @@
 
     def coordinated(self, request: GatewayRequest, ending: CoordinatedEnding) -> None:
         """Log and count a request that a coordinator ran; the coordinator's log has the details."""
-        self._figures.count_request(ending.route, ending.outcome, None)
+        self._metrics.count_request(ending.route, ending.outcome, None)
         self._log.info(
             "request_ended",
             request=request.request_id,
@@ -72,12 +72,12 @@
 
     def caller_left(self, request: GatewayRequest) -> None:
         """Log and count a caller that disconnected before its answer."""
-        self._figures.count_request("unknown", "caller_left", None)
+        self._metrics.count_request("unknown", "caller_left", None)
         self._log.info("caller_left", request=request.request_id)
 
     def rejected(self, status: int, detail: str, path: str) -> None:
         """Log and count a request that was rejected before it reached the router."""
-        self._figures.count_request("none", "rejected", None)
+        self._metrics.count_request("none", "rejected", None)
         self._log.warning("request_rejected", status=status, detail=detail, path=path)
 
 
--- a/tests/serving/test_figures.py
+++ b/tests/serving/test_figures.py
@@ -8,12 +8,12 @@
 
 
 def test_counters_and_histograms_are_rendered() -> None:
-    figures = GatewayMetrics()
-    figures.count_request("wide", "partial", RequestSummary("wide", 3, Verdict.RAN, 0.09, 18, 20, 23, 3))
-    figures.count_request("none", "rejected", None)
-    figures.count_event(LogEvent("attempt_added", {}))
-    figures.gauge("yokesill_nodes", "Nodes", 8)
-    text = render(figures).decode()
+    metrics = GatewayMetrics()
+    metrics.count_request("wide", "partial", RequestSummary("wide", 3, Verdict.RAN, 0.09, 18, 20, 23, 3))
+    metrics.count_request("none", "rejected", None)
+    metrics.count_event(LogEvent("attempt_added", {}))
+    metrics.gauge("yokesill_nodes", "Nodes", 8)
+    text = render(metrics).decode()
     for line in (
         'yokesill_requests_total{outcome="partial",route="wide"} 1.0',
         'yokesill_requests_total{outcome="rejected",route="none"} 1.0',
