--- a/tests/serving/crash_fleet.py
+++ b/tests/serving/crash_fleet.py
@@ -173,7 +173,7 @@
 
 
 class CrashNode:
-    """One node; a ``killed`` one is gone, and an ``isolated`` one neither sends nor receives datagrams."""
+    """One node; a ``killed`` one has ended, an ``isolated`` one neither sends nor receives datagrams."""
 
     def __init__(self, fleet: "CrashFleet", name: str) -> None:
         self.name = name
