--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -15,7 +15,7 @@
     CoordinatorChoice,
 )
 from yokesill.gateway.messages import GatewayRequest
-from yokesill.peers.capacity_rank import gathering_nodes, strong_nodes
+from yokesill.peers.capacity_rank import coordinator_nodes, strong_nodes
 from yokesill.verdict import Verdict
 
 WIDE = gather_route(services=tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES)))
@@ -152,5 +152,5 @@
 
 def test_every_node_gathers_in_a_zone_without_strong_nodes() -> None:
     nodes = [("a1", "a", 0.5), ("a2", "a", 0.5), ("a3", "a", 2.0), ("b1", "b", 0.5), ("b2", "b", 0.5)]
-    assert gathering_nodes(nodes) == {"a3", "b1", "b2"}
-    assert gathering_nodes([each for each in nodes if each[0] != "a3"]) == frozenset()
+    assert coordinator_nodes(nodes) == {"a3", "b1", "b2"}
+    assert coordinator_nodes([each for each in nodes if each[0] != "a3"]) == frozenset()
