--- a/tests/serving/test_coordinator.py
+++ b/tests/serving/test_coordinator.py
@@ -9,7 +9,7 @@
 import pytest
 from conftest import run_virtual
 from harness import configuration, gather_route
-from memory_servers import Heard, MemoryServer, MemoryStream
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest
 
 from yokesill.callers.answers import HttpAnswer
 from yokesill.coordinators.client import COORDINATE_PATH, CoordinatorClient
@@ -24,14 +24,14 @@
     encode_forwarded,
 )
 from yokesill.gateway.events import LogEvent
-from yokesill.gateway.forwarding import LEAST_SERVICES, Coordinator, CoordinatorChoice
+from yokesill.gateway.forwarding import MIN_WIDE_SERVICES, Coordinator, CoordinatorChoice
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.telemetry.observer import CoordinatedEnding
 from yokesill.upstreams.wires import dial_streams
 from yokesill.verdict import Failure, Verdict
 
 ADDRESS = "10.0.0.7:80"
-ROUTE = gather_route(services=tuple(f"s{number}" for number in range(LEAST_SERVICES)))
+ROUTE = gather_route(services=tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES)))
 ANSWER = HttpAnswer(200, ((b"parts", b"a, b"), (b"missing", b"1")), b"records", "partial")
 GATHERED = GatheredAnswer(ANSWER, 0.25)
 ACKNOWLEDGE_S = 0.04
@@ -79,7 +79,7 @@
 
 # --- calling a coordinator ---
 
-Script = Callable[[MemoryServer, MemoryStream, Heard], Awaitable[None]]
+Script = Callable[[MemoryServer, MemoryStream, ReceivedRequest], Awaitable[None]]
 
 
 def call_coordinator(
@@ -106,7 +106,7 @@
     return outcomes, server, took
 
 
-async def answering(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def answering(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     body = encode_answer("id-1", GATHERED)
     await stream.send(HEAD % len(body))
     await anyio.sleep(0.3)
@@ -119,7 +119,7 @@
     assert server.opened == 1
 
 
-async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: Heard) -> None:
+async def silent(_server: MemoryServer, _stream: MemoryStream, _heard: ReceivedRequest) -> None:
     """Read the request and send nothing."""
 
 
@@ -131,7 +131,7 @@
     assert server.closed == 1
 
 
-async def refusing(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def refusing(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(b"HTTP/1.1 503 X\r\ncontent-length: 9\r\n\r\nstopping\n")
 
 
@@ -148,7 +148,7 @@
     assert outcomes[0].verdict is Verdict.NOT_RUN
 
 
-async def breaking(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def breaking(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(HEAD % 1000)
     await anyio.sleep(0.1)
     await stream.aclose()
@@ -160,7 +160,7 @@
     assert outcomes[0].verdict is Verdict.MAY_HAVE_RUN
 
 
-async def mixing(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def mixing(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     body = encode_answer("id-2", GATHERED)
     await stream.send(HEAD % len(body) + body)
 
@@ -170,13 +170,13 @@
     assert isinstance(outcomes[0], Failure)
 
 
-async def endless(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+async def endless(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
     await stream.send(HEAD % 1000)
     await anyio.sleep_forever()
 
 
 def test_idle_connections_are_not_reused_after_one_was_unresponsive() -> None:
-    async def script(_server: MemoryServer, stream: MemoryStream, heard: Heard) -> None:
+    async def script(_server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
         await anyio.sleep(0.01)
         if heard.connection > silent_up_to[0]:
             body = encode_answer("id-1", GATHERED)
@@ -289,7 +289,7 @@
                 RecordingObserver(),  # type: ignore[arg-type]
             )
             result = await forwarder(replace(create_request(anyio.current_time()), caller_timeout_s=0.001))
-            assert isinstance(result, GatewayRequest) and not result.asked_before
+            assert isinstance(result, GatewayRequest) and not result.possibly_sent
             chosen.append(choice.choose(ROUTE, coordinators, anyio.current_time()))
             tasks.cancel_scope.cancel()
         return chosen
@@ -318,13 +318,13 @@
 
     result, opened = run_virtual(run)
     assert isinstance(result, GatewayRequest)
-    assert (result.asked_before, opened) == (False, 0)
+    assert (result.possibly_sent, opened) == (False, 0)
 
 
 def test_a_request_that_coordinators_refused_runs_here_as_new() -> None:
     result, observer = forward(refusing)
     assert isinstance(result, GatewayRequest)
-    assert not result.asked_before
+    assert not result.possibly_sent
     assert [event.name for event in observer.events] == ["coordinator_missed"]
 
 
@@ -332,7 +332,7 @@
 def test_a_request_that_a_coordinator_may_have_run_is_marked_as_asked_before(script: Script) -> None:
     result, _ = forward(script)
     assert isinstance(result, GatewayRequest)
-    assert result.asked_before
+    assert result.possibly_sent
 
 
 NO_SERVER_ANSWER = HttpAnswer(503, (), b"no server", "no_replica")
@@ -350,7 +350,7 @@
         observer = RecordingObserver()
         answers = [first, ANSWER]
 
-        async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+        async def script(_server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest) -> None:
             body = encode_answer("id-1", GatheredAnswer(answers.pop(0), took_s))
             await stream.send(HEAD % len(body))
             await anyio.sleep(took_s)
@@ -402,7 +402,7 @@
 def test_a_502_without_servers_runs_here_as_asked_before() -> None:
     result, _, _ = forward_to_two(HttpAnswer(502, (), b"", "no_replica"))
     assert isinstance(result, GatewayRequest)
-    assert result.asked_before
+    assert result.possibly_sent
 
 
 @pytest.mark.parametrize(
@@ -424,7 +424,7 @@
 def test_no_second_coordinator_is_tried_after_a_slow_refusal() -> None:
     result, _, _ = forward_to_two(NO_SERVER_ANSWER, took_s=0.05)
     assert isinstance(result, GatewayRequest)
-    assert not result.asked_before
+    assert not result.possibly_sent
 
 
 # --- the coordinator's side ---
--- a/tests/serving/test_gathering_elsewhere.py
+++ b/tests/serving/test_gathering_elsewhere.py
@@ -7,11 +7,11 @@
 import anyio
 import pytest
 from harness import configuration, gather_route
-from test_process import DOWN, GOOD_HEAD, LOOPBACK, Backend, FixedFeed, free_ports
+from test_process import DOWN, LOOPBACK, REQUEST_HEADERS, Backend, FixedFeed, free_ports
 
 from yokesill.gateway.documents import ServerRecord
-from yokesill.gateway.events import ConfigurationLearnt, ServersReplaced
-from yokesill.gateway.forwarding import LEAST_SERVICES
+from yokesill.gateway.events import ConfigurationReceived, ServersReplaced
+from yokesill.gateway.forwarding import MIN_WIDE_SERVICES
 from yokesill.logs import LogOutput
 from yokesill.registry.feeds import NodeContact, NodeDirectory, NodeEntry
 from yokesill.serving.header_names import HeaderNames
@@ -19,8 +19,8 @@
 from yokesill.serving.settings import Address, GatewaySettings
 from yokesill.verdict import Failure
 
-NAMES = tuple(f"s{number}" for number in range(LEAST_SERVICES))
-REQUEST = f"GET /wide/x HTTP/1.1\r\n{GOOD_HEAD}\r\n".encode()
+NAMES = tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES))
+REQUEST = f"GET /wide/x HTTP/1.1\r\n{REQUEST_HEADERS}\r\n".encode()
 
 
 class Directory(NodeDirectory):
@@ -55,7 +55,7 @@
     )
     records = tuple(ServerRecord(f"i-{each}", each, LOOPBACK, servers_port, "a", 2) for each in NAMES)
     configuration_feed = FixedFeed(
-        "configuration", ConfigurationLearnt(configuration(1, gather_route(services=NAMES)))
+        "configuration", ConfigurationReceived(configuration(1, gather_route(services=NAMES)))
     )
     dependencies = Dependencies(
         configuration_feed, FixedFeed("servers", ServersReplaced(records)), directory, HeaderNames(), "/ready"
--- a/tests/serving/test_registry_restored.py
+++ b/tests/serving/test_registry_restored.py
@@ -29,7 +29,7 @@
 
 def test_configurations_arrive_within_the_bound_after_the_registry_lost_two() -> None:
     async def main(zone: Zone) -> None:
-        store_copy = zone.standin.copied()
+        store_copy = zone.standin.take_copy()
         for _ in range(2):
             zone.configure()
             await anyio.sleep(2.0)
@@ -48,7 +48,7 @@
 
 def test_reused_revisions_hide_no_changes_from_nodes_that_were_disconnected() -> None:
     async def main(zone: Zone) -> None:
-        store_copy = zone.standin.copied()
+        store_copy = zone.standin.take_copy()
         zone.change()
         await anyio.sleep(2.0)
         for node in zone.nodes:
@@ -72,7 +72,7 @@
     async def main(zone: Zone) -> None:
         source = random.Random(seed)
         for _ in range(4):
-            store_copy = zone.standin.copied()
+            store_copy = zone.standin.take_copy()
             for _ in range(source.randrange(3)):
                 zone.configure()
                 await anyio.sleep(source.random())
@@ -97,7 +97,7 @@
 
 def test_a_restored_registry_costs_each_watcher_two_lists_per_feed() -> None:
     async def main(zone: Zone) -> None:
-        store_copy = zone.standin.copied()
+        store_copy = zone.standin.take_copy()
         zone.configure()
         await anyio.sleep(2.0)
         before = zone.full_price_calls()
@@ -113,7 +113,7 @@
 
 def test_a_lost_evacuation_stays_in_force_until_it_is_written_again() -> None:
     async def main(zone: Zone) -> None:
-        store_copy = zone.standin.copied()
+        store_copy = zone.standin.take_copy()
         zone.standin.put("evacuations", "z2", {})
         await anyio.sleep(2.0)
         zone.standin.restore(store_copy)
@@ -130,7 +130,7 @@
 
 def test_a_lost_evacuation_that_is_not_written_again_ends() -> None:
     async def main(zone: Zone) -> None:
-        store_copy = zone.standin.copied()
+        store_copy = zone.standin.take_copy()
         zone.standin.put("evacuations", "z2", {})
         await anyio.sleep(2.0)
         zone.standin.restore(store_copy)
@@ -142,7 +142,7 @@
 
 def test_a_node_that_lists_the_older_copy_gets_the_later_configuration_from_its_zone() -> None:
     async def main(zone: Zone) -> None:
-        store_copy = zone.standin.copied()
+        store_copy = zone.standin.take_copy()
         zone.configure()
         await anyio.sleep(2.0)
         zone.standin.restore(store_copy)
@@ -161,7 +161,7 @@
 
 def test_reports_without_timelines_are_ignored_after_a_restore() -> None:
     async def main(zone: Zone) -> None:
-        store_copy = zone.standin.copied()
+        store_copy = zone.standin.take_copy()
         zone.change()
         await anyio.sleep(2.0)
         zone.standin.restore(store_copy)
@@ -198,7 +198,7 @@
 def test_the_first_answer_on_a_later_timeline_ends_the_long_polls_of_all_feeds(seed: int) -> None:
     async def main(zone: Zone) -> None:
         await anyio.sleep(random.Random(seed).random())
-        store_copy = zone.standin.copied()
+        store_copy = zone.standin.take_copy()
         zone.standin.mode = "silent"
         # Ends the long polls in progress; the ones that follow are never answered.
         zone.change()
--- a/tests/serving/test_remote_coordinators.py
+++ b/tests/serving/test_remote_coordinators.py
@@ -8,7 +8,7 @@
 import pytest
 from conftest import run_virtual
 from harness import configuration, gather_route, server
-from memory_servers import Heard, MemoryServer, MemoryStream
+from memory_servers import MemoryServer, MemoryStream, ReceivedRequest
 from test_coordinator import ANSWER, HEAD, NO_SERVER_ANSWER, RecordingObserver, create_request
 
 from yokesill.callers.answers import HttpAnswer
@@ -20,14 +20,14 @@
     RETRY_PAUSE_S,
     RemoteCoordinators,
 )
-from yokesill.gateway.forwarding import LEAST_SERVICES, Coordinator, CoordinatorChoice
+from yokesill.gateway.forwarding import MIN_WIDE_SERVICES, Coordinator, CoordinatorChoice
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.gateway.options import GatewayOptions
 from yokesill.gateway.servers.server_table import ServerTable
 from yokesill.registry.feeds import NodeContact
 from yokesill.upstreams.wires import dial_streams
 
-NAMES = tuple(f"s{number}" for number in range(LEAST_SERVICES))
+NAMES = tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES))
 ROUTE = replace(gather_route(services=NAMES), objective_s=0.3)
 REGIONS = {"a": "r1", "b": "r1", "d": "r1", "x": "r2"}
 OPTIONS = GatewayOptions(zone="d", node="d9", regions=REGIONS)
@@ -78,7 +78,7 @@
 def test_a_hop_that_is_too_slow_for_the_objective_is_only_measured_periodically() -> None:
     remote = create_remote()
     for _ in range(60):
-        remote.choice.took(0.2)
+        remote.choice.record_hop(0.2)
     assert remote.coordinators(ROUTE, 10.0) != {}
     assert remote.coordinators(ROUTE, 10.1) == {}
     assert remote.coordinators(ROUTE, 10.0 + HOP_MEASURE_INTERVAL_S) != {}
@@ -125,7 +125,9 @@
                 if fault == "dark":
                     await anyio.sleep_forever()
 
-                async def script(_server: MemoryServer, stream: MemoryStream, _heard: Heard) -> None:
+                async def script(
+                    _server: MemoryServer, stream: MemoryStream, _heard: ReceivedRequest
+                ) -> None:
                     if fault == "mute":
                         return
                     if fault == "full":
@@ -142,7 +144,9 @@
             local = {"d0": Coordinator("d.0:80", 0.0)} if home else {}
 
             def reports() -> dict[str, Coordinator]:
-                return {name: each._replace(heard_at_s=anyio.current_time()) for name, each in local.items()}
+                return {
+                    name: each._replace(reported_at_s=anyio.current_time()) for name, each in local.items()
+                }
 
             forwarder = Forwarder(
                 CoordinatorChoice("d9"),
@@ -187,13 +191,13 @@
 def test_without_any_coordinator_the_request_runs_here_as_new(fault: str) -> None:
     (ending,) = forward({"a": fault, "b": fault}, home=False)
     assert isinstance(ending.result, GatewayRequest)
-    assert not ending.result.asked_before
+    assert not ending.result.possibly_sent
 
 
 def test_a_remote_coordinator_that_does_not_answer_may_have_run_the_request() -> None:
     (ending,) = forward({"a": "mute", "b": "mute"})
     assert isinstance(ending.result, GatewayRequest)
-    assert ending.result.asked_before
+    assert ending.result.possibly_sent
 
 
 def test_after_a_lost_coordinator_the_next_request_goes_to_another_zone() -> None:
--- a/tests/serving/test_snapshots.py
+++ b/tests/serving/test_snapshots.py
@@ -34,7 +34,7 @@
 
 def test_a_snapshot_round_trips_unchanged() -> None:
     configuration, established, orders, quarantined, replaced, evacuated = decode_snapshot(SNAPSHOT)
-    assert configuration == ev.ConfigurationLearnt(STATE)
+    assert configuration == ev.ConfigurationReceived(STATE)
     assert established == ev.VersionsEstablished(ESTABLISHED)
     assert orders == ev.RolloutsReplaced(ORDERS)
     assert quarantined == ev.QuarantineReplaced(QUARANTINED)
@@ -82,7 +82,7 @@
 
 def test_without_the_registry_one_peers_snapshot_is_applied_once() -> None:
     assert [type(each) for each in bootstrap_from(SNAPSHOT)] == [
-        ev.ConfigurationLearnt,
+        ev.ConfigurationReceived,
         ev.VersionsEstablished,
         ev.RolloutsReplaced,
         ev.QuarantineReplaced,
--- a/tests/serving/zone.py
+++ b/tests/serving/zone.py
@@ -148,10 +148,10 @@
             return ev.EvacuationsReplaced(self.evacuated)
         if feed == ROLLOUTS:
             return ev.RolloutsReplaced(tuple(self.orders.values()))
-        return ev.ConfigurationLearnt(self.configuration) if self.configuration else None
+        return ev.ConfigurationReceived(self.configuration) if self.configuration else None
 
     def _apply_event(self, event: ev.Event) -> None:
-        if isinstance(event, ev.ConfigurationLearnt):
+        if isinstance(event, ev.ConfigurationReceived):
             if event.configuration.version > self.version:
                 self.configuration, self.version = event.configuration, event.configuration.version
         elif isinstance(event, ev.ServersReplaced | ev.ServersRestored):
--- a/tests/watchers/test_group.py
+++ b/tests/watchers/test_group.py
@@ -66,7 +66,7 @@
             now = SETTLED + 10 + tick * 0.02
             if tick == 0:
                 for watcher in order[:2]:
-                    member.received(watcher, True, True, now)
+                    member.record_report(watcher, True, True, now)
             if watch_role(member, now) is WatchRole.WATCHING:
                 takeover_at[name] = now
                 break
@@ -80,7 +80,7 @@
     third = group(order[2])
     assert watch_role(third, SETTLED + 10) is WatchRole.WATCHING
     for watcher in order[:2]:
-        third.received(watcher, True, True, SETTLED + 10)
+        third.record_report(watcher, True, True, SETTLED + 10)
     assert watch_role(third, SETTLED + 10.1) is WatchRole.FOLLOWING
 
 
@@ -89,15 +89,15 @@
     last = group(order[-1])
     for tenth in range(30):
         now = SETTLED + 10 + tenth / 10
-        last.received(order[0], False, True, now)
-        last.received(order[1], True, False, now)
+        last.record_report(order[0], False, True, now)
+        last.record_report(order[1], True, False, now)
     assert watch_role(last, now) is not WatchRole.FOLLOWING
 
 
 def test_a_node_without_reports_stops_following_well_within_the_bound() -> None:
     last = group(ranked()[-1])
-    last.received(ranked()[0], True, True, SETTLED + 10)
-    last.received(ranked()[1], True, True, SETTLED + 10)
+    last.record_report(ranked()[0], True, True, SETTLED + 10)
+    last.record_report(ranked()[1], True, True, SETTLED + 10)
     assert watch_role(last, SETTLED + 10 + 0.9 * TIMING.report_timeout_s) is WatchRole.FOLLOWING
     assert watch_role(last, SETTLED + 10 + 1.3 * TIMING.report_timeout_s) is not WatchRole.FOLLOWING
     assert TIMING.age_limit_s + 1.25 * TIMING.report_timeout_s < 0.85 * 3.0
