--- a/src/yokesill/serving/driver.py
+++ b/src/yokesill/serving/driver.py
@@ -42,9 +42,9 @@
     """Runs requests to their final answer; the only caller of ``GatewayRouter.on_event``.
 
     ``log_event`` is called with each decision that is worth a log line. ``Findings`` sets the callbacks:
-    ``on_server_observed`` for servers that other nodes should know of, ``on_crash_finding`` for losses and answers under
-    suspected requests, ``on_server_forgotten`` for servers that are long gone. ``last_remote_answer_s`` is when a server of
-    another zone last answered, in seconds of the node's clock.
+    ``on_server_observed`` for servers that other nodes should know of, ``on_crash_finding`` for losses and
+    answers under suspected requests, ``on_server_forgotten`` for servers that are long gone.
+    ``last_remote_answer_s`` is when a server of another zone last answered, in seconds of the node's clock.
     """
 
     def __init__(
