--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -130,14 +130,14 @@
     three_attempts = RouterHarness(gather_route(attempts=3))
     key = arrive_possibly_sent(three_attempts)
     for _ in range(3):
-        for attempt in list(three_attempts.of(key)):
+        for attempt in list(three_attempts.attempts(key)):
             three_attempts.fail(attempt)
     three_attempts.advance(2.0)
-    assert len(three_attempts.of(key)) == 4
+    assert len(three_attempts.attempts(key)) == 4
 
     one_attempt = RouterHarness(gather_route(attempts=1))
     key = arrive_possibly_sent(one_attempt)
-    assert one_attempt.of(key) == []
+    assert one_attempt.attempts(key) == []
     assert isinstance(one_attempt.finals[key], ev.Refuse)
 
 
--- a/tests/serving/test_gateway_parts.py
+++ b/tests/serving/test_gateway_parts.py
@@ -161,7 +161,7 @@
     def __init__(self) -> None:
         self.outcomes: list[Any] = []
 
-    def recorded(self, _order: Any, outcome: Any, _now: float) -> None:
+    def write_ended(self, _order: Any, outcome: Any, _now: float) -> None:
         self.outcomes.append(outcome)
 
 
