--- a/src/yokesill/coordinators/client.py
+++ b/src/yokesill/coordinators/client.py
@@ -68,7 +68,7 @@
             connection.start(_encode_request(address, message), False, complete)
             with anyio.move_on_after(acknowledge_within_s):
                 await completed.wait()
-            if not connection.reply_begun and not outcome:
+            if not connection.reply_started and not outcome:
                 self._close_idle(address)
                 return Failure(Reason.TIMED_OUT, Verdict.MAY_HAVE_RUN, "no acknowledgement in time")
             with anyio.move_on_after(deadline_at_s - anyio.current_time()):
@@ -89,7 +89,7 @@
         idle = self._idle.get(address, [])
         while idle:
             connection = idle.pop()
-            if now < connection.reusable_until and connection.quiet():
+            if now < connection.reusable_until and connection.has_no_unread_data():
                 return connection
             connection.close()
         connection = ServerConnection(self._on_closed)
--- a/src/yokesill/coordinators/coordinator.py
+++ b/src/yokesill/coordinators/coordinator.py
@@ -10,7 +10,7 @@
 import anyio
 
 from yokesill.callers.application import (
-    CallerGoneError,
+    CallerDisconnectedError,
     GatewayApplication,
     Receive,
     Scope,
@@ -71,7 +71,7 @@
         self.in_flight += 1
         try:
             await self._coordinate(receive, send)
-        except CallerGoneError:
+        except CallerDisconnectedError:
             # Not logged here: the forwarding node logs ``coordinator_missed``.
             pass
         finally:
--- a/src/yokesill/coordinators/remote_coordinators.py
+++ b/src/yokesill/coordinators/remote_coordinators.py
@@ -72,9 +72,9 @@
         """Return the nodes that may gather a wide request near its servers; empty if that is no better."""
         if not self._options.switches.gathers_near_servers or not self._hop_is_short(route, now):
             return {}
-        heard_at_s = now - RETRY_PAUSE_S
+        reported_at_s = now - RETRY_PAUSE_S
         return {
-            each.node: Coordinator(each.peers, heard_at_s, zone)
+            each.node: Coordinator(each.peers, reported_at_s, zone)
             for zone in self._server_zones.zones(route, now)
             for each in self._strong.get(zone, ())
         }
--- a/src/yokesill/gateway/crash_tracker.py
+++ b/src/yokesill/gateway/crash_tracker.py
@@ -38,7 +38,7 @@
         it has failed, so that the loss of many servers at once does not cause messages for every request
         there.
         """
-        status = self.detector.lost(request_fingerprint, loss, now)
+        status = self.detector.record_loss(request_fingerprint, loss, now)
         if status is not None:
             self._changed(request_fingerprint, status, "found", actions)
         if status is QuarantineStatus.QUARANTINED:
@@ -46,13 +46,13 @@
 
     def report_loss(self, request_fingerprint: str, loss: Loss, actions: list[ev.Action]) -> None:
         """Report a loss during a failed request to the request's owners."""
-        self.detector.share(request_fingerprint)
+        self.detector.mark_shared(request_fingerprint)
         actions.append(ev.LossObserved(request_fingerprint, loss))
 
     def answered(self, request_fingerprint: str, service: str, probe: bool, actions: list[ev.Action]) -> None:
         """Record that a server answered the request, which may clear it."""
-        shared = self.detector.shared(request_fingerprint)
-        if self.detector.answered(request_fingerprint, service, probe):
+        shared = self.detector.is_shared(request_fingerprint)
+        if self.detector.record_answer(request_fingerprint, service, probe):
             if shared:
                 actions.append(ev.AnswerObserved(request_fingerprint, service, probe))
             if probe:
@@ -62,8 +62,8 @@
 
     def loss_reported(self, event: ev.LossReported, now: float, actions: list[ev.Action]) -> None:
         """Record a loss that another node saw; report the resulting status to all nodes."""
-        status = self.detector.lost(event.fingerprint, event.loss, now)
-        self.detector.share(event.fingerprint)
+        status = self.detector.record_loss(event.fingerprint, event.loss, now)
+        self.detector.mark_shared(event.fingerprint)
         if status is not None:
             self._changed(event.fingerprint, status, "found", actions)
             actions.append(ev.QuarantineStatusDecided(event.fingerprint, status))
@@ -78,7 +78,7 @@
     def record(self, fingerprints: frozenset[str], actions: list[ev.Action]) -> None:
         """Adopt the registry's list of quarantined requests, and log what changed."""
         before, self.list_known = self.detector.recorded, True
-        self.detector.record(fingerprints)
+        self.detector.set_recorded(fingerprints)
         for each in sorted(fingerprints - before):
             self._changed(each, QuarantineStatus.QUARANTINED, "recorded", actions)
         for each in sorted(before - fingerprints):
--- a/src/yokesill/gateway/requests/deadlines.py
+++ b/src/yokesill/gateway/requests/deadlines.py
@@ -6,7 +6,7 @@
   an earlier try of the same request.
 
 A margin is subtracted for the part of the caller's latency that this node cannot measure: connecting and the
-network round trip (``fresh_margin_s`` and ``kept_margin_s`` of the options), and the lateness of this node's
+network round trip (``fresh_margin_s`` and ``reused_margin_s`` of the options), and the lateness of this node's
 own timers. The route's own timeout is used without a margin.
 """
 
@@ -28,7 +28,7 @@
 def request_times(request: GatewayRequest, route: Route, context: GatewayContext) -> RequestTimes:
     """Return the objective and the deadline of a request that has just arrived."""
     options = context.options
-    margin_s = options.fresh_margin_s if request.fresh_connection else options.kept_margin_s
+    margin_s = options.fresh_margin_s if request.fresh_connection else options.reused_margin_s
     margin_s += context.lateness_s
     caller_timeout_s = route.timeout_s if request.caller_timeout_s is None else request.caller_timeout_s
     deadline_at_s = request.arrived_at_s + min(route.timeout_s, caller_timeout_s - margin_s)
--- a/src/yokesill/gateway/requests/first_attempts.py
+++ b/src/yokesill/gateway/requests/first_attempts.py
@@ -7,7 +7,7 @@
    (``deferral``); a call without any server is closed.
 
 A call can be sent if a server can be selected and, for a request that another node may already have sent
-(``asked_before``), if the route's attempts and the budget of extra attempts are not exhausted.
+(``possibly_sent``), if the route's attempts and the budget of extra attempts are not exhausted.
 """
 
 from yokesill.gateway.requests import refusal
@@ -31,7 +31,7 @@
     if sum(_can_send(fan_out, call, choice, now) for call, choice in choices) < fan_out.required:
         _close_all(fan_out, choices, step)
         return
-    if not fan_out.request.asked_before:
+    if not fan_out.request.possibly_sent:
         # A request that another node had before was already counted there towards the shared budget.
         for call in fan_out.calls:
             fan_out.context.budget(call.service).count_request(now)
@@ -53,13 +53,13 @@
     """Whether a first attempt can be sent, either now or once ``choice`` has a free pacing slot."""
     if choice is None or not call.has_attempts_left:
         return False
-    return not fan_out.request.asked_before or fan_out.context.extra_attempts_left(call.service, now) >= 1.0
+    return not fan_out.request.possibly_sent or fan_out.context.extra_attempts_left(call.service, now) >= 1.0
 
 
 def _send_or_defer(
     fan_out: FanOut, call: ServiceCall, choice: Choice | None, delay_s: float, step: Step
 ) -> None:
-    if choice is None or choice.sound:
+    if choice is None or choice.healthy:
         _send_or_close(fan_out, call, choice, delay_s, step)
         fan_out.note_attempts(call)
     else:
--- a/src/yokesill/gateway/requests/pacing.py
+++ b/src/yokesill/gateway/requests/pacing.py
@@ -11,11 +11,11 @@
 
 def has_free_slot(choice: Choice, context: GatewayContext, now: float) -> bool:
     """Whether an attempt may be sent to the chosen server now."""
-    return choice.sound or not context.options.switches.paces or choice.slot_at_s <= now
+    return choice.healthy or not context.options.switches.paces or choice.slot_at_s <= now
 
 
 def has_spare_slot(choice: Choice, service: str, context: GatewayContext, now: float) -> bool:
     """Whether the chosen server has a free slot and no deferred call of any request waits for it."""
     if not has_free_slot(choice, context, now):
         return False
-    return choice.sound or not context.pacing_queue.is_awaited(service)
+    return choice.healthy or not context.pacing_queue.is_awaited(service)
--- a/src/yokesill/gateway/requests/service_call.py
+++ b/src/yokesill/gateway/requests/service_call.py
@@ -72,9 +72,9 @@
         self._live: dict[int, LiveAttempt] = {}
         self._deferred_at_s = 0.0
         # Another node that had the request before may have used all attempts but the last.
-        self._ran = max(1, route.max_attempts - 1) if request.asked_before else 0
-        self._may_have_arrived = request.asked_before
-        self._verdict = Verdict.MAY_HAVE_RUN if request.asked_before else Verdict.NOT_RUN
+        self._ran = max(1, route.max_attempts - 1) if request.possibly_sent else 0
+        self._may_have_arrived = request.possibly_sent
+        self._verdict = Verdict.MAY_HAVE_RUN if request.possibly_sent else Verdict.NOT_RUN
 
     # --- state ---
 
@@ -128,7 +128,7 @@
         if cause == "first" and context.rollouts.is_new(server):
             cause = "canary"
         attempt = self._begin_attempt(server, extra, now)
-        self.hedge_at_s = now + (hedge_delay_s if choice.sound else max(hedge_delay_s, choice.expected_s))
+        self.hedge_at_s = now + (hedge_delay_s if choice.healthy else max(hedge_delay_s, choice.expected_s))
         if cause != "first":
             step.actions.append(self._log_event("attempt_added", cause, server, now))
         limit = server.connections.limit(context.eligibility.connection_limit(self.service))
@@ -142,7 +142,7 @@
         number = next(context.numbers)
         attempt = LiveAttempt(number, self._request.request_id, server, now, extra)
         context.live[number] = self._live[number] = attempt
-        server.begin(number, context.typical(self._route).median, now)
+        server.begin(number, context.typical_latency(self._route).median, now)
         context.sent(server, now)
         self.tried.add(server.record.instance)
         self.attempts += 1
--- a/src/yokesill/gateway/rollouts.py
+++ b/src/yokesill/gateway/rollouts.py
@@ -72,7 +72,7 @@
         """Count a request that is sent to a server."""
         order = self.orders.open.get(server.record.service)
         if order is not None:
-            self._samples_of(order.id).sent(server.record.version == order.target)
+            self._samples_of(order.id).count_sent(server.record.version == order.target)
 
     def record_outcome(
         self,
--- a/src/yokesill/registry/feed_states.py
+++ b/src/yokesill/registry/feed_states.py
@@ -12,7 +12,7 @@
 import cbor2
 
 from yokesill.gateway.events import (
-    ConfigurationLearnt,
+    ConfigurationReceived,
     EvacuationsReplaced,
     Event,
     QuarantineLifted,
@@ -27,7 +27,7 @@
     ZoneEvacuated,
     ZoneReopened,
 )
-from yokesill.peers.frame import count, split_extension, with_extension
+from yokesill.peers.frame import parse_count, split_extension, with_extension
 from yokesill.positions import Position
 from yokesill.registry.feeds import Batch
 from yokesill.registry.snapshots import (
@@ -48,7 +48,7 @@
 QUARANTINED, LIFTED = "quarantined", "lifted"
 
 WholeFeed = (
-    ConfigurationLearnt | ServersReplaced | EvacuationsReplaced | RolloutsReplaced | QuarantineReplaced
+    ConfigurationReceived | ServersReplaced | EvacuationsReplaced | RolloutsReplaced | QuarantineReplaced
 )
 
 
@@ -146,7 +146,7 @@
 
 
 @_feed_to_wire.register
-def _(event: ConfigurationLearnt, _timeline: int) -> tuple[str, Any]:
+def _(event: ConfigurationReceived, _timeline: int) -> tuple[str, Any]:
     return CONFIGURATION, configuration_to_wire(event.configuration)
 
 
@@ -184,10 +184,10 @@
         (feed, revision, content), extension = split_extension(data)
         if type(revision) is not int:
             raise ValueError(f"revision is {revision!r}, expected an integer")
-        timeline = 0 if extension is None else count(extension)
+        timeline = 0 if extension is None else parse_count(extension)
         event: Event
         if feed == CONFIGURATION:
-            event = ConfigurationLearnt(configuration_from_wire(content))
+            event = ConfigurationReceived(configuration_from_wire(content))
         elif feed == SERVERS:
             event = ServersReplaced(tuple(server_from_wire(each) for each in content))
         elif feed == EVACUATIONS:
--- a/src/yokesill/registry/feeds.py
+++ b/src/yokesill/registry/feeds.py
@@ -10,7 +10,7 @@
 
 from yokesill.gateway.events import Event
 from yokesill.positions import Position
-from yokesill.rollouts.orders import Overtaken, RolloutOrder
+from yokesill.rollouts.orders import RevisionConflict, RolloutOrder
 from yokesill.verdict import Failure
 
 
@@ -115,12 +115,12 @@
     """Persistent storage of the state of roll-outs."""
 
     @abc.abstractmethod
-    async def record(self, order: RolloutOrder) -> RolloutOrder | Overtaken | Failure:
+    async def record(self, order: RolloutOrder) -> RolloutOrder | RevisionConflict | Failure:
         """Write an order's state, elapsed time and reason, if it is still at ``order.revision``.
 
         Returns
         -------
-        RolloutOrder or Overtaken or Failure
+        RolloutOrder or RevisionConflict or Failure
             The current order at its new revision. A write that failed with the verdict ``MAY_HAVE_RUN`` may
             still take effect later, as long as the revision stays the same. Nothing is written if the
             registry is on another timeline than the order, where its revision may refer to another change.
--- a/src/yokesill/registry/snapshots.py
+++ b/src/yokesill/registry/snapshots.py
@@ -21,7 +21,7 @@
     WeightedService,
 )
 from yokesill.gateway.events import (
-    ConfigurationLearnt,
+    ConfigurationReceived,
     EvacuationsReplaced,
     Event,
     QuarantineReplaced,
@@ -80,7 +80,7 @@
     # Events that limit which requests may be sent come before the servers to send them to.
     rollouts = (VersionsEstablished(established), RolloutsReplaced(orders), QuarantineReplaced(quarantined))
     whole = (ServersReplaced(records), EvacuationsReplaced(evacuated))
-    return (ConfigurationLearnt(configuration), *rollouts, *whole)
+    return (ConfigurationReceived(configuration), *rollouts, *whole)
 
 
 def configuration_to_wire(configuration: Configuration) -> dict[str, Any]:
@@ -141,8 +141,8 @@
 
 def order_to_wire(order: RolloutOrder) -> list[Any]:
     """Encode a roll-out's order and its record for other nodes."""
-    ordered = [order.service, order.target, order.duration_s, order.made, order.revision]
-    return [*ordered, order.state.value, order.elapsed_s, order.reason, order.problem, order.numbered]
+    ordered = [order.service, order.target, order.duration_s, order.created_revision, order.revision]
+    return [*ordered, order.state.value, order.elapsed_s, order.reason, order.problem, order.numeric_target]
 
 
 def order_from_wire(item: Any, timeline: int = 0) -> RolloutOrder:
--- a/src/yokesill/registry/view_check.py
+++ b/src/yokesill/registry/view_check.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from yokesill.gateway.events import (
-    ConfigurationLearnt,
+    ConfigurationReceived,
     EvacuationsReplaced,
     QuarantineReplaced,
     RolloutsReplaced,
@@ -93,7 +93,7 @@
 
     def _services_without_servers(self) -> list[str]:
         configuration, servers = self._whole(CONFIGURATION), self._whole(SERVERS)
-        if not isinstance(configuration, ConfigurationLearnt) or not isinstance(servers, ServersReplaced):
+        if not isinstance(configuration, ConfigurationReceived) or not isinstance(servers, ServersReplaced):
             return []
         listed = {each.service for each in servers.records}
         named = {name for route in configuration.configuration.routes for name in route.services}
@@ -107,7 +107,7 @@
 
 
 @_digest.register
-def _(whole: ConfigurationLearnt) -> int:
+def _(whole: ConfigurationReceived) -> int:
     # The version, since the highest one applies: a registry that was restored from an older copy gives a
     # starting node an older configuration than the other nodes have.
     return whole.configuration.version
@@ -130,4 +130,4 @@
 
 @_digest.register
 def _(whole: RolloutsReplaced) -> int:
-    return digest_of(f"{each.service}/{each.made}" for each in whole.orders)
+    return digest_of(f"{each.service}/{each.created_revision}" for each in whole.orders)
--- a/src/yokesill/rollouts/decider_role.py
+++ b/src/yokesill/rollouts/decider_role.py
@@ -91,7 +91,7 @@
         (self._connected_at_s if reaches_registry else self._disconnected_at_s)[node] = now
         (self._disconnected_at_s if reaches_registry else self._connected_at_s).pop(node, None)
         if self._group is not None:
-            self._group.received(node, reaches_registry, True, now)
+            self._group.record_report(node, reaches_registry, True, now)
 
     def note_report(self, node: str, now: float) -> None:
         """Record that a node sent a report."""
@@ -120,7 +120,7 @@
         if len(self._listed_at_s) < len(self._cores):
             self._listed_at_s = {node: self._listed_at_s.get(node, now) for node in self._cores}
         assert self._group is not None
-        if not self._group.acts(now):
+        if not self._group.should_act(now):
             self._deciding_since_s = None
             return False
         started = self._deciding_since_s is None
@@ -197,10 +197,10 @@
         timing = RankTiming(
             takeover_s=self.timeout_s,
             step_s=TAKEOVER_STEP_S,
-            patience_s=self.timeout_s,
-            settle_s=0.0,
-            strong_settle_s=0.0,
-            acting=DECIDER_COUNT,
+            max_report_age_s=self.timeout_s,
+            startup_delay_s=0.0,
+            strong_startup_delay_s=0.0,
+            active_nodes=DECIDER_COUNT,
         )
         self._group = RankedGroup(self._own, RANK_SUBJECT, timing, self._source, now)
         self._started_at_s = now
--- a/src/yokesill/rollouts/messages.py
+++ b/src/yokesill/rollouts/messages.py
@@ -11,11 +11,11 @@
 
 from yokesill.peers.frame import (
     Kind,
-    count,
     decode_frame,
     encode_frame,
+    parse_count,
+    parse_text,
     split_extension,
-    text,
     with_extension,
 )
 from yokesill.rollouts.orders import OrderId, RolloutState
@@ -160,35 +160,35 @@
 
 def _report(node: Any, incarnation: Any, entries: Any) -> RolloutReport:
     orders = tuple(_order_report(*each) for each in entries)
-    return RolloutReport(text(node), count(incarnation), orders)
+    return RolloutReport(parse_text(node), parse_count(incarnation), orders)
 
 
 def _order_report(
     order: Any, state: Any, sent_old: Any, sent_new: Any, in_flight: Any, samples: Any
 ) -> OrderReport:
-    counts = (count(sent_old), count(sent_new), count(in_flight))
+    counts = (parse_count(sent_old), parse_count(sent_new), parse_count(in_flight))
     return OrderReport(_order(order), RolloutState(state), *counts, tuple(_sample(*each) for each in samples))
 
 
 def _sample(route: Any, instance: Any, new: Any, succeeded: Any, latency_ms: Any) -> Sample:
     latency_s = None if latency_ms is None else float(latency_ms) / 1000
-    return Sample(text(route), text(instance), bool(new), bool(succeeded), latency_s)
+    return Sample(parse_text(route), parse_text(instance), bool(new), bool(succeeded), latency_s)
 
 
 def _decisions(node: Any, reaches_registry: Any, valid_ms: Any, entries: Any) -> RolloutDecisions:
     orders = tuple(_decision(*each) for each in entries)
-    return RolloutDecisions(text(node), bool(reaches_registry), count(valid_ms) / 1000, orders)
+    return RolloutDecisions(parse_text(node), bool(reaches_registry), parse_count(valid_ms) / 1000, orders)
 
 
 def _decision(order: Any, state: Any, share: Any, elapsed_ms: Any) -> OrderDecision:
     if not 0.0 <= float(share) <= 1.0:
         raise ValueError(f"share is {share!r}, expected a number from 0 to 1")
-    return OrderDecision(_order(order), RolloutState(state), float(share), count(elapsed_ms) / 1000)
+    return OrderDecision(_order(order), RolloutState(state), float(share), parse_count(elapsed_ms) / 1000)
 
 
 def _order(item: Any) -> OrderId:
     service, made, target = item
-    return OrderId(text(service), count(made), text(target))
+    return OrderId(parse_text(service), parse_count(made), parse_text(target))
 
 
 _READERS: dict[int, Callable[..., Message]] = {
--- a/src/yokesill/watchers/role.py
+++ b/src/yokesill/watchers/role.py
@@ -31,6 +31,6 @@
 
 def watch_role(group: RankedGroup, now: float) -> WatchRole:
     """Return a node's current role."""
-    if group.acts(now):
+    if group.should_act(now):
         return WatchRole.WATCHING
-    return WatchRole.FOLLOWING if group.relies(now) else WatchRole.SOLITARY
+    return WatchRole.FOLLOWING if group.has_fresh_report(now) else WatchRole.SOLITARY
--- a/src/yokesill/watchers/timing.py
+++ b/src/yokesill/watchers/timing.py
@@ -61,10 +61,10 @@
         return RankTiming(
             takeover_s=self.takeover_s,
             step_s=self.step_s,
-            patience_s=self.report_timeout_s,
-            settle_s=self.settle_s,
-            strong_settle_s=self.strong_settle_s,
-            acting=self.watchers,
+            max_report_age_s=self.report_timeout_s,
+            startup_delay_s=self.settle_s,
+            strong_startup_delay_s=self.strong_settle_s,
+            active_nodes=self.watchers,
         )
 
     @classmethod
--- a/tests/gateway/rolled_out.py
+++ b/tests/gateway/rolled_out.py
@@ -4,7 +4,7 @@
 from dataclasses import replace
 from typing import Any
 
-from harness import TERMS, RouterHarness, gather_route, server
+from harness import BUDGET, RouterHarness, gather_route, server
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Route, ServerRecord
@@ -43,7 +43,7 @@
         names = sorted({name for route in routes for name in route.services})
         old = tuple(each for name in names for each in servers_of(name, "v1"))
         new = tuple(each for name in names for each in servers_of(name, "v2"))
-        defaults = GatewayOptions(zone="z1", budget=TERMS, rollouts=RolloutLimits())
+        defaults = GatewayOptions(zone="z1", budget=BUDGET, rollouts=RolloutLimits())
         super().__init__(
             *routes,
             servers=(*old, *new) if servers is None else servers,
@@ -68,14 +68,14 @@
 
     def versions(self, key: str) -> list[str]:
         """Return the versions of the servers that a request was sent to, in order."""
-        return [each.server.version for each in self.of(key)]
+        return [each.server.version for each in self.attempts(key)]
 
     def send_requests(self, path: str = "/wide/x", requests: int = 20) -> set[str]:
         """Send requests and answer them; return the versions of the servers that got them."""
         keys = [self.arrive(path) for _ in range(requests)]
         self.advance(0.01)
         for key in keys:
-            for attempt in self.of(key):
+            for attempt in self.attempts(key):
                 self.answer(attempt)
         return {version for key in keys for version in self.versions(key)}
 
--- a/tests/gateway/test_coordination.py
+++ b/tests/gateway/test_coordination.py
@@ -111,20 +111,20 @@
 def test_request_possibly_sent_by_a_lost_coordinator_is_charged_to_the_budget() -> None:
     harness = RouterHarness(gather_route(attempts=2))
     key = arrive_possibly_sent(harness)
-    for attempt in harness.of(key):
+    for attempt in harness.attempts(key):
         harness.answer(attempt, reply())
     final = harness.finals[key]
     assert isinstance(final, ev.Gathered)
-    assert final.summary.extra_attempts == len(harness.of(key)) == 4
+    assert final.summary.extra_attempts == len(harness.attempts(key)) == 4
 
 
 def test_request_possibly_sent_by_a_lost_coordinator_stays_within_the_routes_attempts() -> None:
     harness = RouterHarness(gather_route(attempts=2))
     key = arrive_possibly_sent(harness)
-    for attempt in list(harness.of(key)):
+    for attempt in list(harness.attempts(key)):
         harness.fail(attempt)
     harness.advance(2.0)
-    assert len(harness.of(key)) == 4
+    assert len(harness.attempts(key)) == 4
 
     # The lost coordinator may have hedged or retried: all but the last attempt count as used.
     three_attempts = RouterHarness(gather_route(attempts=3))
--- a/tests/gateway/test_crashing_requests.py
+++ b/tests/gateway/test_crashing_requests.py
@@ -134,7 +134,7 @@
 def test_quarantined_request_sent_by_another_node_is_refused_as_may_have_run() -> None:
     harness = RouterHarness(gather_route(services=SHARDS, attempts=3), servers=SERVERS)
     harness.feed(ev.RequestQuarantined(fingerprint_of("/wide/deadly")))
-    key = harness.arrive("/wide/deadly", asked_before=True)
+    key = harness.arrive("/wide/deadly", possibly_sent=True)
     final = harness.finals[key]
     assert isinstance(final, ev.Refuse)
     assert final.failure.verdict is Verdict.MAY_HAVE_RUN
@@ -183,7 +183,7 @@
         for attempt in harness.attempts(key)[2:]:
             actions += harness.feed(ev.AttemptAnswered(attempt.number, reply()))
     assert isinstance(harness.finals[key], ev.Gathered)
-    assert not [each for each in actions if isinstance(each, ev.LossObserved | ev.RequestJudged)]
+    assert not [each for each in actions if isinstance(each, ev.LossObserved | ev.QuarantineStatusDecided)]
     key = harness.arrive("/wide/deadly")
     for _ in range(4):
         for attempt in harness.attempts(key):
--- a/tests/gateway/test_evacuations.py
+++ b/tests/gateway/test_evacuations.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 import pytest
-from harness import TERMS, RouterHarness, configuration, failure, gather_route, reply, server, single_route
+from harness import BUDGET, RouterHarness, configuration, failure, gather_route, reply, server, single_route
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.options import GatewayOptions
@@ -14,7 +14,7 @@
 
 
 def zones_of(harness: RouterHarness, key: str) -> list[str]:
-    return [each.server.zone for each in harness.of(key)]
+    return [each.server.zone for each in harness.attempts(key)]
 
 
 def test_first_attempts_avoid_an_evacuated_zone_until_it_is_reopened() -> None:
@@ -35,7 +35,7 @@
     harness.advance(0.5)
     assert zones_of(harness, late) == ["z1"]
     retried = harness.arrive()
-    harness.fail(harness.of(retried)[-1], SHED)
+    harness.fail(harness.attempts(retried)[-1], SHED)
     harness.advance(0.5)
     assert set(zones_of(harness, retried)) == {"z1"}
 
@@ -46,7 +46,7 @@
     for _ in range(4):
         key = harness.arrive()
         harness.advance(0.4)
-        for attempt in harness.of(key):
+        for attempt in harness.attempts(key):
             harness.answer(attempt)
     waiting = [harness.arrive() for _ in range(6)]
     harness.feed(ev.EvacuationsReplaced(frozenset({"z1"})))
@@ -62,7 +62,7 @@
     harness.feed(ev.ZoneEvacuated("z1"))
     harness.feed(ev.ZoneEvacuated("z2"))
     key = harness.arrive()
-    assert harness.of(key) == []
+    assert harness.attempts(key) == []
 
 
 def test_request_that_only_an_evacuated_zone_could_serve_is_refused_as_not_run() -> None:
@@ -79,7 +79,7 @@
     harness = RouterHarness(ONE_SHARD)
     key = harness.arrive()
     harness.feed(ev.ZoneEvacuated("z1"))
-    harness.answer(harness.of(key)[0], reply(b"x" * 16))
+    harness.answer(harness.attempts(key)[0], reply(b"x" * 16))
     assert isinstance(harness.finals[key], ev.Gathered)
     assert harness.cancelled == []
 
@@ -93,7 +93,7 @@
     assert zones_of(harness, harness.arrive()) == ["z1"]
     logged = [
         (note.details["zone"], note.details["evacuated"])
-        for note in harness.notes
+        for note in harness.logged
         if note.name == "zone_evacuated"
     ]
     assert logged == [("z1", True), ("z2", True), ("z1", False), ("z2", False), ("z3", True)]
@@ -101,14 +101,14 @@
 
 @pytest.mark.parametrize(("regions", "zones"), [(("r2",), {"z2"}), (("r1",), {"z1"}), ((), {"z1"})])
 def test_route_with_regions_reaches_no_other_region(regions: tuple[str, ...], zones: set[str]) -> None:
-    options = GatewayOptions("z1", regions={"z1": "r1", "z2": "r2"}, budget=TERMS)
+    options = GatewayOptions("z1", regions={"z1": "r1", "z2": "r2"}, budget=BUDGET)
     harness = RouterHarness(servers=(server("a", "s1", "z1"), server("b", "s1", "z2")), options=options)
     harness.feed(ev.ConfigurationReceived(configuration(1, replace(ONE_SHARD, regions=regions))))
     for _ in range(3):
         key = harness.arrive()
         harness.advance(1.0)
         harness.arrive()
-        for attempt in harness.of(key):
+        for attempt in harness.attempts(key):
             harness.fail(attempt)
     if regions:
         assert {each.server.zone for each in harness.sent} == zones
--- a/tests/gateway/test_gather.py
+++ b/tests/gateway/test_gather.py
@@ -76,7 +76,7 @@
     changed_route = gather_route(services=("t1", "t2"))
     harness.feed(ev.ServerListed(server("b1", "t1")))
     harness.feed(ev.ServerListed(server("b2", "t2")))
-    harness.feed(ev.ConfigurationLearnt(configuration(2, changed_route)))
+    harness.feed(ev.ConfigurationReceived(configuration(2, changed_route)))
     for attempt in harness.attempts(key):
         harness.answer(attempt)
     final = harness.finals[key]
@@ -88,8 +88,8 @@
 
 def test_older_configuration_does_not_replace_newer_one() -> None:
     harness = RouterHarness(gather_route())
-    harness.feed(ev.ConfigurationLearnt(configuration(5, gather_route(services=("t1",)))))
-    harness.feed(ev.ConfigurationLearnt(configuration(4, gather_route())))
+    harness.feed(ev.ConfigurationReceived(configuration(5, gather_route(services=("t1",)))))
+    harness.feed(ev.ConfigurationReceived(configuration(4, gather_route())))
     assert harness.router.configuration is not None
     assert harness.router.configuration.version == 5
 
--- a/tests/gateway/test_refusals.py
+++ b/tests/gateway/test_refusals.py
@@ -5,7 +5,7 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import ServerRecord
 from yokesill.gateway.requests.refusal import SHED_RETRY_AFTER_MS
-from yokesill.gateway.servers.ejection import FAILING_EJECTION_S
+from yokesill.gateway.servers.ejection import INITIAL_FAILURE_EJECTION_S
 from yokesill.verdict import Reason, Verdict
 
 CALLER_TIMEOUT_S = 1.5
@@ -77,7 +77,8 @@
         refusal(harness, harness.arrive(timeout_s=CALLER_TIMEOUT_S)).failure.retry_after_ms for _ in range(20)
     ]
     assert all(
-        FAILING_EJECTION_S * 1000 <= each <= FAILING_EJECTION_S * 1000 * 1.3 for each in retry_after_ms
+        INITIAL_FAILURE_EJECTION_S * 1000 <= each <= INITIAL_FAILURE_EJECTION_S * 1000 * 1.3
+        for each in retry_after_ms
     )
     assert len(set(retry_after_ms)) > 10
     harness.advance(max(retry_after_ms) / 1000)
--- a/tests/gateway/test_rollout_canaries.py
+++ b/tests/gateway/test_rollout_canaries.py
@@ -20,7 +20,7 @@
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Configuration, Route, ServerRecord, ServiceLimits
 from yokesill.gateway.limits.budget import BudgetLimits
-from yokesill.rollouts.order_samples import MOST_NEW, MOST_OLD
+from yokesill.rollouts.order_samples import MAX_NEW_SAMPLES, MAX_OLD_SAMPLES
 from yokesill.rollouts.orders import RolloutState
 from yokesill.verdict import Failure, Reason, Verdict
 
@@ -39,7 +39,7 @@
     sent: list[str] = []
     for node in range(NODES):
         harness = canary(share=SHARE)
-        request = harness.of(harness.arrive())[0].request
+        request = harness.attempts(harness.arrive())[0].request
         for number in range(REQUESTS_PER_NODE):
             name = f"{node}-{number}"
             harness.feed(ev.RequestArrived(replace(request, key=name, request_id=name)))
@@ -70,16 +70,16 @@
 def test_failed_canary_is_retried_at_the_old_version(canary_failure: Failure) -> None:
     harness = canary()
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], canary_failure)
+    harness.fail(harness.attempts(key)[0], canary_failure)
     assert harness.versions(key) == ["v2", "v1"]
-    harness.answer(harness.of(key)[1])
+    harness.answer(harness.attempts(key)[1])
     assert isinstance(harness.finals[key], ev.Gathered)
 
 
 def test_canary_with_an_error_status_is_retried_at_the_old_version() -> None:
     harness = canary()
     key = harness.arrive()
-    harness.answer(harness.of(key)[0], reply(status=500, signature=None))
+    harness.answer(harness.attempts(key)[0], reply(status=500, signature=None))
     assert harness.versions(key) == ["v2", "v1"]
 
 
@@ -96,7 +96,7 @@
     harness = canary(budget=BudgetLimits(ratio=0.0, allowance=3.0, window_s=10.0))
     keys = [harness.arrive() for _ in range(5)]
     for key in keys:
-        harness.fail(harness.of(key)[0])
+        harness.fail(harness.attempts(key)[0])
     assert sum(len(harness.versions(key)) - 1 for key in keys) == 2
 
 
@@ -124,7 +124,7 @@
     for coverage, expected in ((1.0, 1), (0.75, 1), (0.5, 2), (0.25, 3)):
         harness = canary(gather_route(coverage))
         key = harness.arrive()
-        assert (harness.versions(key).count("v2"), len(harness.of(key))) == (expected, len(SHARDS))
+        assert (harness.versions(key).count("v2"), len(harness.attempts(key))) == (expected, len(SHARDS))
 
 
 def test_every_service_of_a_wide_request_gets_canaries() -> None:
@@ -145,7 +145,7 @@
     harness = canary(UNREPEATABLE)
     key = harness.arrive("/one/x")
     harness.advance(2.0)
-    harness.fail(harness.of(key)[0])
+    harness.fail(harness.attempts(key)[0])
     assert harness.versions(key) == ["v2"]
     assert isinstance(harness.finals[key], ev.Refuse)
 
@@ -164,7 +164,7 @@
     harness.send_requests(requests=3)
     harness.receive_decisions(CANARY)
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], SHED)
+    harness.fail(harness.attempts(key)[0], SHED)
     first, second = harness.report(), harness.report()
     assert (first.sent_old, first.sent_new, first.state) == (4, 1, CANARY)
     assert (second.sent_old, second.sent_new, second.samples) == (4, 1, ())
@@ -178,8 +178,10 @@
     for status in (200, 500):
         key = harness.arrive()
         harness.advance(0.02)
-        harness.answer(harness.of(key)[0], reply(status=status, signature=b"s" if status == 200 else None))
-    old = harness.of(key)[1]
+        harness.answer(
+            harness.attempts(key)[0], reply(status=status, signature=b"s" if status == 200 else None)
+        )
+    old = harness.attempts(key)[1]
     harness.advance(0.03)
     harness.answer(old)
     good, bad, repeated = harness.report().samples
@@ -208,7 +210,7 @@
 ) -> None:
     harness = canary()
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], failure(reason))
+    harness.fail(harness.attempts(key)[0], failure(reason))
     assert len([each for each in harness.report().samples if each.new]) == samples
 
 
@@ -216,7 +218,7 @@
     harness = RolloutHarness(servers=(*servers_of("s1", "v1"), *cold_servers()))
     harness.receive_decisions(CANARY)
     key = harness.arrive()
-    harness.answer(harness.of(key)[0])
+    harness.answer(harness.attempts(key)[0])
     assert [each.latency_s for each in harness.report().samples] == [None]
 
 
@@ -224,9 +226,12 @@
     harness = RolloutHarness(single_route())
     for share in (0.0, 1.0):
         harness.receive_decisions(CANARY, share)
-        harness.send_requests("/one/x", requests=2 * MOST_NEW)
+        harness.send_requests("/one/x", requests=2 * MAX_NEW_SAMPLES)
     samples = harness.report().samples
-    assert [sum(each.new is new for each in samples) for new in (True, False)] == [MOST_NEW, MOST_OLD]
+    assert [sum(each.new is new for each in samples) for new in (True, False)] == [
+        MAX_NEW_SAMPLES,
+        MAX_OLD_SAMPLES,
+    ]
 
 
 def test_order_is_reported_until_its_record_is_final() -> None:
--- a/tests/gateway/test_rollout_random.py
+++ b/tests/gateway/test_rollout_random.py
@@ -57,7 +57,7 @@
         elif state is COMPLETED:
             assert version == "v2"
         elif self.harness.now - self.old_listed_at < REMOVED_GRACE_S:
-            first = self.harness.of(attempt.request.key)[0] is attempt
+            first = self.harness.attempts(attempt.request.key)[0] is attempt
             if state is ORDERED or (state is CANARY and not first):
                 assert version == "v1"
             if state is SWITCHING and {"desk-v2-1", "desk-v2-2"} <= self.listed:
--- a/tests/gateway/test_rollout_versions.py
+++ b/tests/gateway/test_rollout_versions.py
@@ -16,7 +16,7 @@
     order_for,
     servers_of,
 )
-from test_pacing import slowed
+from test_pacing import make_slow
 
 from yokesill.gateway import events as ev
 from yokesill.registry.snapshots import decode_snapshot, encode_snapshot
@@ -46,7 +46,7 @@
     harness = RolloutHarness(ordered=False)
     key = harness.arrive()
     for _ in range(2):
-        harness.fail(harness.of(key)[-1], SHED)
+        harness.fail(harness.attempts(key)[-1], SHED)
     assert harness.versions(key) == ["v1", "v1"]
 
 
@@ -54,9 +54,9 @@
     """Return a node at which requests are queued for the slow servers of the old version."""
     harness = RolloutHarness(ordered=ordered)
     harness.feed(ev.NodeCountUpdated(50))
-    slowed(harness, ("s1",))
-    keys = [harness.arrive(patience=6.0) for _ in range(8)]
-    queued = [key for key in keys if not harness.of(key)]
+    make_slow(harness, ("s1",))
+    keys = [harness.arrive(timeout_s=6.0) for _ in range(8)]
+    queued = [key for key in keys if not harness.attempts(key)]
     assert queued
     return harness, queued
 
@@ -98,7 +98,7 @@
     harness.feed(ev.ServerSuspected("s1-v1-1", 5.0))
     harness.feed(ev.ServerSuspected("s1-v1-2", 5.0))
     assert harness.send_requests(requests=3) == {"v1"}
-    assert [note.details["instance"] for note in harness.notes if note.name == "server_state"] == ["s1-v1-1"]
+    assert [note.details["instance"] for note in harness.logged if note.name == "server_state"] == ["s1-v1-1"]
 
 
 def test_last_server_of_the_new_version_is_not_suspected() -> None:
@@ -106,14 +106,14 @@
     harness.record_state(SWITCHING)
     for number in (1, 2):
         harness.feed(ev.ServerSuspected(f"s1-v2-{number}", 5.0))
-    assert [note.details["instance"] for note in harness.notes if note.name == "server_state"] == ["s1-v2-1"]
+    assert [note.details["instance"] for note in harness.logged if note.name == "server_state"] == ["s1-v2-1"]
 
 
 def test_request_possibly_sent_by_a_lost_coordinator_goes_to_the_old_version() -> None:
     harness = RolloutHarness()
     harness.receive_decisions(CANARY)
     key = harness.arrive()
-    resent = replace(harness.of(key)[0].request, key="again", possibly_sent=True)
+    resent = replace(harness.attempts(key)[0].request, key="again", possibly_sent=True)
     harness.feed(ev.RequestArrived(resent))
     assert (harness.versions(key), harness.versions("again")) == (["v2"], ["v1"])
 
@@ -236,7 +236,7 @@
     harness.feed(ev.ServerRemoved("s1-v2-2"))
     harness.advance(3.0)
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], SHED)
+    harness.fail(harness.attempts(key)[0], SHED)
     assert harness.versions(key) == ["v2"]
 
 
@@ -274,7 +274,9 @@
     harness.receive_decisions(SWITCHING)
     harness.record_state(SWITCHING)
     harness.feed(ev.RolloutWithdrawn("s1"))
-    logged = [(note.name, note.details["state"]) for note in harness.notes if note.name.startswith("rollout")]
+    logged = [
+        (note.name, note.details["state"]) for note in harness.logged if note.name.startswith("rollout")
+    ]
     assert logged == [
         ("rollout_learnt", ORDERED),
         ("rollout_obeyed", ORDERED),
@@ -293,7 +295,7 @@
     assert (harness.versions(early), harness.versions(late)) == (["v1"], ["v2"])
     report = harness.report()
     assert (report.state, report.old_in_flight, report.sent_old, report.sent_new) == (SWITCHING, 1, 1, 1)
-    harness.answer(harness.of(early)[0], reply())
+    harness.answer(harness.attempts(early)[0], reply())
     assert harness.report().old_in_flight == 0
 
 
--- a/tests/gateway/test_servers.py
+++ b/tests/gateway/test_servers.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 
 from harness import (
-    TERMS,
+    BUDGET,
     RouterHarness,
     configuration,
     failure,
@@ -25,12 +25,12 @@
 def send_request(harness: RouterHarness, latency: float = 0.02) -> str:
     """Send a request; its first server answers after ``latency``, others at once. Return the first."""
     key = harness.arrive()
-    attempt = harness.of(key)[0]
+    attempt = harness.attempts(key)[0]
     answered = 1
     end = harness.now + latency
     while harness.now < end:
         harness.advance(min(0.005, end - harness.now))
-        for each in harness.of(key)[answered:]:
+        for each in harness.attempts(key)[answered:]:
             harness.answer(each)
             answered += 1
     harness.answer(attempt)
@@ -47,7 +47,7 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     keys = [harness.arrive() for _ in range(4)]
-    zones = [harness.of(key)[0].server.zone for key in keys]
+    zones = [harness.attempts(key)[0].server.zone for key in keys]
     assert zones.count("z2") >= 1
 
 
@@ -56,18 +56,18 @@
     harness.warm_up()
     key = harness.arrive()
     busy = ServerReply(200, (), b"", b"sig", Load(2, 6, 2))
-    harness.answer(harness.of(key)[0], busy)
-    assert harness.of(harness.arrive())[0].server.zone == "z2"
+    harness.answer(harness.attempts(key)[0], busy)
+    assert harness.attempts(harness.arrive())[0].server.zone == "z2"
     harness.advance(1.0)
-    assert harness.of(harness.arrive())[0].server.zone == "z1"
+    assert harness.attempts(harness.arrive())[0].server.zone == "z1"
 
 
 def test_load_report_that_only_includes_its_own_request_changes_nothing() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
-    harness.answer(harness.of(key)[0], ServerReply(200, (), b"", b"sig", Load(2, 0, 2)))
-    assert harness.of(harness.arrive())[0].server.zone == "z1"
+    harness.answer(harness.attempts(key)[0], ServerReply(200, (), b"", b"sig", Load(2, 0, 2)))
+    assert harness.attempts(harness.arrive())[0].server.zone == "z1"
 
 
 def test_connecting_cost_common_to_all_zones_does_not_count_as_distance() -> None:
@@ -75,12 +75,12 @@
     harness.warm_up()
     for seconds in (0.0062, 0.030, 0.0064):
         key = harness.arrive()
-        assert harness.of(key)[0].server.zone == "z1"
-        harness.answer(harness.of(key)[0], connected_in=seconds)
+        assert harness.attempts(key)[0].server.zone == "z1"
+        harness.answer(harness.attempts(key)[0], connected_in=seconds)
         harness.advance(0.05)
     harness.feed(ev.ServerListed(server("s1-z1", "s1", leaving=True)))
     key = harness.arrive()
-    harness.answer(harness.of(key)[0], connected_in=0.0078)
+    harness.answer(harness.attempts(key)[0], connected_in=0.0078)
     harness.feed(ev.ServerListed(server("s1-z1b", "s1", "z1")))
     assert send_request(harness) == "s1-z1b"
     distances = harness.router.servers.distances
@@ -94,7 +94,7 @@
     assert send_request(harness, 0.15) == "s1-z1"
     assert send_request(harness, 0.15) == "s1-z1"
     assert send_request(harness) == "s1-z2"
-    assert any(note.details.get("state") == "ejected" for note in harness.notes)
+    assert any(note.details.get("state") == "ejected" for note in harness.logged)
 
 
 def test_one_pause_does_not_divert_requests_once_it_is_over() -> None:
@@ -117,19 +117,19 @@
 def test_server_with_a_stalled_attempt_gets_no_first_attempts() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
-    stalled = harness.of(harness.arrive())[0]
+    stalled = harness.attempts(harness.arrive())[0]
     harness.advance(0.06)
-    assert harness.of(harness.arrive())[0].server.instance != stalled.server.instance
+    assert harness.attempts(harness.arrive())[0].server.instance != stalled.server.instance
 
 
 def test_server_that_lost_one_answer_is_not_treated_as_stalled() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
-    lost, *later = [harness.of(harness.arrive())[0] for _ in range(3)]
+    lost, *later = [harness.attempts(harness.arrive())[0] for _ in range(3)]
     same = [each for each in later if each.server.instance == lost.server.instance]
     if not same:
         harness.advance(0.001)
-        same = [harness.of(harness.arrive())[0]]
+        same = [harness.attempts(harness.arrive())[0]]
     harness.advance(0.02)
     for each in later + same:
         harness.answer(each)
@@ -142,14 +142,14 @@
     harness = RouterHarness(gather_route())
     for _ in range(3):
         key = harness.arrive()
-        for attempt in harness.of(key):
+        for attempt in harness.attempts(key):
             if attempt.server.service != "s1":
                 harness.answer(attempt)
         harness.advance(1.6)
-        for attempt in harness.of(key):
+        for attempt in harness.attempts(key):
             harness.fail(attempt, failure(Reason.TIMED_OUT))
     key = harness.arrive()
-    rest = harness.of(key)
+    rest = harness.attempts(key)
     assert {each.server.service for each in rest} == {"s2", "s3", "s4"}
     for attempt in rest:
         harness.answer(attempt)
@@ -160,8 +160,8 @@
     harness = RouterHarness(single_route(), servers=(server("a", "desk"),))
     for _ in range(3):
         key = harness.arrive("/one/x", 6.0)
-        harness.fail(harness.of(key)[0])
-    assert len(harness.of(harness.arrive("/one/x", 6.0))) == 1
+        harness.fail(harness.attempts(key)[0])
+    assert len(harness.attempts(harness.arrive("/one/x", 6.0))) == 1
 
 
 def test_leaving_server_gets_no_new_requests() -> None:
@@ -170,8 +170,8 @@
     harness.advance(60.0)
     assert {send_request(harness) for _ in range(10)} == {"s1-z2"}
     key = harness.arrive()
-    harness.fail(harness.of(key)[0])
-    assert {each.server.instance for each in harness.of(key)} == {"s1-z2"}
+    harness.fail(harness.attempts(key)[0])
+    assert {each.server.instance for each in harness.attempts(key)} == {"s1-z2"}
 
 
 def test_server_whose_entry_vanished_is_a_last_resort_during_the_grace_period() -> None:
@@ -181,7 +181,7 @@
     harness.feed(ev.ServerRemoved("s1-z2"))
     assert send_request(harness) in {"s1-z1", "s1-z2"}
     harness.advance(2.0)
-    assert harness.of(harness.arrive()) == []
+    assert harness.attempts(harness.arrive()) == []
     harness.feed(ev.ServerListed(server("s1-z1", "s1")))
     assert send_request(harness) == "s1-z1"
 
@@ -195,9 +195,9 @@
 def test_server_that_is_no_longer_at_its_address_gets_no_more_requests() -> None:
     harness = RouterHarness(ONE_SHARD)
     key = harness.arrive()
-    first = harness.of(key)[0]
+    first = harness.attempts(key)[0]
     harness.fail(first, failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN))
-    again = harness.of(key)[1]
+    again = harness.attempts(key)[1]
     assert again.server.instance != first.server.instance
     harness.answer(again)
     assert {send_request(harness) for _ in range(5)} == {again.server.instance}
@@ -206,9 +206,9 @@
 def test_server_that_rejects_a_request_is_avoided_briefly_but_not_ejected() -> None:
     harness = RouterHarness(ONE_SHARD)
     key = harness.arrive()
-    harness.fail(harness.of(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
-    harness.answer(harness.of(key)[1])
-    again = harness.of(harness.arrive())[0]
+    harness.fail(harness.attempts(key)[0], failure(Reason.SHED, Verdict.NOT_RUN))
+    harness.answer(harness.attempts(key)[1])
+    again = harness.attempts(harness.arrive())[0]
     assert again.server.instance == "s1-z2"
     harness.answer(again)
     harness.advance(0.2)
@@ -217,29 +217,29 @@
 
 def test_connection_limit_is_divided_among_the_nodes() -> None:
     harness = RouterHarness(ONE_SHARD, nodes=8)
-    first = harness.of(harness.arrive())[0]
+    first = harness.attempts(harness.arrive())[0]
     assert first.connection_limit == 1
     harness.answer(first)
     harness.warm_up(requests=40)
-    limit = harness.of(harness.arrive())[0].connection_limit
+    limit = harness.attempts(harness.arrive())[0].connection_limit
     assert 8 * limit <= 100 < 8 * (limit + 3)
 
 
 def test_server_error_diverts_the_next_request_to_another_server() -> None:
     harness = RouterHarness(single_route())
     key = harness.arrive("/one/x", 6.0)
-    first = harness.of(key)[0]
+    first = harness.attempts(key)[0]
     harness.answer(first, reply(status=500))
-    harness.answer(harness.of(key)[1])
-    assert harness.of(harness.arrive("/one/x", 6.0))[0].server.instance != first.server.instance
+    harness.answer(harness.attempts(key)[1])
+    assert harness.attempts(harness.arrive("/one/x", 6.0))[0].server.instance != first.server.instance
 
 
 def test_server_with_all_connections_in_use_is_not_selected_first() -> None:
     harness = RouterHarness(ONE_SHARD, nodes=90)
     harness.warm_up()
-    first = harness.of(harness.arrive())[0]
+    first = harness.attempts(harness.arrive())[0]
     assert first.connection_limit == 1
-    assert harness.of(harness.arrive())[0].server.instance != first.server.instance
+    assert harness.attempts(harness.arrive())[0].server.instance != first.server.instance
 
 
 def test_server_removed_long_ago_is_dropped_with_its_state() -> None:
@@ -256,7 +256,7 @@
 
 def test_removed_server_with_an_attempt_in_flight_is_kept() -> None:
     harness = RouterHarness(ONE_SHARD)
-    attempt = harness.of(harness.arrive())[0]
+    attempt = harness.attempts(harness.arrive())[0]
     harness.feed(ev.ServerRemoved(attempt.server.instance))
     harness.advance(60.0)
     harness.feed(ev.ServerRemoved("nobody"))
@@ -277,13 +277,13 @@
 def test_short_caller_timeout_does_not_eject_healthy_servers() -> None:
     harness = RouterHarness(gather_route())
     harness.warm_up()
-    key = harness.arrive(patience=0.040)
+    key = harness.arrive(timeout_s=0.040)
     harness.advance(0.026)
-    for attempt in harness.of(key):
+    for attempt in harness.attempts(key):
         harness.fail(attempt, failure(Reason.TIMED_OUT))
-    assert not any(note.details.get("state") == "ejected" for note in harness.notes)
+    assert not any(note.details.get("state") == "ejected" for note in harness.logged)
     after = harness.arrive()
-    assert len(harness.of(after)) == 4
+    assert len(harness.attempts(after)) == 4
 
 
 def test_timeout_after_a_long_silence_ejects_the_server() -> None:
@@ -291,8 +291,8 @@
     harness.warm_up()
     key = harness.arrive()
     harness.advance(0.3)
-    harness.fail(harness.of(key)[0], failure(Reason.TIMED_OUT))
-    assert any(note.details.get("state") == "ejected" for note in harness.notes)
+    harness.fail(harness.attempts(key)[0], failure(Reason.TIMED_OUT))
+    assert any(note.details.get("state") == "ejected" for note in harness.logged)
 
 
 def reported_servers(harness: RouterHarness) -> list[str]:
@@ -320,7 +320,7 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     keys = [harness.arrive() for _ in range(3)]
-    attempts = [each for key in keys for each in harness.of(key) if each.server.instance == "s1-z1"]
+    attempts = [each for key in keys for each in harness.attempts(key) if each.server.instance == "s1-z1"]
     harness.advance(0.12)
     for attempt in attempts:
         harness.answer(attempt)
@@ -331,9 +331,9 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
-    first = harness.of(key)[0]
+    first = harness.attempts(key)[0]
     harness.advance(0.05)
-    for hedge in harness.of(key)[1:]:
+    for hedge in harness.attempts(key)[1:]:
         harness.answer(hedge)
     harness.advance(0.25)
     harness.arrive("/none")
@@ -350,7 +350,7 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     harness.router._context.lateness_s = 0.05
-    attempt = harness.of(harness.arrive())[0]
+    attempt = harness.attempts(harness.arrive())[0]
     harness.advance(0.055)
     harness.answer(attempt)
     assert reported_servers(harness) == []
@@ -359,7 +359,7 @@
 def test_report_of_a_late_answer_includes_the_number_of_good_answers() -> None:
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up(requests=30)
-    attempt = harness.of(harness.arrive())[0]
+    attempt = harness.attempts(harness.arrive())[0]
     harness.advance(0.12)
     harness.answer(attempt)
     assert [each.good_answers >= 3 for each in harness.observed] == [True]
@@ -370,11 +370,11 @@
     harness.warm_up()
     harness.feed(ev.ServerSuspected("s1-z1", 1.0))
     harness.advance(1.0)
-    first, second = (harness.of(harness.arrive())[0] for _ in range(2))
+    first, second = (harness.attempts(harness.arrive())[0] for _ in range(2))
     assert (first.server.instance, second.server.instance) == ("s1-z1", "s1-z2")
     harness.advance(0.01)
     harness.answer(first)
-    again = [harness.of(harness.arrive())[0].server.instance for _ in range(2)]
+    again = [harness.attempts(harness.arrive())[0].server.instance for _ in range(2)]
     assert again == ["s1-z1", "s1-z1"]
 
 
@@ -384,14 +384,14 @@
     records = tuple(server(f"srv-{number}", "s1") for number in range(servers))
     node_counts: dict[str, int] = dict.fromkeys((each.instance for each in records), 0)
     for number in range(nodes):
-        options = GatewayOptions(zone="z1", node=f"node-{number}", budget=TERMS)
+        options = GatewayOptions(zone="z1", node=f"node-{number}", budget=BUDGET)
         harness = RouterHarness(route, servers=records, options=options, nodes=nodes)
         harness.feed(ev.ConfigurationReceived(configuration(2, route, connections=connections)))
         used = set()
         for _ in range(20):
             key = harness.arrive()
-            used |= {each.server.instance for each in harness.of(key)}
-            for attempt in harness.of(key):
+            used |= {each.server.instance for each in harness.attempts(key)}
+            for attempt in harness.attempts(key):
                 harness.answer(attempt)
         for instance in used:
             node_counts[instance] += 1
@@ -412,10 +412,12 @@
     harness = RouterHarness(ONE_SHARD)
     harness.warm_up()
     key = harness.arrive()
-    harness.answer(harness.of(key)[0], ServerReply(200, (), b"", b"sig", Load(1, 0, 2, work_percent=400)))
-    assert harness.of(harness.arrive())[0].server.zone == "z2"
+    harness.answer(
+        harness.attempts(key)[0], ServerReply(200, (), b"", b"sig", Load(1, 0, 2, work_percent=400))
+    )
+    assert harness.attempts(harness.arrive())[0].server.zone == "z2"
     harness.advance(1.0)
-    assert harness.of(harness.arrive())[0].server.zone == "z1"
+    assert harness.attempts(harness.arrive())[0].server.zone == "z1"
 
 
 def test_older_entries_of_a_restored_registry_do_not_revive_removed_or_leaving_servers() -> None:
@@ -452,7 +454,7 @@
     crashed = server("s1-z1", "s1")
     harness.feed(ev.ServerListed(replace(crashed, instance="s1-new")))
     assert {send_request(harness) for _ in range(20)} == {"s1-new"}
-    logged = [each.details for each in harness.notes if each.name == "server_entry"]
+    logged = [each.details for each in harness.logged if each.name == "server_entry"]
     assert {"instance": "s1-z1", "change": "replaced"} in logged
 
 
@@ -508,10 +510,10 @@
     harness.feed(ev.ServersReplaced((current,)))
     harness.feed(ev.ServerListed(replace(current, instance="s1-nobody")))
     key = harness.arrive()
-    (first,) = harness.of(key)
+    (first,) = harness.attempts(key)
     harness.fail(first, failure(Reason.BACKEND_LEAVING, Verdict.NOT_RUN))
-    assert [each.server.instance for each in harness.of(key)] == ["s1-nobody", "s1-z1"]
-    harness.answer(harness.of(key)[1])
+    assert [each.server.instance for each in harness.attempts(key)] == ["s1-nobody", "s1-z1"]
+    harness.answer(harness.attempts(key)[1])
     assert {send_request(harness) for _ in range(20)} == {"s1-z1"}
 
 
@@ -519,4 +521,4 @@
     harness = RouterHarness(gather_route(services=("s1", "s2")))
     first = server("one", "s1")
     harness.feed(ev.ServersReplaced((first, replace(first, instance="two", service="s2"))))
-    assert {each.server.instance for each in harness.of(harness.arrive())} == {"one", "two"}
+    assert {each.server.instance for each in harness.attempts(harness.arrive())} == {"one", "two"}
--- a/tests/gateway/test_sharing.py
+++ b/tests/gateway/test_sharing.py
@@ -3,10 +3,10 @@
 import pytest
 from harness import configuration, gather_route, single_route
 
-from yokesill.gateway.forwarding import LEAST_SERVICES
+from yokesill.gateway.forwarding import MIN_WIDE_SERVICES
 from yokesill.gateway.limits.node_shares import NodeShares
 
-WIDE = gather_route(services=tuple(f"s{number}" for number in range(LEAST_SERVICES)))
+WIDE = gather_route(services=tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES)))
 NODE_NAMES = [f"n{number}" for number in range(90)]
 
 
--- a/tests/gateway/test_splits.py
+++ b/tests/gateway/test_splits.py
@@ -56,7 +56,7 @@
         services = []
         for harness in harnesses:
             route = single_route(split=split_of(weights))
-            harness.feed(ev.ConfigurationLearnt(configuration(version, route)))
+            harness.feed(ev.ConfigurationReceived(configuration(version, route)))
             services += [harness.attempts(harness.arrive("/one/x"))[0].server.service for _ in range(3)]
         assert abs(services.count("s0") / len(services) - weights[0] / sum(weights)) <= MAX_DEVIATION
 
--- a/tests/serving/crash_fleet.py
+++ b/tests/serving/crash_fleet.py
@@ -241,10 +241,10 @@
         node = CrashNode(self, name)
         self.nodes = [each for each in self.nodes if each.name != name] + [node]
         self.tasks.start_soon(node.run)
-        self.publish(ev.NodesCounted(len(self.nodes)))
+        self.publish(ev.NodeCountUpdated(len(self.nodes)))
         for each in self.nodes:
             each.exchange.set_peers(other.peer for other in self.nodes)
-        node.learn(ev.ConfigurationLearnt(configuration(1, *self.routes)))
+        node.learn(ev.ConfigurationReceived(configuration(1, *self.routes)))
         node.learn(ev.ServersReplaced(self.servers.records()))
         if not self.registry.down:
             node.learn(ev.QuarantineReplaced(self.registry.recorded))
--- a/tests/serving/fleet_of_nodes.py
+++ b/tests/serving/fleet_of_nodes.py
@@ -12,7 +12,7 @@
 
 import anyio
 from conftest import run_virtual
-from harness import HOST, TERMS, configuration, single_route
+from harness import BUDGET, HOST, configuration, single_route
 
 from yokesill.gateway import events as ev
 from yokesill.gateway.documents import Route, ServerRecord
@@ -149,7 +149,7 @@
         self.fleet = fleet
         self.cut = self.dead = False
         now = anyio.current_time()
-        options = GatewayOptions("z1", self.name, budget=TERMS, rollouts=ROLLOUT_LIMITS)
+        options = GatewayOptions("z1", self.name, budget=BUDGET, rollouts=ROLLOUT_LIMITS)
         source = random.Random(1000 + number)
         self.router = GatewayRouter(options, source, now - 100.0)
         self.driver = GatewayDriver(self.router, ModelClient(fleet, self.name), lambda _note: None)
@@ -207,8 +207,8 @@
     def initialise(self, node: FleetNode) -> None:
         """Give a node everything that it needs to serve."""
         node.link.set_nodes(each.contact for each in self.nodes)
-        node.apply_event(ev.NodesCounted(len(self.nodes)))
-        node.apply_event(ev.ConfigurationLearnt(configuration(1, *self.routes)))
+        node.apply_event(ev.NodeCountUpdated(len(self.nodes)))
+        node.apply_event(ev.ConfigurationReceived(configuration(1, *self.routes)))
         node.apply_event(ev.RolloutsReplaced(()))
         node.apply_event(ev.ServersReplaced(tuple(self.servers(OLD))))
 
--- a/tests/serving/test_quarantine_link.py
+++ b/tests/serving/test_quarantine_link.py
@@ -15,7 +15,7 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "down")
-FOUND = ev.RequestJudged("00ff", QuarantineStatus.QUARANTINED)
+FOUND = ev.QuarantineStatusDecided("00ff", QuarantineStatus.QUARANTINED)
 
 
 class Records(QuarantineRecords):
@@ -37,7 +37,9 @@
         return DOWN if self.refused >= 0 else None
 
 
-def run_link(records: Records, finding: ev.RequestJudged, for_s: float, recorded: frozenset[str]) -> None:
+def run_link(
+    records: Records, finding: ev.QuarantineStatusDecided, for_s: float, recorded: frozenset[str]
+) -> None:
     """Run a link for ``for_s`` seconds after a finding, with some fingerprints already recorded."""
 
     async def main() -> None:
--- a/tests/watchers/test_group.py
+++ b/tests/watchers/test_group.py
@@ -64,7 +64,7 @@
             now = SETTLED + 10 + tick * 0.02
             if tick == 0:
                 for watcher in order[:2]:
-                    member.received(watcher, True, True, now)
+                    member.record_report(watcher, True, True, now)
             if watch_role(member, now) is WatchRole.WATCHING:
                 taken_over[name] = now
                 break
@@ -78,7 +78,7 @@
     third = group(order[2])
     assert watch_role(third, SETTLED + 10) is WatchRole.WATCHING
     for watcher in order[:2]:
-        third.received(watcher, True, True, SETTLED + 10)
+        third.record_report(watcher, True, True, SETTLED + 10)
     assert watch_role(third, SETTLED + 10.1) is WatchRole.FOLLOWING
 
 
@@ -87,15 +87,15 @@
     last = group(order[-1])
     for tenth in range(30):
         now = SETTLED + 10 + tenth / 10
-        last.received(order[0], False, True, now)
-        last.received(order[1], True, False, now)
+        last.record_report(order[0], False, True, now)
+        last.record_report(order[1], True, False, now)
     assert watch_role(last, now) is not WatchRole.FOLLOWING
 
 
 def test_a_node_without_reports_asks_for_itself_well_within_the_bound() -> None:
     last = group(ranked()[-1])
-    last.received(ranked()[0], True, True, SETTLED + 10)
-    last.received(ranked()[1], True, True, SETTLED + 10)
+    last.record_report(ranked()[0], True, True, SETTLED + 10)
+    last.record_report(ranked()[1], True, True, SETTLED + 10)
     assert watch_role(last, SETTLED + 10 + 0.9 * TERMS.report_timeout_s) is WatchRole.FOLLOWING
     assert watch_role(last, SETTLED + 10 + 1.3 * TERMS.report_timeout_s) is not WatchRole.FOLLOWING
     assert TERMS.age_limit_s + 1.25 * TERMS.report_timeout_s < 0.85 * 3.0
