--- a/src/yokesill/gateway/requests/deadlines.py
+++ b/src/yokesill/gateway/requests/deadlines.py
@@ -5,9 +5,9 @@
   sufficient coverage is given. It is the route's latency objective minus the time that the caller spent on
   an earlier try of the same request.
 
-A margin is subtracted for the part of the caller's latency that this node cannot measure: connecting and the
-network round trip (``fresh_margin_s`` and ``reused_margin_s`` of the options), and the lateness of this node's
-own timers. The route's own timeout is used without a margin.
+A margin is subtracted for the part of the caller's latency that this node cannot measure: connecting and
+the network round trip (``fresh_margin_s`` and ``reused_margin_s`` of the options), and the lateness of this
+node's own timers. The route's own timeout is used without a margin.
 """
 
 from typing import NamedTuple
