--- a/src/yokesill/cli/demo.py
+++ b/src/yokesill/cli/demo.py
@@ -78,7 +78,7 @@
         self.described = self.described.model_copy(update=newer)
         for number, node in enumerate(self._nodes):
             node.reload(_node(self.described, number))
-        await anyio.sleep(self._nodes[0].process.settings.gathering_time_s + READY_POLL_S)
+        await anyio.sleep(self._nodes[0].process.settings.coalescing_delay_s + READY_POLL_S)
 
     async def ask(self, path: str, method: str = "GET") -> Asked:
         """Send a request to the nodes in turn."""
--- a/src/yokesill/registry/following.py
+++ b/src/yokesill/registry/following.py
@@ -88,7 +88,7 @@
         self._followers: dict[str, FeedFollower] = {}
         availability = RegistryAvailability()
         for name, (feed, apply_event) in feeds.items():
-            gathering_s = settings.gathering_time_s if name == SERVERS else OPERATOR_COALESCE_S
+            gathering_s = settings.coalescing_delay_s if name == SERVERS else OPERATOR_COALESCE_S
             self._followers[name] = FeedFollower(
                 feed,
                 apply_event,
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -23,7 +23,7 @@
 from yokesill.serving.driver import GatewayDriver
 from yokesill.serving.feed_updates import FeedUpdates
 from yokesill.serving.findings import Findings
-from yokesill.serving.gauges import GaugeSources, render_figures
+from yokesill.serving.gauges import GaugeSources, render_metrics
 from yokesill.serving.life_cycle import LifeCycle
 from yokesill.serving.peer_application import PeerApplication
 from yokesill.serving.peer_changes import PeerChanges
@@ -49,7 +49,7 @@
     """What one node consists of; nothing runs yet."""
 
     life_cycle: LifeCycle
-    figures: GatewayMetrics
+    metrics: GatewayMetrics
     router: GatewayRouter
     supervisor: Supervisor
     driver: GatewayDriver
@@ -107,7 +107,7 @@
     side = _create_side_services(core, registry, callers, exchanges, life_cycle, output)
     return NodeComponents(
         life_cycle=life_cycle,
-        figures=core.figures,
+        metrics=core.metrics,
         router=core.router,
         supervisor=core.supervisor,
         driver=core.driver,
@@ -168,12 +168,12 @@
 
     def partition_changed(partitioned: bool) -> None:
         application.partitioned = partitioned
-        life_cycle.enter("cut_off" if partitioned else "reached")
+        life_cycle.apply_event("cut_off" if partitioned else "reached")
 
     return Reachability(
         core.settings.zone,
         core.router,
-        lambda: driver.answered_at_s,
+        lambda: driver.last_remote_answer_s,
         connect_tcp,
         partition_changed,
         core.source,
@@ -209,7 +209,7 @@
     probes = ProbeApplication(
         core.dependencies.ready_path,
         life_cycle.is_ready,
-        partial(render_figures, core.figures, sources),
+        partial(render_metrics, core.metrics, sources),
         partial(snapshot_of, router),
         following.state,
         rollouts.view if rollouts is not None else lambda: None,
--- a/src/yokesill/serving/datagrams.py
+++ b/src/yokesill/serving/datagrams.py
@@ -101,7 +101,7 @@
             _log.info("datagram_lost", address=address, problem=repr(error))
 
 
-class DatagramPart(Protocol):
+class DatagramLink(Protocol):
     """One of several parts of a node that share a socket; each has its own kinds of datagrams."""
 
     @property
@@ -123,7 +123,7 @@
         """Return what is to be sent now."""
 
 
-class SharedDatagrams:
+class SharedDatagramSocket:
     """Sends and receives the datagrams of several parts over one socket.
 
     Parameters
@@ -134,12 +134,12 @@
 
     def __init__(self, datagrams: DatagramSocket) -> None:
         self._datagrams = datagrams
-        self._parts: list[DatagramPart] = []
-        self._by_kind: dict[int, DatagramPart] = {}
+        self._parts: list[DatagramLink] = []
+        self._by_kind: dict[int, DatagramLink] = {}
         self._wanted = anyio.Event()
         self._alone = False
 
-    def add(self, part: DatagramPart) -> None:
+    def add(self, part: DatagramLink) -> None:
         """Add a part; it calls ``wake`` when it has something to send."""
         self._parts.append(part)
         self._by_kind.update(dict.fromkeys(part.kinds, part))
--- a/src/yokesill/serving/driver.py
+++ b/src/yokesill/serving/driver.py
@@ -41,10 +41,10 @@
 class GatewayDriver:
     """Runs requests to their final answer; the only caller of ``GatewayRouter.on_event``.
 
-    ``log_event`` is called with each decision that is worth a log line. ``Findings`` sets the callbacks:
-    ``observed`` for servers that other nodes should know of, ``crashed`` for losses and answers under
-    suspected requests, ``forgotten`` for servers that are long gone. ``answered_at_s`` is when a server of
-    another zone last answered, in seconds of the node's clock.
+    ``log_event`` is called with each decision that is logged. ``Findings`` sets the callbacks:
+    ``on_server_observed`` gets servers that other nodes should know of, ``on_crash_finding`` gets losses and
+    answers of suspected requests, ``on_server_forgotten`` gets servers that were removed some time ago.
+    ``last_remote_answer_s`` is when a server of another zone last answered, in seconds of the node's clock.
     """
 
     def __init__(
@@ -61,11 +61,11 @@
         self._timers: Timers[ev.TimerFired] = Timers(self.feed, supervisor)
         self._waiting: dict[str, anyio.Event] = {}
         self._finals: dict[str, ev.FinalAnswer] = {}
-        self.observed: Callable[[ev.ServerObserved], None] = lambda _seen: None
-        self.crashed: Callable[[CrashFinding], None] = lambda _finding: None
-        self.forgotten: Callable[[str], None] = lambda _instance: None
+        self.on_server_observed: Callable[[ev.ServerObserved], None] = lambda _seen: None
+        self.on_crash_finding: Callable[[CrashFinding], None] = lambda _finding: None
+        self.on_server_forgotten: Callable[[str], None] = lambda _instance: None
         self._clock: Clock = anyio.current_time
-        self.answered_at_s = float("-inf")
+        self.last_remote_answer_s = float("-inf")
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled; started once requests may come."""
@@ -97,7 +97,7 @@
 
     def _far_ended(self, event: ev.AttemptAnswered | ev.AttemptFailed) -> None:
         if isinstance(event, ev.AttemptAnswered):
-            self.answered_at_s = self._clock()
+            self.last_remote_answer_s = self._clock()
         self.feed(event)
 
     def _act(self, action: ev.Action) -> None:
@@ -113,11 +113,11 @@
                 self._log_event(action)
             case ev.ForgetServer(instance):
                 self._client.forget(instance)
-                self.forgotten(instance)
+                self.on_server_forgotten(instance)
             case ev.ServerObserved():
-                self.observed(action)
+                self.on_server_observed(action)
             case ev.LossObserved() | ev.AnswerObserved() | ev.QuarantineStatusDecided():
-                self.crashed(action)
+                self.on_crash_finding(action)
             case ev.PassOn(key) | ev.Gathered(key) | ev.Refuse(key):
                 self._finish(key, action)
 
--- a/src/yokesill/serving/findings.py
+++ b/src/yokesill/serving/findings.py
@@ -12,7 +12,7 @@
 from yokesill.peers.dissemination import Peer
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.registry.feeds import NodeContact, QuarantineRecords
-from yokesill.serving.datagrams import DatagramSocket, SharedDatagrams
+from yokesill.serving.datagrams import DatagramSocket, SharedDatagramSocket
 from yokesill.serving.driver import GatewayDriver
 from yokesill.serving.outlier_link import OutlierLink
 from yokesill.serving.quarantine_link import QuarantineLink
@@ -48,7 +48,7 @@
         self._driver = driver
         self._outliers = OutlierExchange(peer, source)
         self._requests = QuarantineExchange(peer, source)
-        self._datagrams = SharedDatagrams(DatagramSocket(address, get_logger("outliers")))
+        self._datagrams = SharedDatagramSocket(DatagramSocket(address, get_logger("outliers")))
         wake = self._datagrams.wake
         outliers = OutlierLink(self._outliers, self._suspect, wake)
         self._quarantine = QuarantineLink(
@@ -56,9 +56,9 @@
         )
         self._datagrams.add(outliers)
         self._datagrams.add(self._quarantine)
-        driver.observed = outliers.observe
-        driver.forgotten = self._outliers.forget
-        driver.crashed = self._quarantine.on_finding
+        driver.on_server_observed = outliers.observe
+        driver.on_server_forgotten = self._outliers.forget
+        driver.on_crash_finding = self._quarantine.on_finding
 
     async def run(self) -> None:
         """Send and receive until cancelled."""
--- a/src/yokesill/serving/gauges.py
+++ b/src/yokesill/serving/gauges.py
@@ -28,7 +28,7 @@
     following: RegistryFollowing
 
 
-def render_figures(figures: GatewayMetrics, sources: GaugeSources) -> bytes:
+def render_metrics(figures: GatewayMetrics, sources: GaugeSources) -> bytes:
     """Set the gauges and return all figures in the text format."""
     life_cycle, router, coordinator, client, output, following = sources
     gauge = figures.gauge
--- a/src/yokesill/serving/life_cycle.py
+++ b/src/yokesill/serving/life_cycle.py
@@ -18,7 +18,7 @@
         self._log = log
         self._table = transition_table("gateway")
 
-    def enter(self, event: str, **details: object) -> str:
+    def apply_event(self, event: str, **details: object) -> str:
         """Apply an event and return the state after it; ``details`` go into the log line of a change."""
         before = self.state
         self.state = self._table.get((before, event), before)
--- a/src/yokesill/serving/object_fields.py
+++ b/src/yokesill/serving/object_fields.py
@@ -14,7 +14,7 @@
     """An object lacks a field or has one of a wrong kind."""
 
 
-def take(fields: Any, name: str, read: Callable[[Any], Value], place: str) -> Value:
+def read_field(fields: Any, name: str, read: Callable[[Any], Value], place: str) -> Value:
     """Return a table's field as ``read`` makes it; ``place`` is where the table stands."""
     if not isinstance(fields, dict):
         raise ObjectError(f"{place}: a table is needed")
@@ -26,48 +26,48 @@
         raise ObjectError(f"{place}.{name}: {error}") from error
 
 
-def text(value: Any) -> str:
+def parse_text(value: Any) -> str:
     """Return a text."""
     if not isinstance(value, str):
         raise ObjectError("a text is needed")
     return value
 
 
-def version(value: Any) -> str:
+def parse_version(value: Any) -> str:
     """Return the name of a version, which may be a whole number."""
-    return str(value) if type(value) is int else text(value)
+    return str(value) if type(value) is int else parse_text(value)
 
 
-def name(value: Any) -> str:
+def parse_name(value: Any) -> str:
     """Return a name that stands in many objects; equal ones are one text in memory."""
-    return sys.intern(text(value))
+    return sys.intern(parse_text(value))
 
 
-def number(value: Any) -> float:
+def parse_number(value: Any) -> float:
     """Return a number as a float."""
     if isinstance(value, bool) or not isinstance(value, int | float):
         raise ObjectError("a number is needed")
     return float(value)
 
 
-def whole(value: Any) -> int:
+def parse_integer(value: Any) -> int:
     """Return a number without its fraction."""
-    return int(number(value))
+    return int(parse_number(value))
 
 
-def seconds(value: Any) -> float:
+def parse_milliseconds(value: Any) -> float:
     """Return milliseconds as seconds."""
-    return number(value) / 1000
+    return parse_number(value) / 1000
 
 
-def table(value: Any) -> dict[str, Any]:
+def parse_table(value: Any) -> dict[str, Any]:
     """Return a table."""
     if not isinstance(value, dict):
         raise ObjectError("a table is needed")
     return value
 
 
-def items(value: Any) -> list[Any]:
+def parse_list(value: Any) -> list[Any]:
     """Return a list."""
     if not isinstance(value, list):
         raise ObjectError("a list is needed")
--- a/src/yokesill/serving/probes.py
+++ b/src/yokesill/serving/probes.py
@@ -31,14 +31,14 @@
         self,
         ready_path: str,
         ready: Callable[[], bool],
-        render_figures: Callable[[], bytes],
+        render_metrics: Callable[[], bytes],
         snapshot: Callable[[], bytes | None],
         state: Callable[[str], bytes | None] = lambda _feed: None,
         rollouts: Callable[[], Mapping[str, object] | None] = lambda: None,
     ) -> None:
         self._ready_path = ready_path
         self._ready = ready
-        self._render_figures = render_figures
+        self._render_figures = render_metrics
         self._snapshot = snapshot
         self._state = state
         self._rollouts = rollouts
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -111,23 +111,23 @@
         while not self.node.updates.synchronised():
             await anyio.sleep(POLL_INTERVAL_S)
         self.node.application.synchronised.set()
-        self.life_cycle.enter("learnt")
+        self.life_cycle.apply_event("learnt")
         gc_tuning.freeze()
 
     async def _drain(self) -> None:
         """Report not ready, serve requests that still arrive, then finish those in flight."""
         node = self.node
         node.application.stopping = True
-        if self.life_cycle.enter("stop") == "withdrawing":
+        if self.life_cycle.apply_event("stop") == "withdrawing":
             await anyio.sleep(self.settings.withdraw_time_s)
-            self.life_cycle.enter("withdrawn")
+            self.life_cycle.apply_event("withdrawn")
         await node.listener.close_listener()
         with anyio.move_on_after(self.settings.drain_time_s) as bound:
             node.listener.close_idle_connections()
             while self._in_flight or node.listener.server_state.connections:
                 await anyio.sleep(POLL_INTERVAL_S)
         cut = self._in_flight
-        self.life_cycle.enter("time_over" if bound.cancelled_caught else "idle", cut=cut)
+        self.life_cycle.apply_event("time_over" if bound.cancelled_caught else "idle", cut=cut)
 
     @property
     def _in_flight(self) -> int:
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -29,9 +29,9 @@
 RECORD_RETRY_S = 0.5
 # A quarantined request runs again after so long: its servers' software may have been repaired meanwhile. If
 # not, it crashes a server of each of its shards and two more each time.
-RECORD_KEPT_S = 3600.0
+RECORD_TTL_S = 3600.0
 # How often records are checked for their age; a sixtieth of the above is precise enough.
-LIFT_CHECK_S = 60.0
+EXPIRY_CHECK_INTERVAL_S = 60.0
 
 
 class QuarantineLink:
@@ -159,11 +159,11 @@
     async def _lift_old(self, records: QuarantineRecords) -> None:
         """Take requests off the record that have been on it for long; each one's owners do it."""
         while True:
-            await anyio.sleep(LIFT_CHECK_S * (0.5 + self._random.random()))
+            await anyio.sleep(EXPIRY_CHECK_INTERVAL_S * (0.5 + self._random.random()))
             now, recorded = anyio.current_time(), self._crashes.detector.recorded
             self._recorded_at_s = {each: self._recorded_at_s.get(each, now) for each in recorded}
             for fingerprint, since_s in self._recorded_at_s.items():
-                if now - since_s >= RECORD_KEPT_S and self._exchange.owns(fingerprint):
+                if now - since_s >= RECORD_TTL_S and self._exchange.owns(fingerprint):
                     failure = await records.lift(fingerprint)
                     if failure is not None:
                         self._log_failure("quarantine_not_lifted", fingerprint, failure)
--- a/src/yokesill/serving/request_path.py
+++ b/src/yokesill/serving/request_path.py
@@ -40,7 +40,7 @@
     dependencies: Dependencies
     options: GatewayOptions
     source: random.Random
-    figures: GatewayMetrics
+    metrics: GatewayMetrics
     observer: Observer
     router: GatewayRouter
     supervisor: Supervisor
--- a/src/yokesill/serving/rollout_link.py
+++ b/src/yokesill/serving/rollout_link.py
@@ -19,7 +19,7 @@
 from yokesill.rollouts.messages import OrderReport, RolloutDecisions, RolloutReport, decode, encode
 from yokesill.serving.datagrams import DatagramSocket
 from yokesill.serving.rollout_recorder import RolloutRecorder
-from yokesill.serving.rollout_view import RolloutView, view_of
+from yokesill.serving.rollout_view import RolloutView, order_view
 from yokesill.serving.settings import Address
 
 # A decider looks so often at what was reported meanwhile: a version found bad is left that much sooner.
@@ -110,7 +110,9 @@
         """Return what this node knows of all orders; counts are whole at nodes that decide."""
         figures = self._decider.figures(anyio.current_time())
         return RolloutView(
-            node=self._own.node, deciding=self._decider.deciding, orders=[view_of(each) for each in figures]
+            node=self._own.node,
+            deciding=self._decider.deciding,
+            orders=[order_view(each) for each in figures],
         )
 
     # --- running ---
--- a/src/yokesill/serving/rollout_view.py
+++ b/src/yokesill/serving/rollout_view.py
@@ -30,7 +30,7 @@
     orders: list[OrderView]
 
 
-def view_of(figures: OrderFigures) -> OrderView:
+def order_view(figures: OrderFigures) -> OrderView:
     """Return an order's figures as JSON takes them."""
     return OrderView(
         service=figures.order.service,
--- a/src/yokesill/serving/settings.py
+++ b/src/yokesill/serving/settings.py
@@ -104,7 +104,7 @@
         return [each.name for each in fields(self) if getattr(self, each.name) != getattr(newer, each.name)]
 
     @property
-    def gathering_time_s(self) -> float:
+    def coalescing_delay_s(self) -> float:
         """How long changes of servers gather before the next call.
 
         Each answer of the registry is paid for, and servers' entries change all the time; what is
--- a/src/yokesill/serving/settings_reader.py
+++ b/src/yokesill/serving/settings_reader.py
@@ -56,17 +56,17 @@
         value = self._get(place)
         return None if value is None else self._parse_address(place, value)
 
-    def texts(self, place: str) -> dict[str, str]:
+    def text_table(self, place: str) -> dict[str, str]:
         """Return a table of texts; empty where it is missing."""
         value = self._get(place)
         return {str(key): str(each) for key, each in value.items()} if isinstance(value, dict) else {}
 
-    def words(self, place: str) -> tuple[str, ...]:
+    def text_list(self, place: str) -> tuple[str, ...]:
         """Return a list of texts; none where it is missing."""
         value = self._get(place)
         return tuple(str(each) for each in value) if isinstance(value, list) else ()
 
-    def ports(self, place: str) -> range:
+    def port_range(self, place: str) -> range:
         """Return the ports from the first to the second of a pair; none where it is missing."""
         value = self._get(place)
         if value is None:
--- a/tests/forms/bindings.py
+++ b/tests/forms/bindings.py
@@ -477,8 +477,8 @@
 
 def _gateway_figures(text: str) -> Any:
     async def render(node: Any) -> str:
-        node.figures.count_event(ev.LogEvent("hedged", {}))
-        node.figures.count_request("wide", "answered", _SUMMARY)
+        node.metrics.count_event(ev.LogEvent("hedged", {}))
+        node.metrics.count_request("wide", "answered", _SUMMARY)
         status, _headers, body = await _asked(node.probes, "GET", METRICS_PATH, [], b"")
         assert status == 200
         return str(body.decode())
@@ -502,7 +502,7 @@
 
 def _view(fields: list[Any], identity: list[Any], state: str) -> Any:
     told = order_figures.OrderFigures(orders.OrderId(*identity), orders.RolloutState(state), *fields)
-    return rollout_view.view_of(told)
+    return rollout_view.order_view(told)
 
 
 # --- settings, commands and environment ---
--- a/tests/serving/crash_fleet.py
+++ b/tests/serving/crash_fleet.py
@@ -191,7 +191,7 @@
         self.link = QuarantineLink(
             self.exchange, *feed, fleet.registry, source, lambda: fleet.tasks.start_soon(self._send)
         )
-        self.driver.crashed = self.link.on_finding
+        self.driver.on_crash_finding = self.link.on_finding
         self.scope = anyio.CancelScope()
 
     async def run(self) -> None:
--- a/tests/serving/test_application.py
+++ b/tests/serving/test_application.py
@@ -239,7 +239,7 @@
 def test_connections_to_a_removed_server_are_closed() -> None:
     async def main(served: ApplicationHarness) -> None:
         forgotten: list[str] = []
-        served.driver.forgotten = forgotten.append
+        served.driver.on_server_forgotten = forgotten.append
         await served.ask()
         served.driver.feed(ev.ServerRemoved("i-1"))
         await anyio.sleep(10.0)
--- a/tests/serving/test_gateway_parts.py
+++ b/tests/serving/test_gateway_parts.py
@@ -59,15 +59,15 @@
     monkeypatch.setattr(owner, name, failing(getattr(owner, name)))
 
     async def main(node: Node) -> None:
-        await node.until(node.ready)
+        await node.wait_until(node.ready)
         await anyio.sleep(2 * LATER_S)
         assert node.process.node.supervisor.failures[part] >= 1
-        assert node.process.node.figures.decisions["part_failed"] >= 1
+        assert node.process.node.metrics.decisions["part_failed"] >= 1
         node.backend.open.clear()
         answers: list[bytes] = []
 
         async def ask() -> None:
-            answers.append(await node.ask())
+            answers.append(await node.get())
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(ask)
@@ -108,8 +108,8 @@
     monkeypatch.setattr(server_client, "open_connection", broken)
 
     async def main(node: Node) -> None:
-        await node.until(node.ready)
-        answers = [await node.ask() for _ in range(3)]
+        await node.wait_until(node.ready)
+        answers = [await node.get() for _ in range(3)]
         assert answers[-1].startswith(b"HTTP/1.1 200")
         assert node.process.node.supervisor.failures == {"connections": 1}
         assert not node.process.node.router.in_flight
@@ -128,8 +128,8 @@
     monkeypatch.setattr(GatewayDriver, "execute", broken)
 
     async def main(node: Node) -> None:
-        await node.until(node.ready)
-        answers = [await node.ask(f"/one/{path}") for path in ("good", "bad", "good")]
+        await node.wait_until(node.ready)
+        answers = [await node.get(f"/one/{path}") for path in ("good", "bad", "good")]
         assert [each.split(b" ")[1] for each in answers] == [b"200", b"500", b"200"]
 
     with_node(main)
@@ -161,7 +161,7 @@
     def __init__(self) -> None:
         self.outcomes: list[Any] = []
 
-    def recorded(self, _order: Any, outcome: Any, _now: float) -> None:
+    def write_ended(self, _order: Any, outcome: Any, _now: float) -> None:
         self.outcomes.append(outcome)
 
 
--- a/tests/serving/test_gathering_elsewhere.py
+++ b/tests/serving/test_gathering_elsewhere.py
@@ -7,7 +7,7 @@
 import anyio
 import pytest
 from harness import configuration, gather_route
-from test_process import DOWN, GOOD_HEAD, LOOPBACK, Backend, FixedFeed, free_ports
+from test_process import DOWN, LOOPBACK, REQUEST_HEADERS, Backend, FixedFeed, free_ports
 
 from yokesill.gateway.documents import ServerRecord
 from yokesill.gateway.events import ConfigurationReceived, ServersReplaced
@@ -20,7 +20,7 @@
 from yokesill.verdict import Failure
 
 NAMES = tuple(f"s{number}" for number in range(MIN_WIDE_SERVICES))
-REQUEST = f"GET /wide/x HTTP/1.1\r\n{GOOD_HEAD}\r\n".encode()
+REQUEST = f"GET /wide/x HTTP/1.1\r\n{REQUEST_HEADERS}\r\n".encode()
 
 
 class Directory(NodeDirectory):
--- a/tests/serving/test_outlier_link.py
+++ b/tests/serving/test_outlier_link.py
@@ -13,7 +13,7 @@
 from yokesill.outliers.exchange import OutlierExchange
 from yokesill.outliers.messages import Suspicion
 from yokesill.peers.dissemination import Peer
-from yokesill.serving.datagrams import DatagramSocket, SharedDatagrams
+from yokesill.serving.datagrams import DatagramSocket, SharedDatagramSocket
 from yokesill.serving.outlier_link import OutlierLink
 from yokesill.serving.settings import Address
 
@@ -35,7 +35,7 @@
         self.exchange = OutlierExchange(self.peer, random.Random(1))
         self.suspicions: list[Suspicion] = []
         self.informed = anyio.Event()
-        self.datagrams = SharedDatagrams(DatagramSocket(Address(LOOPBACK, port), get_logger("outliers")))
+        self.datagrams = SharedDatagramSocket(DatagramSocket(Address(LOOPBACK, port), get_logger("outliers")))
         self.link = OutlierLink(self.exchange, self.suspect, self.datagrams.wake)
         self.datagrams.add(self.link)
 
--- a/tests/serving/test_process.py
+++ b/tests/serving/test_process.py
@@ -33,7 +33,7 @@
 
 LOOPBACK = "127.0.0.1"
 DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "down")
-GOOD_HEAD = "Host: shop.example\r\nRequest-Id: r1\r\nRequest-Deadline-Ms: 5000\r\n"
+REQUEST_HEADERS = "Host: shop.example\r\nRequest-Id: r1\r\nRequest-Deadline-Ms: 5000\r\n"
 
 
 class FixedFeed(Feed):
@@ -131,14 +131,14 @@
         writer.close()
         return answer
 
-    async def ask(self, path: str = "/one/x") -> bytes:
-        return await self.talk(f"GET {path} HTTP/1.1\r\n{GOOD_HEAD}\r\n".encode())
+    async def get(self, path: str = "/one/x") -> bytes:
+        return await self.talk(f"GET {path} HTTP/1.1\r\n{REQUEST_HEADERS}\r\n".encode())
 
     async def ready(self) -> bool:
         answer = await self.talk(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", self.settings.probes)
         return answer.startswith(b"HTTP/1.1 200")
 
-    async def until(self, condition: Callable[[], Awaitable[bool]]) -> None:
+    async def wait_until(self, condition: Callable[[], Awaitable[bool]]) -> None:
         while not await condition():
             await asyncio.sleep(0.02)
 
@@ -168,8 +168,8 @@
 
 def test_a_node_becomes_ready_serves_and_shows_figures_and_state() -> None:
     async def main(node: Node) -> None:
-        await node.until(node.ready)
-        answer = await node.ask()
+        await node.wait_until(node.ready)
+        answer = await node.get()
         assert answer.startswith(b"HTTP/1.1 200 OK\r\n")
         assert answer.endswith(b"ok")
         figures = await node.talk(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.probes)
@@ -186,7 +186,7 @@
     order = RolloutOrder("desk", "v2", 12.0, 5, 6, RolloutState.CANARY)
 
     async def main(node: Node) -> None:
-        await node.until(node.ready)
+        await node.wait_until(node.ready)
         assert node.process.node.router.open_orders() == (order,)
         state = await node.talk(b"GET /snapshot HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.peers)
         events = decode_snapshot(state.partition(b"\r\n\r\n")[2])
@@ -208,7 +208,7 @@
 
 def test_a_node_waits_for_the_requests_that_are_kept_from_servers() -> None:
     async def main(node: Node) -> None:
-        await node.until(node.ready)
+        await node.wait_until(node.ready)
         node.process.node.updates.awaits_quarantine = True
         assert not node.process.node.updates.synchronised()
         node.process.node.driver.feed(QuarantineReplaced(frozenset()))
@@ -230,9 +230,9 @@
         while not len(node.process.node.router.servers):
             await anyio.sleep(0.02)
         node.process.apply_settings(replace(node.settings, seeds=(seed,)))
-        await node.until(node.ready)
+        await node.wait_until(node.ready)
         assert [each.instance for each in node.process.node.router.servers.records()] == ["i-1"]
-        assert (await node.ask()).startswith(b"HTTP/1.1 200")
+        assert (await node.get()).startswith(b"HTTP/1.1 200")
         peer.close()
 
     with_node(main, known=False)
@@ -241,7 +241,7 @@
 def test_a_node_without_a_configuration_is_not_ready_and_says_when_to_come_back() -> None:
     async def main(node: Node) -> None:
         assert not await node.ready()
-        answer = await node.ask()
+        answer = await node.get()
         assert answer.startswith(b"HTTP/1.1 503")
         assert b"retry-after: " in answer.lower()
 
@@ -262,10 +262,10 @@
 )
 def test_malformed_and_smuggled_requests_reach_no_server(data: bytes) -> None:
     async def main(node: Node) -> None:
-        await node.until(node.ready)
+        await node.wait_until(node.ready)
         answer = await node.talk(data)
         assert answer.startswith(b"HTTP/1.1 400") or answer == b""
-        assert (await node.ask()).startswith(b"HTTP/1.1 200")
+        assert (await node.get()).startswith(b"HTTP/1.1 200")
         assert len(node.backend.heard) == 1
 
     with_node(main)
@@ -273,7 +273,7 @@
 
 def test_a_head_that_does_not_end_is_timed_out_and_ran_nowhere() -> None:
     async def main(node: Node) -> None:
-        await node.until(node.ready)
+        await node.wait_until(node.ready)
         answer = await node.talk(b"GET /one/x HTTP/1.1\r\nHost: shop.example\r\n")
         assert answer.startswith(b"HTTP/1.1 408")
         assert node.backend.heard == []
@@ -283,11 +283,11 @@
 
 def test_a_node_that_is_cut_off_says_that_it_is_not_ready_and_still_serves_who_comes() -> None:
     async def main(node: Node) -> None:
-        await node.until(node.ready)
-        node.process.life_cycle.enter("cut_off")
+        await node.wait_until(node.ready)
+        node.process.life_cycle.apply_event("cut_off")
         assert not await node.ready()
-        assert (await node.ask()).startswith(b"HTTP/1.1 200")
-        node.process.life_cycle.enter("reached")
+        assert (await node.get()).startswith(b"HTTP/1.1 200")
+        node.process.life_cycle.apply_event("reached")
         assert await node.ready()
 
     with_node(main)
@@ -295,14 +295,14 @@
 
 def test_a_planned_stop_cuts_nothing_off() -> None:
     async def main(node: Node) -> None:
-        await node.until(node.ready)
+        await node.wait_until(node.ready)
         node.backend.open.clear()
-        in_flight = asyncio.create_task(node.ask())
+        in_flight = asyncio.create_task(node.get())
         await asyncio.sleep(0.1)
         node.process.stop()
         await asyncio.sleep(0.1)
         assert not await node.ready()
-        late = asyncio.create_task(node.ask())
+        late = asyncio.create_task(node.get())
         await asyncio.sleep(0.1)
         node.backend.open.set()
         for answer in (await in_flight, await late):
@@ -311,6 +311,6 @@
         while node.process.life_cycle.state != "stopped":
             await asyncio.sleep(0.02)
         with pytest.raises(ConnectionError):
-            await node.ask()
+            await node.get()
 
     with_node(main)
--- a/tests/serving/test_quarantine_link.py
+++ b/tests/serving/test_quarantine_link.py
@@ -11,7 +11,7 @@
 from yokesill.quarantine.detector import QuarantineStatus
 from yokesill.quarantine.exchange import QuarantineExchange
 from yokesill.registry.feeds import QuarantineRecords
-from yokesill.serving.quarantine_link import LIFT_CHECK_S, RECORD_KEPT_S, QuarantineLink
+from yokesill.serving.quarantine_link import EXPIRY_CHECK_INTERVAL_S, RECORD_TTL_S, QuarantineLink
 from yokesill.verdict import Failure, Reason, Verdict
 
 DOWN = Failure(Reason.CONNECT_FAILED, Verdict.NOT_RUN, "down")
@@ -71,9 +71,9 @@
 
 def test_record_is_lifted_after_its_time() -> None:
     records = Records()
-    run_link(records, FOUND, RECORD_KEPT_S - LIFT_CHECK_S, frozenset({"00ff"}))
+    run_link(records, FOUND, RECORD_TTL_S - EXPIRY_CHECK_INTERVAL_S, frozenset({"00ff"}))
     assert records.calls == []
-    run_link(records, FOUND, RECORD_KEPT_S + 4 * LIFT_CHECK_S, frozenset({"00ff"}))
+    run_link(records, FOUND, RECORD_TTL_S + 4 * EXPIRY_CHECK_INTERVAL_S, frozenset({"00ff"}))
     assert set(records.calls) == {"lift 00ff"}
 
 
