--- a/src/yokesill/serving/__init__.py
+++ b/src/yokesill/serving/__init__.py
@@ -1,4 +1,4 @@
-"""One gateway node over real I/O: its settings, what drives the router, its life cycle.
+"""Runs one gateway node over real I/O: its settings, the driver of its router, and its life cycle.
 
-Callers, servers, the registry and coordinators each have a package of their own.
+Connections to callers, servers, the registry and coordinators are in packages of their own.
 """
--- a/src/yokesill/serving/builder.py
+++ b/src/yokesill/serving/builder.py
@@ -1,8 +1,8 @@
-"""Makes the components of one gateway node and connects them, each after those that it uses.
+"""Creates the components of one gateway node and connects them; each is created after its dependencies.
 
-Owns nothing: ``process`` runs what is made here. Two connections are made late, since the components need
-each other: the roll-out link and the callers' listener subscribe to ``FeedUpdates``, and ``Findings`` sets
-the driver's callbacks.
+Owns no state; ``process`` runs the components. Circular dependencies are resolved after construction: the
+roll-out link and the callers' listener subscribe to ``FeedUpdates``, and ``Findings`` sets the driver's
+callbacks.
 """
 
 import random
@@ -40,13 +40,13 @@
 from yokesill.serving.rollout_link import RolloutLink
 from yokesill.serving.rollout_port import create_rollout_link
 from yokesill.serving.settings import GatewaySettings
-from yokesill.serving.state_snapshot import configuration_version, snapshot_of
+from yokesill.serving.state_snapshot import configuration_version, encode_router_snapshot
 from yokesill.supervision import Supervisor
 from yokesill.telemetry.figures import GatewayMetrics
 
 
 class NodeComponents(NamedTuple):
-    """What one node consists of; nothing runs yet."""
+    """All components of one node; none of them runs yet."""
 
     life_cycle: LifeCycle
     metrics: GatewayMetrics
@@ -67,8 +67,8 @@
     peers: PeerApplication
 
 
-class _Exchanges(NamedTuple):
-    """What a node does together with the others."""
+class _PeerServices(NamedTuple):
+    """Components that exchange information with other nodes."""
 
     findings: Findings
     rollouts: RolloutLink | None
@@ -78,7 +78,7 @@
 
 
 class _SideServices(NamedTuple):
-    """What serves other nodes and operators."""
+    """Components that serve other nodes and operators."""
 
     coordinator: CoordinatorApplication
     probes: ProbeApplication
@@ -98,13 +98,13 @@
     Raises
     ------
     ValueError
-        A name in ``settings.switched_off`` is no switch.
+        A name in ``settings.switched_off`` is not the name of a switch.
     """
     core = create_core(settings, dependencies, source, now)
     registry = create_registry(core)
     callers = create_callers(core, registry)
-    exchanges = _create_exchanges(core, registry, callers, life_cycle)
-    side = _create_side_services(core, registry, callers, exchanges, life_cycle, output)
+    peer_services = _create_peer_services(core, registry, callers, life_cycle)
+    side = _create_side_services(core, registry, callers, peer_services, life_cycle, output)
     return NodeComponents(
         life_cycle=life_cycle,
         metrics=core.metrics,
@@ -114,12 +114,14 @@
         updates=registry.updates,
         following=registry.following,
         **callers._asdict(),
-        **exchanges._asdict(),
+        **peer_services._asdict(),
         **side._asdict(),
     )
 
 
-def _create_exchanges(core: Core, registry: Registry, callers: Callers, life_cycle: LifeCycle) -> _Exchanges:
+def _create_peer_services(
+    core: Core, registry: Registry, callers: Callers, life_cycle: LifeCycle
+) -> _PeerServices:
     driver, source, contact = core.driver, core.source, registry.following.contact
     records = core.dependencies.quarantine_records
     findings = Findings(contact, core.settings.datagrams, driver, records, source)
@@ -145,7 +147,7 @@
         findings.record_again()
 
     registry.following.on_restored = registry_restored
-    return _Exchanges(findings, rollouts, reachability, bootstrap, presence)
+    return _PeerServices(findings, rollouts, reachability, bootstrap, presence)
 
 
 def _create_rollout_link(core: Core, following: RegistryFollowing) -> RolloutLink | None:
@@ -194,11 +196,11 @@
     core: Core,
     registry: Registry,
     callers: Callers,
-    exchanges: _Exchanges,
+    peer_services: _PeerServices,
     life_cycle: LifeCycle,
     output: LogOutput,
 ) -> _SideServices:
-    router, following, rollouts = core.router, registry.following, exchanges.rollouts
+    router, following, rollouts = core.router, registry.following, peer_services.rollouts
 
     def is_peer(host: str) -> bool:
         return following.is_member(host) or registry.remote_coordinators.is_remote_node(host)
@@ -210,7 +212,7 @@
         core.dependencies.ready_path,
         life_cycle.is_ready,
         partial(render_metrics, core.metrics, sources),
-        partial(snapshot_of, router),
+        partial(encode_router_snapshot, router),
         following.state,
         rollouts.view if rollouts is not None else lambda: None,
     )
--- a/src/yokesill/serving/datagrams.py
+++ b/src/yokesill/serving/datagrams.py
@@ -1,7 +1,7 @@
-"""Datagrams between nodes over UDP: a socket, and a sender for parts that share one.
+"""UDP datagrams between nodes: a socket, and a multiplexer for links that share one.
 
-Owns the sockets. A datagram may be lost on its way, so whoever sends one must not rely on its arrival; what
-can't be sent or read is logged and dropped.
+Owns the sockets. Datagrams may be lost, so senders must not rely on their delivery. Datagrams that can't be
+sent or read are logged and dropped.
 """
 
 import socket
@@ -17,9 +17,9 @@
 from yokesill.peers.frame import kind_of
 from yokesill.serving.settings import Address
 
-# What many requests see in one moment goes out together, in a few datagrams: it is short beside the 100 ms
-# within which a detector takes observations for one.
-GATHERING_S = 0.015
+# Observations of many requests at about the same time are batched into a few datagrams. Short compared to the
+# 100 ms within which a detector counts observations as one.
+BATCHING_DELAY_S = 0.015
 
 Receive = Callable[[bytes, str, float], None]
 
@@ -27,10 +27,10 @@
 
 
 async def open_datagrams(address: Address) -> anyio.abc.UDPSocket | None:
-    """Open a socket; ``None``, with a line in the log, when the port can't be had.
+    """Open a socket; log the failure and return ``None`` if its port can't be bound.
 
-    Bound here, and not by a library that first looks the address up as a name: that starts a thread,
-    which a node would keep until its end.
+    Binds the socket directly: anyio would first resolve the address as a host name, which starts a thread
+    that lives until the process ends.
     """
     opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     try:
@@ -49,9 +49,9 @@
     Parameters
     ----------
     address
-        Where this node's datagrams arrive; ``None`` if it has no port for them.
+        Address that the socket is bound to; ``None`` if this node has no port for datagrams.
     log
-        Gets a line for each datagram that is rejected.
+        Logs each rejected datagram.
     """
 
     def __init__(self, address: Address | None, log: Logger) -> None:
@@ -60,20 +60,20 @@
         self._socket: anyio.abc.UDPSocket | None = None
 
     async def run(self, receive: Receive, serve: Callable[[], Coroutine[Any, Any, None]]) -> bool:
-        """Receive until cancelled, while ``serve`` runs.
+        """Run ``serve`` and receive datagrams until cancelled.
 
         Parameters
         ----------
         receive
-            Gets each datagram, its sender (``IP:PORT``) and the node's clock in seconds; raises
-            ``ValueError`` for one that it rejects.
+            Called with each datagram, its sender (``IP:PORT``) and the node's clock in seconds; raises
+            ``ValueError`` to reject the datagram.
         serve
-            What the node does while it can send.
+            Task that runs while the socket is open.
 
         Returns
         -------
         bool
-            False, at once, when there is no port or it can't be had.
+            False, immediately, if there is no port or it can't be bound.
         """
         if self._address is not None:
             self._socket = await open_datagrams(self._address)
@@ -91,7 +91,7 @@
         return True
 
     async def send(self, address: str, data: bytes) -> None:
-        """Send to ``IP:PORT``; a datagram that can't be sent is lost, as others are on their way."""
+        """Send to ``IP:PORT``; a datagram that can't be sent is logged and dropped."""
         if self._socket is None:
             return
         host, _, port = address.rpartition(":")
@@ -102,82 +102,82 @@
 
 
 class DatagramLink(Protocol):
-    """One of several parts of a node that share a socket; each has its own kinds of datagrams."""
+    """One of several components that share a socket; each handles its own kinds of datagrams."""
 
     @property
     def kinds(self) -> frozenset[int]:
-        """Which kinds of datagrams it reads."""
+        """The kinds of datagrams that this link receives."""
 
     @property
     def pending(self) -> bool:
-        """Whether there is something to send."""
+        """Whether ``flush`` would return anything."""
 
     @property
     def urgent(self) -> bool:
-        """Whether it can't wait for more to go with it."""
+        """Whether something must be sent without waiting for more to batch with it."""
 
     def receive(self, data: bytes, sender: str, now: float) -> None:
-        """Read a datagram from ``sender`` (``IP:PORT``); raises ``ValueError`` to reject it."""
+        """Handle a datagram from ``sender`` (``IP:PORT``); raises ``ValueError`` to reject it."""
 
     def flush(self) -> list[Datagram]:
-        """Return what is to be sent now."""
+        """Return the datagrams to send now."""
 
 
 class SharedDatagramSocket:
-    """Sends and receives the datagrams of several parts over one socket.
+    """Sends and receives the datagrams of several links over one socket.
 
     Parameters
     ----------
     datagrams
-        The socket.
+        Socket that the links share.
     """
 
     def __init__(self, datagrams: DatagramSocket) -> None:
         self._datagrams = datagrams
-        self._parts: list[DatagramLink] = []
+        self._links: list[DatagramLink] = []
         self._by_kind: dict[int, DatagramLink] = {}
-        self._wanted = anyio.Event()
-        self._alone = False
+        self._send_requested = anyio.Event()
+        self._has_no_port = False
 
-    def add(self, part: DatagramLink) -> None:
-        """Add a part; it calls ``wake`` when it has something to send."""
-        self._parts.append(part)
-        self._by_kind.update(dict.fromkeys(part.kinds, part))
+    def add(self, link: DatagramLink) -> None:
+        """Add a link, which must call ``wake`` when it has something to send."""
+        self._links.append(link)
+        self._by_kind.update(dict.fromkeys(link.kinds, link))
 
     async def run(self) -> None:
-        """Send and receive until cancelled; without a port the node goes on alone."""
-        self._alone = not await self._datagrams.run(self._receive, self._send)
+        """Send and receive until cancelled; return if there is no port."""
+        self._has_no_port = not await self._datagrams.run(self._receive, self._send)
         self.wake()
 
     def wake(self) -> None:
-        """Send soon what is pending; without a port drop it: it would grow as long as the node runs."""
-        if self._alone:
+        """Send pending datagrams soon; without a port drop them, since they would accumulate indefinitely."""
+        if self._has_no_port:
             self._take_pending()
-        elif any(part.pending for part in self._parts):
-            self._wanted.set()
+        elif any(link.pending for link in self._links):
+            self._send_requested.set()
 
     def _receive(self, data: bytes, sender: str, now: float) -> None:
         kind = kind_of(data)
-        part = self._by_kind.get(kind)
-        if part is None:
-            raise ValueError(f"a datagram of kind {kind}")
-        part.receive(data, sender, now)
+        link = self._by_kind.get(kind)
+        if link is None:
+            raise ValueError(f"datagram kind {kind} is unknown")
+        link.receive(data, sender, now)
         self.wake()
 
     async def _send(self) -> None:
         while True:
-            await self._wanted.wait()
-            await self._gather()
-            self._wanted = anyio.Event()
+            await self._send_requested.wait()
+            await self._wait_for_batch()
+            self._send_requested = anyio.Event()
             for datagram in self._take_pending():
                 await self._datagrams.send(datagram.address, datagram.data)
 
     def _take_pending(self) -> list[Datagram]:
-        return [datagram for part in self._parts for datagram in part.flush()]
-
-    async def _gather(self) -> None:
-        """Wait a moment for more to go along, unless there is something urgent."""
-        with anyio.move_on_after(GATHERING_S):
-            while not any(part.urgent for part in self._parts):
-                self._wanted = anyio.Event()
-                await self._wanted.wait()
+        return [datagram for link in self._links for datagram in link.flush()]
+
+    async def _wait_for_batch(self) -> None:
+        """Wait ``BATCHING_DELAY_S`` for more to send, or until something is urgent."""
+        with anyio.move_on_after(BATCHING_DELAY_S):
+            while not any(link.urgent for link in self._links):
+                self._send_requested = anyio.Event()
+                await self._send_requested.wait()
--- a/src/yokesill/serving/dependencies.py
+++ b/src/yokesill/serving/dependencies.py
@@ -1,7 +1,7 @@
-"""What a gateway node is connected to: the port through which an adapter supplies registry and names.
+"""Dependencies of a gateway node that an adapter supplies: the registry's feeds and the header names.
 
-``platform.main`` and ``cli.gateway`` fill it in; ``builder`` reads it. Only ``set_registry_address`` is
-called later.
+``platform.main`` and ``cli.gateway`` create them and ``builder`` reads them. Only ``set_registry_address`` is
+called while the node runs.
 """
 
 import socket
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Dependencies:
-    """The registry's feeds and records, the names of headers, and what the adapter opened already.
+    """The registry's feeds and records, the header names, and the callers' socket if it is already open.
 
-    Without ``evacuations`` zones are never evacuated, without ``rollouts`` nothing is rolled out;
-    ``rollout_records`` keeps the state of roll-outs. ``quarantine`` has the requests that no server gets,
-    ``quarantine_records`` records them; without them nodes tell only one another. ``callers_socket`` listens
-    for callers already; without it the node opens one itself.
+    Without ``evacuations`` zones are never evacuated, and without ``rollouts`` there are no roll-outs.
+    ``rollout_records`` stores the state of roll-outs. ``quarantine`` lists the requests that are not sent to
+    any server and ``quarantine_records`` stores them; without these two, nodes exchange quarantines only with
+    each other. ``callers_socket`` already listens for callers; without it the node opens a socket itself.
     """
 
     configuration: Feed
--- a/src/yokesill/serving/driver.py
+++ b/src/yokesill/serving/driver.py
@@ -1,7 +1,7 @@
-"""Feeds events to the gateway's router and carries out the actions that it returns.
+"""Feeds events to the gateway's router and executes the actions that it returns.
 
-The only I/O around the router: callers' requests, attempts at servers, timers. Owns the requests without a
-final answer. Components that need some of the actions set a callback, see ``GatewayDriver``.
+Performs all I/O of the router: callers' requests, attempts at servers, timers. Owns the requests that have no
+final answer yet. Components that need some of the actions set a callback, see ``GatewayDriver``.
 """
 
 from collections.abc import Callable
@@ -21,12 +21,15 @@
 
 
 class Client(Protocol):
-    """Sends attempts; ``connections_changed`` is called with an instance and how many are open to it."""
+    """Sends attempts to servers.
+
+    ``connections_changed`` is called with an instance and the number of open connections to it.
+    """
 
     connections_changed: Callable[[str, int], None]
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; started once attempts may be sent."""
+        """Run until cancelled; reports that it has started once attempts may be sent."""
 
     def send(self, attempt: Attempt, done: Callable[[ev.AttemptAnswered | ev.AttemptFailed], None]) -> None:
         """Send an attempt; ``done`` is called when it ends, never within this call."""
@@ -35,7 +38,7 @@
         """Cancel an attempt; ``done`` is not called."""
 
     def forget(self, instance: str) -> None:
-        """Close the idle connections to a server that is gone."""
+        """Close the idle connections to a server that was removed."""
 
 
 class GatewayDriver:
@@ -60,15 +63,15 @@
         self._log_event = log_event
         self._timers: Timers[ev.TimerFired] = Timers(self.feed, supervisor)
         self._waiting: dict[str, anyio.Event] = {}
-        self._finals: dict[str, ev.FinalAnswer] = {}
-        self.on_server_observed: Callable[[ev.ServerObserved], None] = lambda _seen: None
+        self._final_answers: dict[str, ev.FinalAnswer] = {}
+        self.on_server_observed: Callable[[ev.ServerObserved], None] = lambda _observed: None
         self.on_crash_finding: Callable[[CrashFinding], None] = lambda _finding: None
         self.on_server_forgotten: Callable[[str], None] = lambda _instance: None
         self._clock: Clock = anyio.current_time
         self.last_remote_answer_s = float("-inf")
 
     async def run(self, *, task_status: TaskStatus[None] = anyio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; started once requests may come."""
+        """Run until cancelled; reports that it has started once requests may be executed."""
         self._clock = running_clock()
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._timers.run)
@@ -76,35 +79,35 @@
             task_status.started()
 
     async def execute(self, request: GatewayRequest) -> ev.FinalAnswer:
-        """Run a request to its final answer; cancelling the call means that the caller left."""
+        """Run a request to its final answer; cancelling the call means that the caller disconnected."""
         done = anyio.Event()
         self._waiting[request.key] = done
         try:
             self.feed(ev.RequestArrived(request))
             await done.wait()
-            return self._finals[request.key]
+            return self._final_answers[request.key]
         except BaseException:
             self.feed(ev.CallerLeft(request.key))
             raise
         finally:
             self._waiting.pop(request.key, None)
-            self._finals.pop(request.key, None)
+            self._final_answers.pop(request.key, None)
 
     def feed(self, event: ev.Event) -> None:
-        """Feed one event to the router and carry out its actions."""
+        """Feed one event to the router and execute the actions that it returns."""
         for action in self.router.on_event(event, self._clock()):
-            self._act(action)
+            self._execute_action(action)
 
-    def _far_ended(self, event: ev.AttemptAnswered | ev.AttemptFailed) -> None:
+    def _remote_attempt_ended(self, event: ev.AttemptAnswered | ev.AttemptFailed) -> None:
         if isinstance(event, ev.AttemptAnswered):
             self.last_remote_answer_s = self._clock()
         self.feed(event)
 
-    def _act(self, action: ev.Action) -> None:
+    def _execute_action(self, action: ev.Action) -> None:
         match action:
             case ev.SendAttempt(attempt):
-                near = attempt.server.zone == self.router.options.zone
-                self._client.send(attempt, self.feed if near else self._far_ended)
+                local = attempt.server.zone == self.router.options.zone
+                self._client.send(attempt, self.feed if local else self._remote_attempt_ended)
             case ev.SetTimer(key, kind, at):
                 self._timers.set(at, ev.TimerFired(key, kind))
             case ev.CancelAttempt(number):
@@ -124,5 +127,5 @@
     def _finish(self, key: str, final: ev.FinalAnswer) -> None:
         done = self._waiting.get(key)
         if done is not None:
-            self._finals[key] = final
+            self._final_answers[key] = final
             done.set()
--- a/src/yokesill/serving/feed_updates.py
+++ b/src/yokesill/serving/feed_updates.py
@@ -1,7 +1,7 @@
 """Applies events of the registry's feeds to a node, whether the registry or a peer sent them.
 
-The router comes first; the other components that need such events subscribe. Also knows whether enough
-has been received to serve requests, on which readiness depends.
+The router gets each event first, then the components that subscribed. Also decides whether the node has
+received enough state to serve requests; readiness depends on this.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
     driver
         Feeds the router.
     awaits_quarantine, awaits_rollouts
-        Whether the node follows that feed, so that it must be known before requests are served.
+        Whether the node follows that feed and must have received it before it serves requests.
     """
 
     __slots__ = ("_driver", "_subscribers", "awaits_quarantine", "awaits_rollouts")
@@ -32,7 +32,7 @@
         self._subscribers: list[Subscriber] = []
 
     def subscribe(self, subscriber: Subscriber) -> None:
-        """Call ``subscriber`` with each event that ``apply`` gets from now on."""
+        """Call ``subscriber`` with each event that is applied from now on."""
         self._subscribers.append(subscriber)
 
     def apply(self, event: Event) -> None:
@@ -42,10 +42,11 @@
             subscriber(event)
 
     def synchronised(self) -> bool:
-        """Whether requests can be served: a configuration and servers are known.
+        """Whether a configuration and servers were received, so that requests can be served.
 
-        So must be the quarantined requests, since the first request may be one of them, and the orders of
-        roll-outs: during a roll-out the list of servers alone doesn't say which version serves.
+        The quarantined requests must also have been received, since the first request may be one of them,
+        and so must the roll-out orders: during a roll-out the list of servers alone does not determine which
+        version serves.
         """
         router = self._driver.router
         if router.configuration is None or len(router.servers) == 0:
--- a/src/yokesill/serving/findings.py
+++ b/src/yokesill/serving/findings.py
@@ -1,4 +1,4 @@
-"""What a node finds together with the others: servers to avoid, requests to quarantine."""
+"""Detects, together with the other nodes, servers to avoid and requests to quarantine."""
 
 import random
 from collections.abc import Iterable
@@ -20,20 +20,20 @@
 
 
 class Findings:
-    """Connects both to the node's router; their datagrams share one socket.
+    """Connects outlier detection and quarantine to the node's router; their datagrams share one socket.
 
     Parameters
     ----------
     own
-        This node, as the others know it.
+        This node's contact.
     address
-        Where its datagrams arrive; without one it finds for itself alone.
+        Address for datagrams; without one this node uses only its own observations.
     driver
-        Feeds its router.
+        Feeds the node's router.
     records
-        Where quarantined requests are recorded; ``None`` if nowhere.
+        The registry's records of quarantined requests; ``None`` if there are none.
     source
-        Chooses relays and spreads calls.
+        Random source that chooses relays and spreads calls over time.
     """
 
     def __init__(
@@ -46,35 +46,35 @@
     ) -> None:
         peer = Peer(own.node, own.datagrams, own.zone)
         self._driver = driver
-        self._outliers = OutlierExchange(peer, source)
-        self._requests = QuarantineExchange(peer, source)
+        self._outlier_exchange = OutlierExchange(peer, source)
+        self._quarantine_exchange = QuarantineExchange(peer, source)
         self._datagrams = SharedDatagramSocket(DatagramSocket(address, get_logger("outliers")))
         wake = self._datagrams.wake
-        outliers = OutlierLink(self._outliers, self._suspect, wake)
-        self._quarantine = QuarantineLink(
-            self._requests, driver.router.quarantine, driver.feed, records, source, wake
+        outlier_link = OutlierLink(self._outlier_exchange, self._suspect, wake)
+        self._quarantine_link = QuarantineLink(
+            self._quarantine_exchange, driver.router.quarantine, driver.feed, records, source, wake
         )
-        self._datagrams.add(outliers)
-        self._datagrams.add(self._quarantine)
-        driver.on_server_observed = outliers.observe
-        driver.on_server_forgotten = self._outliers.forget
-        driver.on_crash_finding = self._quarantine.on_finding
+        self._datagrams.add(outlier_link)
+        self._datagrams.add(self._quarantine_link)
+        driver.on_server_observed = outlier_link.observe
+        driver.on_server_forgotten = self._outlier_exchange.forget
+        driver.on_crash_finding = self._quarantine_link.on_finding
 
     async def run(self) -> None:
         """Send and receive until cancelled."""
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._datagrams.run)
-            task_group.start_soon(self._quarantine.run)
+            task_group.start_soon(self._quarantine_link.run)
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Set which nodes there are."""
+        """Replace the known nodes."""
         peers = [Peer(each.node, each.datagrams, each.zone) for each in contacts if each.datagrams]
-        self._outliers.set_peers(peers)
-        self._requests.set_peers(peers)
+        self._outlier_exchange.set_peers(peers)
+        self._quarantine_exchange.set_peers(peers)
 
     def record_again(self) -> None:
-        """Record again what the registry may have lost."""
-        self._quarantine.record_again()
+        """Record quarantined requests again, since the registry may have lost them."""
+        self._quarantine_link.record_again()
 
     def _suspect(self, suspicions: Iterable[Suspicion]) -> None:
         for suspicion in suspicions:
--- a/src/yokesill/serving/gauges.py
+++ b/src/yokesill/serving/gauges.py
@@ -1,6 +1,6 @@
-"""Renders a node's metrics: gauges are read from its components when ``/metrics`` is called.
+"""Renders a node's metrics; gauges are read from the node's components at each call of ``/metrics``.
 
-Owns no state. Counters and histograms are in ``telemetry.figures``, which is filled as things happen.
+Owns no state. Counters and histograms are in ``telemetry.figures`` and updated as events occur.
 """
 
 import importlib
@@ -18,7 +18,7 @@
 
 
 class GaugeSources(NamedTuple):
-    """Where the values of a node's gauges are read."""
+    """Components that the values of a node's gauges are read from."""
 
     life_cycle: LifeCycle
     router: GatewayRouter
@@ -28,10 +28,10 @@
     following: RegistryFollowing
 
 
-def render_metrics(figures: GatewayMetrics, sources: GaugeSources) -> bytes:
-    """Set the gauges and return all figures in the text format."""
+def render_metrics(metrics: GatewayMetrics, sources: GaugeSources) -> bytes:
+    """Set the gauges and return all metrics in the text exposition format."""
     life_cycle, router, coordinator, client, output, following = sources
-    gauge = figures.gauge
+    gauge = metrics.gauge
     gauge("yokesill_cut_off", "Whether it reaches nothing", life_cycle.state == "cut_off")
     gauge("yokesill_version", "Configuration version", configuration_version(router))
     gauge("yokesill_servers", "Servers known", len(router.servers))
@@ -45,7 +45,7 @@
     gauge("yokesill_registry_asking", "Whether this node asks it", following.role != WatchRole.FOLLOWING)
     for feed, revision in following.revisions().items():
         gauge(f"yokesill_registry_{feed}_position", "Known up to here", revision)
-    # Imported at the first call: prometheus-client costs memory that a node without a scraper needn't spend.
+    # Imported at the first call: prometheus-client needs memory that a node without a scraper can save.
     exposition = importlib.import_module("yokesill.telemetry.exposition")
-    text: bytes = exposition.render(figures)
+    text: bytes = exposition.render(metrics)
     return text
--- a/src/yokesill/serving/header_names.py
+++ b/src/yokesill/serving/header_names.py
@@ -1,6 +1,6 @@
-"""The names of the headers between callers, nodes and servers.
+"""Names of the headers that callers, nodes and servers exchange.
 
-The defaults are the product's own; the platform's adapter has others (``platform.names``).
+The platform's adapter replaces the defaults (``platform.names``).
 """
 
 from typing import NamedTuple
@@ -9,8 +9,8 @@
 class HeaderNames(NamedTuple):
     """Lower-case header names; the defaults are the product's own.
 
-    ``deadline`` carries milliseconds. ``expect_instance`` names the only incarnation that may run a
-    request. ``not_executed`` is a server's promise that it did not and will not run it.
+    ``deadline`` is in milliseconds. ``expect_instance`` names the only incarnation that may run the request.
+    With ``not_executed`` a server guarantees that it has not run the request and will not run it.
     """
 
     request_id: bytes = b"request-id"
--- a/src/yokesill/serving/life_cycle.py
+++ b/src/yokesill/serving/life_cycle.py
@@ -1,7 +1,7 @@
 """The state of a node between its start and the end of its planned stop.
 
-Owns the current state; the transitions are those of ``charts/gateway.yaml``. Readiness probes and the
-process read it, the process and the partition check change it.
+Owns the current state; the transitions are defined in ``charts/gateway.yaml``. Readiness probes and the
+process read the state; the process and the partition check change it.
 """
 
 from yokesill.charts.flat import transition_table
@@ -9,7 +9,7 @@
 
 
 class LifeCycle:
-    """Applies the events of the chart ``gateway``; an event without a transition changes nothing."""
+    """State machine of the chart ``gateway``; events without a transition from the state are ignored."""
 
     __slots__ = ("_log", "_table", "state")
 
@@ -19,7 +19,7 @@
         self._table = transition_table("gateway")
 
     def apply_event(self, event: str, **details: object) -> str:
-        """Apply an event and return the state after it; ``details`` go into the log line of a change."""
+        """Apply an event and return the new state; ``details`` are logged with a change of state."""
         before = self.state
         self.state = self._table.get((before, event), before)
         if self.state != before:
@@ -27,5 +27,5 @@
         return self.state
 
     def is_ready(self) -> bool:
-        """Whether readiness probes are answered with 200."""
+        """Whether readiness probes are answered with status 200."""
         return self.state == "serving"
--- a/src/yokesill/serving/object_fields.py
+++ b/src/yokesill/serving/object_fields.py
@@ -1,6 +1,6 @@
-"""Reads typed fields out of the registry's objects; raises ``ObjectError`` naming the place.
+"""Reads typed fields of the registry's objects; raises ``ObjectError`` with the path of an invalid field.
 
-Used by the platform's adapter for what operators and servers write; nothing is owned here.
+The platform's adapter uses it for the objects that operators and servers write. Holds no state.
 """
 
 import sys
@@ -11,11 +11,11 @@
 
 
 class ObjectError(ValueError):
-    """An object lacks a field or has one of a wrong kind."""
+    """A field of an object is missing or has a wrong type."""
 
 
 def read_field(fields: Any, name: str, read: Callable[[Any], Value], place: str) -> Value:
-    """Return a table's field as ``read`` makes it; ``place`` is where the table stands."""
+    """Return a field of a table, parsed by ``read``; ``place`` is the path of the table."""
     if not isinstance(fields, dict):
         raise ObjectError(f"{place}: a table is needed")
     if name not in fields:
@@ -27,19 +27,19 @@
 
 
 def parse_text(value: Any) -> str:
-    """Return a text."""
+    """Return the value if it is a text."""
     if not isinstance(value, str):
         raise ObjectError("a text is needed")
     return value
 
 
 def parse_version(value: Any) -> str:
-    """Return the name of a version, which may be a whole number."""
+    """Return the name of a version, which may be written as an integer."""
     return str(value) if type(value) is int else parse_text(value)
 
 
 def parse_name(value: Any) -> str:
-    """Return a name that stands in many objects; equal ones are one text in memory."""
+    """Return a name that occurs in many objects, interned so that equal names share memory."""
     return sys.intern(parse_text(value))
 
 
@@ -51,24 +51,24 @@
 
 
 def parse_integer(value: Any) -> int:
-    """Return a number without its fraction."""
+    """Return a number truncated to an integer."""
     return int(parse_number(value))
 
 
 def parse_milliseconds(value: Any) -> float:
-    """Return milliseconds as seconds."""
+    """Return a number of milliseconds in seconds."""
     return parse_number(value) / 1000
 
 
 def parse_table(value: Any) -> dict[str, Any]:
-    """Return a table."""
+    """Return the value if it is a table."""
     if not isinstance(value, dict):
         raise ObjectError("a table is needed")
     return value
 
 
 def parse_list(value: Any) -> list[Any]:
-    """Return a list."""
+    """Return the value if it is a list."""
     if not isinstance(value, list):
         raise ObjectError("a list is needed")
     return value
--- a/src/yokesill/serving/outlier_link.py
+++ b/src/yokesill/serving/outlier_link.py
@@ -1,4 +1,4 @@
-"""Connects a node's router to the other nodes in finding slow and failing servers."""
+"""Connects a node's router to the exchange that detects slow and failing servers."""
 
 from collections.abc import Callable, Iterable
 
@@ -11,14 +11,14 @@
 
 
 class OutlierLink:
-    """Reports what this node saw of servers, and passes on what is found here or elsewhere.
+    """Reports this node's observations of servers and applies suspicions from this node and others.
 
     Parameters
     ----------
     exchange
-        Detects, and knows whom to tell.
+        Detects outliers and selects the nodes to notify.
     suspect
-        Gets the suspicions that hold here from now on.
+        Called with the suspicions that apply at this node from now on.
     wake
         Called when there is something to send.
     """
@@ -38,19 +38,19 @@
 
     @property
     def pending(self) -> bool:
-        """Whether there is something to send."""
+        """Whether ``flush`` would return anything."""
         return self._exchange.pending
 
     def flush(self) -> list[Datagram]:
-        """Return what is to be sent now."""
+        """Return the datagrams to send now."""
         return self._exchange.flush()
 
-    def observe(self, seen: ServerObserved) -> None:
-        """Report that a server was late, failed or silent."""
-        observation = Observation(seen.instance, seen.good_answers)
+    def observe(self, observed: ServerObserved) -> None:
+        """Report a server that was late, failed or did not answer."""
+        observation = Observation(observed.instance, observed.good_answers)
         self._suspect(self._exchange.observe(observation, anyio.current_time()))
         self._wake()
 
     def receive(self, data: bytes, sender: str, now: float) -> None:
-        """Read a datagram; raises ``ValueError`` if it is no message."""
+        """Handle a datagram; raises ``ValueError`` if it is not a valid message."""
         self._suspect(self._exchange.receive(data, now))
--- a/src/yokesill/serving/peer_application.py
+++ b/src/yokesill/serving/peer_application.py
@@ -1,6 +1,6 @@
-"""What a node serves on its ``peers`` address: forwarded requests, and the probes' paths beside them.
+"""Application on a node's ``peers`` address: serves forwarded requests and the paths of the probes.
 
-Only joins the two by path; who may forward is checked by the coordinator.
+Only selects the application by path; the coordinator checks which hosts may forward requests.
 """
 
 from collections.abc import Awaitable, Callable
@@ -12,7 +12,7 @@
 
 
 class PeerApplication:
-    """Serves ``COORDINATE_PATH`` by the coordinator and every other path by the probes."""
+    """Passes ``COORDINATE_PATH`` to the coordinator and every other path to the probes."""
 
     __slots__ = ("_coordinator", "_probes")
 
@@ -22,5 +22,5 @@
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
-        coordinates = scope["type"] == "http" and scope["path"] == COORDINATE_PATH
-        await (self._coordinator if coordinates else self._probes)(scope, receive, send)
+        is_forwarded = scope["type"] == "http" and scope["path"] == COORDINATE_PATH
+        await (self._coordinator if is_forwarded else self._probes)(scope, receive, send)
--- a/src/yokesill/serving/peer_changes.py
+++ b/src/yokesill/serving/peer_changes.py
@@ -1,7 +1,7 @@
-"""Tells a node's components which nodes can be reached, after each reading of the directory of nodes.
+"""Distributes the contacts of all live nodes to a node's components after each read of the node directory.
 
-Owns nothing; ``registry.node_presence`` calls it. The order matters: ``RemoteCoordinators`` must know the
-nodes before it says which of them gather wide requests.
+Holds no state; ``registry.node_presence`` calls it. The order of the calls matters: ``RemoteCoordinators``
+must have the nodes before it returns which of them gather wide requests.
 """
 
 from collections.abc import Iterable
@@ -17,7 +17,7 @@
 
 
 class PeerChanges:
-    """Passes the contacts of all nodes on; see ``peers_changed``."""
+    """Passes the contacts of all nodes to the components; see ``peers_changed``."""
 
     __slots__ = ("_driver", "_findings", "_following", "_reachability", "_remote_coordinators", "_rollouts")
 
@@ -38,7 +38,7 @@
         self._reachability = reachability
 
     def peers_changed(self, contacts: Iterable[NodeContact]) -> None:
-        """Exchange findings and requests with these nodes from now on."""
+        """Replace the nodes that this node exchanges findings and requests with."""
         contacts = tuple(contacts)
         self._following.set_nodes(contacts)
         if self._rollouts is not None:
--- a/src/yokesill/serving/probes.py
+++ b/src/yokesill/serving/probes.py
@@ -1,8 +1,7 @@
-"""What a node answers besides callers' requests: readiness, metrics, roll-outs, and its state for other
-nodes.
+"""Answers requests of operators and other nodes: readiness, metrics, roll-outs, and the node's state.
 
-Owns nothing: each answer is read at the moment of the call. Paths and contents are relied on by operators and
-by nodes of other releases.
+Holds no state: each answer is computed at the time of the request. Operators and nodes of other releases
+rely on the paths and contents.
 """
 
 import json
@@ -18,14 +17,14 @@
 
 
 class ProbeApplication:
-    """Answers ``ready_path`` with 200 or 503 and ``METRICS_PATH`` with the figures as text.
+    """Answers ``ready_path`` with 200 or 503 and ``METRICS_PATH`` with the metrics as text.
 
-    ``ROLLOUTS_PATH`` has the roll-outs as JSON, 404 where nothing is rolled out. Starting nodes fetch this
-    node's state from ``SNAPSHOT_PATH``, nodes that missed something a feed from below ``STATE_PATH``; both
-    are 503 while nothing is known.
+    ``ROLLOUTS_PATH`` returns the roll-outs as JSON, or 404 if the node has no roll-outs. Starting nodes fetch
+    this node's state from ``SNAPSHOT_PATH``, and nodes that missed changes fetch a feed from a path below
+    ``STATE_PATH``; both return 503 while this node has no state.
     """
 
-    __slots__ = ("_ready", "_ready_path", "_render_figures", "_rollouts", "_snapshot", "_state")
+    __slots__ = ("_ready", "_ready_path", "_render_metrics", "_rollouts", "_snapshot", "_state")
 
     def __init__(
         self,
@@ -38,7 +37,7 @@
     ) -> None:
         self._ready_path = ready_path
         self._ready = ready
-        self._render_figures = render_metrics
+        self._render_metrics = render_metrics
         self._snapshot = snapshot
         self._state = state
         self._rollouts = rollouts
@@ -48,8 +47,8 @@
         if scope["type"] != "http":
             return
         status, body = self._answer(scope["path"])
-        kind = _kind_of(scope["path"])
-        headers = [(b"content-type", kind), (b"content-length", str(len(body)).encode())]
+        content_type = _content_type(scope["path"])
+        headers = [(b"content-type", content_type), (b"content-length", str(len(body)).encode())]
         await send({"type": "http.response.start", "status": status, "headers": headers})
         await send({"type": "http.response.body", "body": body})
 
@@ -57,7 +56,7 @@
         if path == self._ready_path:
             return (OK, b"ready\n") if self._ready() else (UNAVAILABLE, b"not ready\n")
         if path == METRICS_PATH:
-            return OK, self._render_figures()
+            return OK, self._render_metrics()
         if path == ROLLOUTS_PATH:
             view = self._rollouts()
             return (NOT_FOUND, b"null\n") if view is None else (OK, json.dumps(view).encode())
@@ -68,7 +67,7 @@
         return NOT_FOUND, b"not found\n"
 
 
-def _kind_of(path: str) -> bytes:
+def _content_type(path: str) -> bytes:
     if path == ROLLOUTS_PATH:
         return JSON
     return CBOR if path.startswith((SNAPSHOT_PATH, STATE_PATH)) else TEXT
--- a/src/yokesill/serving/process.py
+++ b/src/yokesill/serving/process.py
@@ -1,7 +1,7 @@
-"""The life cycle of one gateway node: start, become ready, serve, drain, stop.
+"""Runs one gateway node: starts it, makes it ready, serves, drains and stops it.
 
-Owns the listeners and the tasks; ``builder`` makes the components that they run, and ``life_cycle`` holds
-the state that readiness probes show.
+Owns the listeners and the tasks. ``builder`` creates the components that they run, and ``life_cycle`` holds
+the state that readiness probes report.
 """
 
 import random
@@ -18,15 +18,15 @@
 from yokesill.serving.life_cycle import LifeCycle
 from yokesill.serving.settings import GatewaySettings
 
-# How long a start or a drain may go on after what it waits for: unnoticed beside a start of 165 ms
+# How often a start or a drain checks whether it is complete: negligible compared to a start of 165 ms
 # (bench/startup.py) and a stop of seconds.
 POLL_INTERVAL_S = 0.01
-# How old a line may be when it is written; a killed node loses as much.
+# Maximum age of a log line when it is written; a node that is killed loses the lines of this interval.
 LOG_FLUSH_INTERVAL_S = 0.5
 
 
 class GatewayProcess:
-    """One node of the gateway; ``node`` is there once it runs."""
+    """One node of the gateway; ``node`` is set when ``run`` starts."""
 
     node: NodeComponents
 
@@ -43,7 +43,7 @@
         self.life_cycle = LifeCycle(self._log)
 
     async def run(self) -> None:
-        """Serve; returns once a planned stop is complete."""
+        """Run the node; returns when a planned stop is complete."""
         self.node = node = build_node(
             self.settings,
             self._dependencies,
@@ -54,7 +54,7 @@
         )
         async with anyio.create_task_group() as task_group:
             await task_group.start(node.driver.run)
-            for name, run in self._background().items():
+            for name, run in self._background_tasks().items():
                 task_group.start_soon(node.supervisor.keep_running, name, run)
             await self._listen()
             task_group.start_soon(node.supervisor.keep_running, "readiness", self._become_ready)
@@ -69,7 +69,7 @@
         self._stop_requested.set()
 
     def apply_settings(self, settings: GatewaySettings) -> None:
-        """Apply what a running node can change of its settings."""
+        """Apply the settings that can change while the node runs."""
         self.settings = settings
         self._dependencies.set_registry_address(settings.registry)
         self.node.bootstrap.set_seeds(settings.seeds)
@@ -77,11 +77,11 @@
 
     @property
     def ready(self) -> bool:
-        """Whether readiness probes are answered with 200."""
+        """Whether readiness probes are answered with status 200."""
         return self.life_cycle.is_ready()
 
-    def _background(self) -> dict[str, Callable[[], Awaitable[object]]]:
-        """Return what runs beside the requests, by its name in ``part_failed``."""
+    def _background_tasks(self) -> dict[str, Callable[[], Awaitable[object]]]:
+        """Return the background tasks, by their names in the log event ``part_failed``."""
         node = self.node
         parts: dict[str, Callable[[], Awaitable[object]]] = {
             "registry": node.following.run,
@@ -115,7 +115,7 @@
         gc_tuning.freeze()
 
     async def _drain(self) -> None:
-        """Report not ready, serve requests that still arrive, then finish those in flight."""
+        """Report not ready while still accepting requests, then finish the requests in flight."""
         node = self.node
         node.application.stopping = True
         if self.life_cycle.apply_event("stop") == "withdrawing":
@@ -131,7 +131,7 @@
 
     @property
     def _in_flight(self) -> int:
-        """How many requests have no answer yet: callers', and those of other nodes."""
+        """The number of unanswered requests from callers and other nodes."""
         return self.node.application.in_flight + self.node.coordinator.in_flight
 
     async def _flush_logs(self) -> None:
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -1,4 +1,4 @@
-"""Connects a node's router to other nodes and to the registry's record of requests that crash servers."""
+"""Connects a node's router to other nodes and to the registry's records of requests that crash servers."""
 
 import random
 from collections.abc import Callable
@@ -24,31 +24,31 @@
 from yokesill.serving.driver import CrashFinding
 from yokesill.verdict import Failure
 
-# Between two tries to write a record that failed, spread by a half each way: nodes have told each other by
-# then, so only a restart of all of them in this time would lose the quarantine.
+# Pause before a failed write of a record is retried, randomised by up to half in either direction. By then
+# the nodes have informed each other, so the quarantine is only lost if all of them restart within this time.
 RECORD_RETRY_S = 0.5
-# A quarantined request runs again after so long: its servers' software may have been repaired meanwhile. If
-# not, it crashes a server of each of its shards and two more each time.
+# Time after which a quarantined request may run again, since its servers' software may have been fixed. If it
+# was not, the request crashes one server of each of its shards and two more each time.
 RECORD_TTL_S = 3600.0
-# How often records are checked for their age; a sixtieth of the above is precise enough.
+# Interval between checks for expired records; a sixtieth of ``RECORD_TTL_S`` is precise enough.
 EXPIRY_CHECK_INTERVAL_S = 60.0
 
 
 class QuarantineLink:
-    """Tells others what the router found, the router what others found, and keeps the record.
+    """Exchanges findings between the router and other nodes, and maintains the registry's records.
 
     Parameters
     ----------
     exchange
-        Knows whom to tell.
+        Selects the nodes that get each report or finding.
     crashes
-        What the router knows.
+        The router's state of quarantined and suspected requests.
     feed
-        Gives the router an event.
+        Feeds an event to the router.
     records
-        The registry's record; ``None`` where there is none.
+        The registry's records of quarantined requests; ``None`` if there are none.
     source
-        Spreads calls over time.
+        Random source that spreads calls over time.
     wake
         Called when there is something to send.
     """
@@ -71,30 +71,30 @@
         self._random = source
         self._wake = wake
         self._unrecorded: dict[str, None] = {}
-        # Recorded once, and perhaps lost by the registry since.
-        self._recorded_again: dict[str, None] = {}
+        # Recorded earlier, but possibly lost by the registry since.
+        self._possibly_lost: dict[str, None] = {}
         self._recorded_at_s: dict[str, float] = {}
-        self._record_due = anyio.Event()
+        self._record_requested = anyio.Event()
         self._log = get_logger("quarantine")
 
     # --- datagrams ---
 
     @property
     def pending(self) -> bool:
-        """Whether there is something to send."""
+        """Whether ``flush`` would return anything."""
         return self._exchange.pending
 
     @property
     def urgent(self) -> bool:
-        """Whether it can't wait for more to go with it."""
+        """Whether something must be sent without waiting for more to batch with it."""
         return self._exchange.urgent
 
     def flush(self) -> list[Datagram]:
-        """Return what is to be sent now."""
+        """Return the datagrams to send now."""
         return self._exchange.flush()
 
     def on_finding(self, finding: CrashFinding) -> None:
-        """Tell others what this node's router found."""
+        """Send a finding of this node's router to other nodes."""
         match finding:
             case ev.LossObserved(fingerprint, loss):
                 self._exchange.report_loss(LossReport(fingerprint, loss))
@@ -106,7 +106,7 @@
         self._wake()
 
     def receive(self, data: bytes, sender: str, now: float) -> None:
-        """Read a datagram; raises ``ValueError`` if it is no message or from no node."""
+        """Handle a datagram; raises ``ValueError`` if it is no valid message or its sender is not a node."""
         match self._exchange.receive(data, sender):
             case Losses(losses):
                 for fingerprint, loss in losses:
@@ -120,44 +120,44 @@
                     if self._exchange.owns(fingerprint):
                         self._record_soon(fingerprint, status)
 
-    # --- the record ---
+    # --- records ---
 
     async def run(self) -> None:
-        """Keep the registry's record until cancelled."""
+        """Maintain the registry's records until cancelled."""
         if self._records is None:
             return
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._record, self._records)
-            task_group.start_soon(self._lift_old, self._records)
+            task_group.start_soon(self._lift_expired, self._records)
 
     def record_again(self) -> None:
-        """Record what the registry may have lost by coming back from an older copy: the owners do it."""
+        """Record owned requests again that the registry may have lost when restored from an older copy."""
         owned = (each for each in self._crashes.detector.recorded if self._exchange.owns(each))
-        self._recorded_again.update(dict.fromkeys(owned))
-        self._record_due.set()
+        self._possibly_lost.update(dict.fromkeys(owned))
+        self._record_requested.set()
 
     def _record_soon(self, fingerprint: str, status: QuarantineStatus) -> None:
         if status is QuarantineStatus.QUARANTINED and fingerprint not in self._crashes.detector.recorded:
             self._unrecorded[fingerprint] = None
-            self._record_due.set()
+            self._record_requested.set()
 
     async def _record(self, records: QuarantineRecords) -> None:
-        """Record what was found, as often as that takes; what another node has recorded needs no call."""
+        """Record quarantined requests, with retries; skip those that another node has recorded."""
         while True:
-            await self._record_due.wait()
-            self._record_due = anyio.Event()
-            while pending := self._recorded_again or self._unrecorded:
+            await self._record_requested.wait()
+            self._record_requested = anyio.Event()
+            while pending := self._possibly_lost or self._unrecorded:
                 fingerprint = next(iter(pending))
-                known = pending is self._unrecorded and fingerprint in self._crashes.detector.recorded
-                failure = None if known else await records.record(fingerprint)
+                recorded = pending is self._unrecorded and fingerprint in self._crashes.detector.recorded
+                failure = None if recorded else await records.record(fingerprint)
                 if failure is None:
                     pending.pop(fingerprint, None)
                     continue
                 self._log_failure("quarantine_not_recorded", fingerprint, failure)
                 await anyio.sleep(RECORD_RETRY_S * (0.5 + self._random.random()))
 
-    async def _lift_old(self, records: QuarantineRecords) -> None:
-        """Take requests off the record that have been on it for long; each one's owners do it."""
+    async def _lift_expired(self, records: QuarantineRecords) -> None:
+        """Lift the quarantine of owned requests whose record is older than ``RECORD_TTL_S``."""
         while True:
             await anyio.sleep(EXPIRY_CHECK_INTERVAL_S * (0.5 + self._random.random()))
             now, recorded = anyio.current_time(), self._crashes.detector.recorded
--- a/src/yokesill/serving/reachability.py
+++ b/src/yokesill/serving/reachability.py
@@ -1,7 +1,7 @@
-"""Checks whether a node that depends on other zones still reaches any of their nodes or servers.
+"""Checks whether a node that depends on other zones can reach any of their nodes or servers.
 
-Opens connections and closes them at once, few and only without answers of servers elsewhere; the decision is
-``gateway.partition``'s. Owns the list of nodes of other zones.
+Opens connections and closes them immediately; it opens few, and only while no server of another zone answers.
+``gateway.partition`` makes the decision. Owns the list of nodes of other zones.
 """
 
 import contextlib
@@ -17,56 +17,56 @@
 from yokesill.serving.settings import Address
 from yokesill.upstreams.wires import StreamConnector
 
-# Ten times the longest way between regions: a place that needs longer can't serve a request in time.
+# Ten times the longest latency between regions: a slower endpoint can't serve a request in time.
 CONNECT_TIMEOUT_S = 0.25
-# Places of each kind that one check tries after a check that reached none: two nodes, since one may be dead.
-NODES_TRIED = 2
-SERVERS_TRIED = 1
+# Endpoints that a check tries if the previous check reached none: two nodes, since one may be dead.
+RECHECKED_NODES = 2
+RECHECKED_SERVERS = 1
 
-Place = TypeVar("Place")
+Endpoint = TypeVar("Endpoint")
 
 
 class Reachability:
-    """Checks one node's ways to servers and nodes of other zones.
+    """Checks one node's connectivity to servers and nodes of other zones.
 
     Parameters
     ----------
     zone
-        This node's.
+        This node's zone.
     router
-        Has the services and servers.
-    answered_at_s
-        Return when a server of another zone last answered this node, in seconds of its clock.
+        Holds the configuration and the servers.
+    last_remote_answer_s
+        Returns when a server of another zone last answered this node, in seconds of the node's clock.
     connect
-        Open a connection.
-    changed
-        Called with whether the node is partitioned, when that changes.
+        Opens a connection.
+    on_change
+        Called with whether the node is partitioned, when this changes.
     source
-        Chooses the places to try.
+        Random source that chooses the endpoints to try.
     """
 
     def __init__(
         self,
         zone: str,
         router: GatewayRouter,
-        answered_at_s: Callable[[], float],
+        last_remote_answer_s: Callable[[], float],
         connect: StreamConnector,
-        changed: Callable[[bool], object],
+        on_change: Callable[[bool], object],
         source: random.Random,
     ) -> None:
         self.detector = PartitionDetector()
         self._zone = zone
         self._router = router
-        self._answered_at_s = answered_at_s
+        self._last_remote_answer_s = last_remote_answer_s
         self._connect = connect
-        self._changed = changed
+        self._on_change = on_change
         self._random = source
         self._nodes: tuple[Address, ...] = ()
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Replace the nodes that can be tried."""
+        """Replace the known nodes; those of other zones can be tried."""
         others = (each.peers for each in contacts if each.zone != self._zone and each.peers)
-        self._nodes = tuple(_address(each) for each in others)
+        self._nodes = tuple(_parse_address(each) for each in others)
 
     async def run(self) -> None:
         """Check until cancelled."""
@@ -80,46 +80,47 @@
             else:
                 self.detector.record_unreachable(now)
             if self.detector.partitioned != before:
-                self._changed(self.detector.partitioned)
+                self._on_change(self.detector.partitioned)
 
     async def _reaches_anything(self) -> bool:
-        """Whether a server elsewhere answered since the last check, or a place accepts a connection.
+        """Whether a server of another zone answered since the last check or an endpoint accepts connections.
 
-        Without nodes elsewhere a partition can't be told from servers that are dark for all nodes.
+        True if there are no nodes in other zones: a partition can't be distinguished from servers that are
+        unreachable for all nodes.
         """
         since_s = anyio.current_time() - self.detector.interval_s
-        if self._answered_at_s() >= since_s or not self._nodes:
+        if self._last_remote_answer_s() >= since_s or not self._nodes:
             return True
         records = self._router.servers.records()
         if not depends_on_others(self._zone, self._router.configuration, records):
             return True
-        places = self._some(self._nodes, NODES_TRIED if self.detector.last_check_failed else 1)
+        endpoints = self._sample(self._nodes, RECHECKED_NODES if self.detector.last_check_failed else 1)
         if self.detector.last_check_failed:
-            far = [each for each in records if each.zone != self._zone]
-            places += [Address(each.host, each.port) for each in self._some(far, SERVERS_TRIED)]
-        return await self._connects_to_any(places)
+            remote = [each for each in records if each.zone != self._zone]
+            endpoints += [Address(each.host, each.port) for each in self._sample(remote, RECHECKED_SERVERS)]
+        return await self._connects_to_any(endpoints)
 
-    def _some(self, places: Sequence[Place], count: int) -> list[Place]:
-        return self._random.sample(places, min(count, len(places)))
+    def _sample(self, endpoints: Sequence[Endpoint], count: int) -> list[Endpoint]:
+        return self._random.sample(endpoints, min(count, len(endpoints)))
 
-    async def _connects_to_any(self, places: list[Address]) -> bool:
+    async def _connects_to_any(self, endpoints: list[Address]) -> bool:
         reached: list[Address] = []
 
-        async def try_one(place: Address) -> None:
-            # Not logged: one place that refuses says nothing; the life cycle logs when the decision changes.
+        async def try_connect(endpoint: Address) -> None:
+            # Not logged: a single refusal is not significant; the life cycle logs when the decision changes.
             with contextlib.suppress(OSError, anyio.BrokenResourceError):
-                stream = await self._connect(place.host, place.port)
+                stream = await self._connect(endpoint.host, endpoint.port)
                 await anyio.aclose_forcefully(stream)
-                reached.append(place)
+                reached.append(endpoint)
                 tasks.cancel_scope.cancel()
 
         with anyio.move_on_after(CONNECT_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
-                for place in places:
-                    tasks.start_soon(try_one, place)
+                for endpoint in endpoints:
+                    tasks.start_soon(try_connect, endpoint)
         return bool(reached)
 
 
-def _address(text: str) -> Address:
+def _parse_address(text: str) -> Address:
     host, _, port = text.rpartition(":")
     return Address(host, int(port))
--- a/src/yokesill/serving/reload.py
+++ b/src/yokesill/serving/reload.py
@@ -1,7 +1,7 @@
-"""Reads the settings file again while a node runs: on a signal, or when the file changed without one.
+"""Reloads the settings file while a node runs: on a signal, or when the file has changed.
 
-A file with mistakes changes nothing. What a running node can't change (addresses, the zone) is logged and
-takes effect at the next start.
+A file with mistakes is rejected as a whole. Changes that a running node can't apply (addresses, the zone) are
+logged and take effect at the next start.
 """
 
 from collections.abc import Callable
@@ -12,14 +12,14 @@
 from yokesill.logs import get_logger
 from yokesill.serving.settings import GatewaySettings, SettingsProblem
 
-# How late a changed file is noticed without a signal; a check is one system call.
+# Interval at which the file is checked for changes; a check is one system call.
 CHECK_INTERVAL_S = 2.0
 # Settings whose changes take effect in a running node; ``GatewayProcess.apply_settings`` applies them.
-APPLIED = frozenset({"registry", "seeds", "stop_grace_s", "budget"})
+RELOADABLE_SETTINGS = frozenset({"registry", "seeds", "stop_grace_s", "budget"})
 
 
 class SettingsFollower:
-    """Reads the settings by ``load`` and passes those without mistakes to ``apply``."""
+    """Reads the settings with ``load`` and passes them to ``apply`` if they contain no mistakes."""
 
     def __init__(
         self,
@@ -32,26 +32,26 @@
         self._current = current
         self._load = load
         self._apply = apply
-        self._seen = self._stamp()
+        self._last_stamp = self._stamp()
         self._log = get_logger("settings")
 
     async def run(self) -> None:
-        """Check for a changed file until cancelled."""
+        """Reload the file whenever it has changed, until cancelled."""
         while True:
             await anyio.sleep(CHECK_INTERVAL_S)
-            if self._stamp() != self._seen:
+            if self._stamp() != self._last_stamp:
                 self.reload("file")
 
-    def reload(self, why: str) -> None:
-        """Read the file and apply what changed."""
-        self._seen = self._stamp()
+    def reload(self, reason: str) -> None:
+        """Read the file and apply the settings; ``reason`` is logged."""
+        self._last_stamp = self._stamp()
         newer = self._load(self._path)
         if isinstance(newer, list):
-            self._log.error("settings_rejected", why=why, problems=[str(each) for each in newer])
+            self._log.error("settings_rejected", why=reason, problems=[str(each) for each in newer])
             return
         changed = self._current.changes(newer)
-        waiting = [name for name in changed if name not in APPLIED]
-        self._log.info("settings_reloaded", why=why, changed=changed, at_next_start=waiting)
+        deferred = [name for name in changed if name not in RELOADABLE_SETTINGS]
+        self._log.info("settings_reloaded", why=reason, changed=changed, at_next_start=deferred)
         self._current = newer
         self._apply(newer)
 
@@ -59,7 +59,7 @@
         try:
             status = self._path.stat()
         except OSError:
-            # Differs from any stamp, and so makes ``run`` read the file: ``settings_rejected`` says why it
-            # can't be.
+            # Differs from every other stamp, so that ``run`` reloads the file and ``settings_rejected`` logs
+            # why it can't be read.
             return None
         return (status.st_mtime_ns, status.st_size)
--- a/src/yokesill/serving/request_path.py
+++ b/src/yokesill/serving/request_path.py
@@ -1,6 +1,7 @@
-"""Makes the components on a request's path: router and driver, their feeds, and what serves callers.
+"""Creates the components on a request's path: router and driver, their feeds, and the callers' application.
 
-The first stages of ``builder``, which makes what a node does together with others on top. Owns nothing.
+These are the first stages of ``builder``, which adds the components that exchange information with other
+nodes. Holds no state.
 """
 
 import random
@@ -34,7 +35,7 @@
 
 
 class Core(NamedTuple):
-    """What all other components are built on."""
+    """Components that all others depend on."""
 
     settings: GatewaySettings
     dependencies: Dependencies
@@ -50,7 +51,7 @@
 
 
 class Registry(NamedTuple):
-    """What keeps the router up to date, and finds coordinators by it."""
+    """Components that keep the router up to date and find coordinators."""
 
     updates: FeedUpdates
     following: RegistryFollowing
@@ -58,7 +59,7 @@
 
 
 class Callers(NamedTuple):
-    """What serves callers."""
+    """Components that serve callers."""
 
     application: GatewayApplication
     listener: Listener
@@ -67,12 +68,12 @@
 def create_core(
     settings: GatewaySettings, dependencies: Dependencies, source: random.Random, now: float
 ) -> Core:
-    """Return what all other components are built on."""
+    """Return the components that all others depend on."""
     options = settings.options()
-    figures = GatewayMetrics()
-    observer = Observer(get_logger("requests"), figures)
+    metrics = GatewayMetrics()
+    observer = Observer(get_logger("requests"), metrics)
     router = GatewayRouter(options, source, now)
-    supervisor = Supervisor(partial(_count_failure, figures))
+    supervisor = Supervisor(partial(_count_failure, metrics))
     client = ServerClient(dependencies.names, supervisor=supervisor)
     driver = GatewayDriver(router, client, observer.log_event, supervisor)
     key_prefix = f"{settings.node}-{source.getrandbits(32):08x}"
@@ -81,7 +82,7 @@
         dependencies,
         options,
         source,
-        figures,
+        metrics,
         observer,
         router,
         supervisor,
@@ -91,12 +92,12 @@
     )
 
 
-def _count_failure(figures: GatewayMetrics, _part: str) -> None:
-    figures.decisions["part_failed"] += 1
+def _count_failure(metrics: GatewayMetrics, _part: str) -> None:
+    metrics.decisions["part_failed"] += 1
 
 
 def create_registry(core: Core) -> Registry:
-    """Return what keeps the router up to date."""
+    """Return the components that keep the router up to date."""
     dependencies = core.dependencies
     updates = FeedUpdates(
         core.driver,
@@ -131,7 +132,7 @@
 
 
 def create_callers(core: Core, registry: Registry) -> Callers:
-    """Return what serves callers."""
+    """Return the components that serve callers."""
     forwarder = None
     if core.options.switches.hands_over:
         forwarder = Forwarder(
@@ -151,5 +152,5 @@
 
 
 def _is_suspected(router: GatewayRouter, request: GatewayRequest) -> bool:
-    """Whether a request may crash servers: if a coordinator failed, two nodes would send it."""
+    """Whether a request may crash servers; if its coordinator failed, a second node would send it too."""
     return router.quarantine.status(request, anyio.current_time()) > QuarantineStatus.CLEAR
--- a/src/yokesill/serving/rollout_link.py
+++ b/src/yokesill/serving/rollout_link.py
@@ -1,6 +1,6 @@
-"""Drives a node's share in roll-outs: reports and decisions as datagrams, records to the registry.
+"""Runs a node's part in roll-outs: exchanges reports and decisions as datagrams, writes records.
 
-While no order is open nothing is sent and nothing is done.
+While no order is open, it sends nothing and does no work.
 """
 
 import math
@@ -22,47 +22,48 @@
 from yokesill.serving.rollout_view import RolloutView, order_view
 from yokesill.serving.settings import Address
 
-# A decider looks so often at what was reported meanwhile: a version found bad is left that much sooner.
+# How often a decider evaluates new reports; a shorter interval rolls a bad version back sooner.
 DECIDING_INTERVAL_S = 0.1
-# Many orders that change in one moment are announced together: it adds little to the interval above.
-URGENT_GAP_S = 0.05
+# Minimum time between urgent announcements, so that orders that change at about the same time are announced
+# together; short compared to ``DECIDING_INTERVAL_S``.
+MIN_ANNOUNCE_INTERVAL_S = 0.05
 
 Send = Callable[[str, bytes], Awaitable[None]]
 
 
 class Router(Protocol):
-    """The node's router, as far as roll-outs need it (``rollout_port.RouterPort``)."""
+    """The interface of the node's router for roll-outs (``rollout_port.RouterPort``)."""
 
     def report(self) -> tuple[OrderReport, ...]:
-        """Return what this node did and saw under the open orders since the last call."""
+        """Return this node's actions and observations under the open orders since the last call."""
 
     def apply_decisions(self, decisions: RolloutDecisions) -> None:
         """Apply a decider's decisions."""
 
     def version_counts(self, service: str) -> Mapping[str, int]:
-        """Return how many servers of a service are listed, by their version."""
+        """Return the number of listed servers of a service by version."""
 
     def services(self) -> Collection[str] | None:
-        """Return the services that the configuration in force names; ``None`` while there is none."""
+        """Return the services that the configuration in force names; ``None`` without one."""
 
 
 class RolloutLink:
-    """Drives a ``RolloutDecider``.
+    """Runs a ``RolloutDecider``.
 
     Parameters
     ----------
     own
-        This node, as the others know it.
+        This node's contact.
     incarnation
-        Distinguishes this start of the node from others.
+        Distinguishes this start of the node from earlier and later ones.
     decider
-        Decides, if this node is to decide.
+        Decides while this node is a decider.
     router
-        Gives reports and gets decisions.
+        Supplies reports and applies decisions.
     records
-        Where states are kept for good.
+        The registry's records, which hold the orders' states permanently.
     reaches_registry
-        Whether the registry answers this node, as far as it knows.
+        Returns whether the registry answers this node, according to its last calls.
     """
 
     def __init__(
@@ -81,11 +82,11 @@
         self._log = get_logger("rollouts")
         self._recorder = RolloutRecorder(decider, records, reaches_registry, self._wake, self._log)
         self._addresses: dict[str, str] = {}
-        self._turn_wanted = anyio.Event()
+        self._iteration_requested = anyio.Event()
         self._reported_at_s = self._announced_at_s = float("-inf")
 
     def set_nodes(self, contacts: Iterable[NodeContact]) -> None:
-        """Set which nodes there are."""
+        """Replace the known nodes."""
         contacts = tuple(contacts)
         self._addresses = {each.node: each.rollouts for each in contacts if each.rollouts}
         self._addresses.pop(self._own.node, None)
@@ -93,7 +94,7 @@
         self._decider.set_nodes({**cores, self._own.node: self._own.cores})
 
     def apply_update(self, event: Event) -> None:
-        """Apply what the registry, or another node, says of orders; other events change nothing."""
+        """Apply an event about orders from the registry or another node; ignore other events."""
         now = anyio.current_time()
         match event:
             case RolloutOrdered(order):
@@ -107,7 +108,7 @@
         self._wake()
 
     def view(self) -> RolloutView:
-        """Return what this node knows of all orders; counts are whole at nodes that decide."""
+        """Return this node's state of all orders; the counts are complete only at deciders."""
         figures = self._decider.figures(anyio.current_time())
         return RolloutView(
             node=self._own.node,
@@ -118,17 +119,18 @@
     # --- running ---
 
     async def run(self, address: Address | None) -> None:
-        """Run until cancelled; without a port this node follows the records and decides nothing."""
+        """Run until cancelled; without a port return, since this node then only follows the records."""
         datagrams = DatagramSocket(address, self._log)
         await datagrams.run(self.receive, partial(self.serve, datagrams.send))
 
     async def serve(self, send: Send) -> None:
-        """Report and decide at each interval, and at once when something must be announced."""
+        """Report and decide at each interval, and immediately when something must be announced."""
         clock = running_clock()
         async with anyio.create_task_group() as tasks:
             while True:
-                # Before deciding: what arrives while a datagram goes out asks for another turn.
-                self._turn_wanted = anyio.Event()
+                # Reset before deciding, since a datagram that arrives while others are sent requests another
+                # iteration.
+                self._iteration_requested = anyio.Event()
                 now = clock()
                 self._update_decider(now)
                 await self._report(send, now)
@@ -139,15 +141,15 @@
                     self._log.info(name, **details)
                 pause_s = self._pause_s(now)
                 with anyio.move_on_after(pause_s):
-                    await self._turn_wanted.wait()
+                    await self._iteration_requested.wait()
 
     def receive(self, data: bytes, sender: str, now: float) -> None:
-        """Read a datagram from ``sender`` (``IP:PORT``); only nodes that announced themselves count.
+        """Handle a datagram from ``sender`` (``IP:PORT``); datagrams from unknown nodes are ignored.
 
         Raises
         ------
         ValueError
-            It is no message.
+            The datagram is not a valid message.
         """
         message = decode(data)
         if self._addresses.get(message.node) != sender:
@@ -161,7 +163,7 @@
             self._wake()
 
     def _wake(self) -> None:
-        self._turn_wanted.set()
+        self._iteration_requested.set()
 
     def _pause_s(self, now: float) -> float:
         decider = self._decider
@@ -196,15 +198,17 @@
 
     async def _announce(self, send: Send, now: float) -> None:
         """Send this node's decisions to all nodes if they are due."""
-        silent_s = now - self._announced_at_s
-        if silent_s < (URGENT_GAP_S if self._decider.urgent(now) else self._decider.interval_s / 2):
+        since_announcement_s = now - self._announced_at_s
+        if since_announcement_s < (
+            MIN_ANNOUNCE_INTERVAL_S if self._decider.urgent(now) else self._decider.interval_s / 2
+        ):
             return
         decisions = self._decider.decisions(now)
         if decisions is None:
             return
         self._announced_at_s = now
         self._router.apply_decisions(decisions)
-        # A decider that can't reach the registry says so even when it has nothing to announce.
+        # A decider that can't reach the registry announces this even without decisions.
         for orders in tuple(split_into_datagrams(decisions.orders)) or ((),):
             data = encode(decisions._replace(orders=orders))
             for address in list(self._addresses.values()):
--- a/src/yokesill/serving/rollout_port.py
+++ b/src/yokesill/serving/rollout_port.py
@@ -1,4 +1,4 @@
-"""Connects a node's share in roll-outs to its router."""
+"""Connects a node's roll-out link to its router."""
 
 import random
 import time
@@ -16,12 +16,12 @@
 
 
 class RouterPort:
-    """What a ``RolloutLink`` needs of the node's router.
+    """The interface of the node's router that a ``RolloutLink`` needs.
 
     Parameters
     ----------
     driver
-        Feeds the router.
+        Feeds the node's router.
     """
 
     def __init__(self, driver: GatewayDriver) -> None:
@@ -29,7 +29,7 @@
         self._router = driver.router
 
     def report(self) -> tuple[OrderReport, ...]:
-        """Return what this node did and saw under the open orders since the last call."""
+        """Return this node's actions and observations under the open orders since the last call."""
         return self._router.rollout_report(anyio.current_time())
 
     def apply_decisions(self, decisions: RolloutDecisions) -> None:
@@ -37,11 +37,11 @@
         self._driver.feed(RolloutDecisionsReceived(decisions))
 
     def version_counts(self, service: str) -> Mapping[str, int]:
-        """Return how many servers of a service are listed, by their version."""
+        """Return the number of listed servers of a service by version."""
         return self._router.version_counts(service)
 
     def services(self) -> Collection[str] | None:
-        """Return the services that the configuration in force names; ``None`` while there is none."""
+        """Return the services that the configuration in force names; ``None`` without one."""
         configuration = self._router.configuration
         return configuration.services.keys() if configuration is not None else None
 
@@ -54,8 +54,8 @@
     reaches_registry: Callable[[], bool],
     source: random.Random,
 ) -> RolloutLink:
-    """Return a link that reports what the driver's router did and feeds it the deciders' decisions."""
-    # Distinguishes this node's starts. Nobody compares which is later: a clock that is set back does no harm.
+    """Return a link that sends the reports of the driver's router and feeds it the deciders' decisions."""
+    # Distinguishes this node's starts. Incarnations are not ordered, so setting the clock back does no harm.
     incarnation = time.time_ns() // 1_000_000
     decider = RolloutDecider(own.node, incarnation, limits, source, anyio.current_time())
     return RolloutLink(own, incarnation, decider, RouterPort(driver), records, reaches_registry)
--- a/src/yokesill/serving/rollout_recorder.py
+++ b/src/yokesill/serving/rollout_recorder.py
@@ -1,4 +1,4 @@
-"""Writes roll-outs' records to the registry, and knows whether this node can."""
+"""Writes the records of roll-outs to the registry and tracks whether this node is able to."""
 
 from collections.abc import Callable
 
@@ -11,25 +11,25 @@
 from yokesill.rollouts.orders import RolloutOrder
 from yokesill.verdict import Failure, Reason, Verdict
 
-# A node that failed to write a record leaves deciding to others for so long: four of its reports.
-UNABLE_S = 2.0
+# Time for which a node leaves decisions to others after it failed to write a record: four of its reports.
+WRITE_FAILURE_BACKOFF_S = 2.0
 
 
 class RolloutRecorder:
-    """Writes what a decider wants recorded, each in a task of its own.
+    """Writes a decider's records, each in a separate task.
 
     Parameters
     ----------
     decider
-        Learns how each write ended.
+        Gets the outcome of each write.
     records
         The registry's records.
     reaches_registry
-        Whether the registry answers this node, as far as it knows.
+        Returns whether the registry answers this node, according to its last calls.
     wake
         Called after each write.
     log
-        Gets a line for each write that failed.
+        Logs each failed write.
     """
 
     def __init__(
@@ -45,27 +45,27 @@
         self._reaches_registry = reaches_registry
         self._wake = wake
         self._log = log
-        self._unable_until_s = 0.0
+        self._backoff_until_s = 0.0
 
     def can_record(self, now: float) -> bool:
-        """Whether the registry answers this node, and no write of it failed lately."""
-        return self._reaches_registry() and now >= self._unable_until_s
+        """Whether the registry answers this node and none of its writes failed recently."""
+        return self._reaches_registry() and now >= self._backoff_until_s
 
     def start(self, order: RolloutOrder, tasks: anyio.abc.TaskGroup) -> None:
-        """Begin to write a record."""
+        """Start a task that writes a record."""
         tasks.start_soon(self._record, order)
 
     async def _record(self, order: RolloutOrder) -> None:
         try:
             outcome = await self._records.record(order)
         except BaseException as error:
-            # The decider writes nothing else of this order before it knows how this write ended.
+            # The decider writes no other record of this order until it gets the outcome of this write.
             failure = Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, repr(error))
             self._decider.write_ended(order, failure, anyio.current_time())
             raise
         now = anyio.current_time()
         if isinstance(outcome, Failure):
-            self._unable_until_s = now + UNABLE_S
+            self._backoff_until_s = now + WRITE_FAILURE_BACKOFF_S
             self._log.warning(
                 "rollout_not_recorded",
                 service=order.service,
--- a/src/yokesill/serving/rollout_view.py
+++ b/src/yokesill/serving/rollout_view.py
@@ -1,4 +1,4 @@
-"""Roll-outs as one node shows them to operators."""
+"""JSON view of roll-outs that a node returns to operators."""
 
 from typing import TypedDict
 
@@ -6,7 +6,7 @@
 
 
 class OrderView(TypedDict):
-    """One order for operators; times in seconds, ``share`` from 0 to 1."""
+    """One order; times are in seconds, ``share`` is between 0 and 1."""
 
     service: str
     target: str
@@ -23,7 +23,7 @@
 
 
 class RolloutView(TypedDict):
-    """What one node knows of roll-outs."""
+    """One node's state of all roll-outs."""
 
     node: str
     deciding: bool
@@ -31,7 +31,7 @@
 
 
 def order_view(figures: OrderFigures) -> OrderView:
-    """Return an order's figures as JSON takes them."""
+    """Return an order's figures in a form that can be encoded as JSON."""
     return OrderView(
         service=figures.order.service,
         target=figures.order.target,
--- a/src/yokesill/serving/running.py
+++ b/src/yokesill/serving/running.py
@@ -1,6 +1,6 @@
-"""Runs a node's process and its settings' follower, and turns signals into their calls.
+"""Runs a node's process and its settings follower, and handles signals.
 
-SIGTERM and SIGINT begin the planned stop, SIGHUP reads the settings again. ``platform.main`` starts it.
+SIGTERM and SIGINT start the planned stop, SIGHUP reloads the settings. Called by ``platform.main``.
 """
 
 import signal
@@ -15,7 +15,7 @@
 
 
 async def run_until_stopped(process: GatewayProcess, follower: SettingsFollower) -> None:
-    """Run a node: SIGTERM and SIGINT begin its planned stop, SIGHUP reads its settings anew."""
+    """Run a node until it has stopped; signals stop it or reload its settings, see the module."""
     supervisor = Supervisor()
     async with anyio.create_task_group() as task_group:
         task_group.start_soon(supervisor.keep_running, "settings", follower.run)
--- a/src/yokesill/serving/settings.py
+++ b/src/yokesill/serving/settings.py
@@ -1,7 +1,7 @@
-"""Settings of one gateway node, and the time limits derived from its bounds.
+"""Settings of one gateway node and the time limits derived from its bounds.
 
-Filled in by ``platform.settings`` or ``cli.gateway_file``; the names of the fields appear in the log line
-``settings_reloaded``. Each derived limit is a share of a bound that operators set, since bounds differ
+Created by ``platform.settings`` or ``cli.gateway_file``. The log event ``settings_reloaded`` contains the
+names of changed fields. Each derived limit is a share of a bound that operators set, since bounds differ
 between deployments.
 """
 
@@ -13,25 +13,25 @@
 from yokesill.gateway.servers.cold_starts import ColdStartLimits
 from yokesill.rollouts.orders import RolloutLimits
 
-# Time kept at the end of a stop for closing and the last log lines.
+# Time reserved at the end of a stop for closing connections and writing the last log lines.
 STOP_MARGIN_S = 0.4
-# Share of the stop's grace, and the most of it, for which a stopping node still accepts callers: readiness
-# probes notice meanwhile; the rest is for requests in flight.
+# Time for which a stopping node still accepts callers while readiness probes detect that it is not ready: a
+# share of the stop's grace, up to a maximum. The rest of the grace is for requests in flight.
 WITHDRAW_SHARE = 0.5
-WITHDRAW_LIMIT_S = 3.2
-# Share of the bound on leaving servers, and the most of it, for which changes gather into one call.
-GATHERING_SHARE = 0.3
-GATHERING_LIMIT_S = 1.5
-# Share of the bound on recovery after which a swallowed wait is noticed; a check costs a tenth of a call.
-# Derived from the bound: the check, the grace of 0.5 s and a new call fit into it
-# (``docs/design/platform.md``).
-CHECK_SHARE = 0.55
-# Live servers have their entries back within this time after the registry's return: the platform's own
-# figure.
-ENTRIES_BACK_S = 2.0
-# The most of the bound on leaving servers for which a removed one stays a last resort; the rest is for
-# learning of the change and the request's way.
-REMOVED_SHARE = 0.6
+MAX_WITHDRAW_TIME_S = 3.2
+# Time for which changes of servers are coalesced into one call: a share of the bound on leaving servers, up
+# to a maximum.
+COALESCING_SHARE = 0.3
+MAX_COALESCING_DELAY_S = 1.5
+# Interval of checks for a lost long poll, as a share of the bound on recovery: the check, the grace of 0.5 s
+# and a new call fit into the bound (``docs/design/platform.md``). A check costs a tenth of a call.
+LONG_POLL_CHECK_SHARE = 0.55
+# Live servers restore their entries within this time after the registry has recovered; specified by the
+# platform.
+REREGISTRATION_TIME_S = 2.0
+# Maximum share of the bound on leaving servers for which a removed server remains a last resort; the rest is
+# for receiving the change and for sending the request.
+MAX_REMOVED_SHARE = 0.6
 
 
 class Address(NamedTuple):
@@ -46,7 +46,7 @@
 
 
 class SettingsProblem(NamedTuple):
-    """One mistake in a settings file, and where it stands."""
+    """A mistake in a settings file; ``place`` is the path of the field."""
 
     place: str
     message: str
@@ -58,21 +58,22 @@
 
 @dataclass(frozen=True, slots=True)
 class GatewaySettings:
-    """Who and where a node is, and the bounds that it keeps; times in seconds.
+    """A node's identity, addresses and bounds; times are in seconds.
 
     Addresses: ``callers`` and ``probes`` (HTTP), ``peers`` for other nodes (HTTP), ``datagrams`` for findings
-    on servers and requests (UDP), ``reports`` for the registry's watchers (UDP), ``rollout_datagrams`` for
-    decisions on roll-outs (UDP). ``seeds`` have a first state for a node that starts without the registry,
-    ``regions`` says in which region each zone is.
-
-    Bounds that operators set: a configuration is in force ``configuration_bound_s`` after the registry
-    accepted it; a leaving server gets no work after ``leaving_bound_s``, an evacuated zone after
-    ``evacuation_bound_s`` (``None`` where zones are never evacuated); a node is current ``recovery_bound_s``
-    after the registry's return; the process is killed ``stop_grace_s`` after the request to stop.
-
-    ``cold_starts`` limits the work of all nodes at a cold server, ``cores`` is this node's share of
-    processors, ``rollouts`` has the limits of roll-outs (``None`` without them), ``switched_off`` names
-    mechanisms that an experiment does without, see ``GatewayOptions``.
+    about servers and requests (UDP), ``reports`` for the registry's watchers (UDP), ``rollout_datagrams`` for
+    decisions on roll-outs (UDP). ``seeds`` are nodes that send an initial state to a node that starts while
+    the registry is unavailable. ``regions`` maps each zone to its region.
+
+    Bounds that operators set: a configuration is in force at most ``configuration_bound_s`` after the
+    registry accepted it; a leaving server gets no work after ``leaving_bound_s``, nor an evacuated zone after
+    ``evacuation_bound_s`` (``None`` if zones are never evacuated); a node is up to date at most
+    ``recovery_bound_s`` after the registry has recovered; the process is killed ``stop_grace_s`` after the
+    request to stop.
+
+    ``cold_starts`` limits the work that all nodes together send to a cold server, ``cores`` is this node's
+    share of processors, ``rollouts`` has the limits of roll-outs (``None`` without them), and
+    ``switched_off`` names mechanisms that an experiment disables, see ``GatewayOptions``.
     """
 
     node: str
@@ -105,42 +106,42 @@
 
     @property
     def coalescing_delay_s(self) -> float:
-        """How long changes of servers gather before the next call.
+        """Time for which changes of servers are coalesced before the next call of the registry.
 
-        Each answer of the registry is paid for, and servers' entries change all the time; what is
-        left of the bound is for the answer's way and a slow registry.
+        Each answer of the registry has a cost and servers' entries change all the time. The rest of the bound
+        is for the answer's transfer and a slow registry.
         """
-        return min(GATHERING_LIMIT_S, GATHERING_SHARE * self.leaving_bound_s)
+        return min(MAX_COALESCING_DELAY_S, COALESCING_SHARE * self.leaving_bound_s)
 
     @property
     def removed_grace_s(self) -> float:
-        """How long a server whose entry vanished may still be a last resort.
+        """How long a server may be used as a last resort after its entry was removed.
 
-        Entries also lapse while the registry is away, and those of living servers come back soon
-        after its return. What is left of the bound on leaving servers is for this node to learn of it
-        and for the request's way.
+        Entries also expire while the registry is unavailable, and those of live servers return soon after it
+        has recovered. The rest of the bound on leaving servers is for this node to receive the change and for
+        sending the request.
         """
-        return min(ENTRIES_BACK_S, REMOVED_SHARE * self.leaving_bound_s)
+        return min(REREGISTRATION_TIME_S, MAX_REMOVED_SHARE * self.leaving_bound_s)
 
     @property
     def change_bound_s(self) -> float:
-        """Within what time any change in the registry must take effect."""
+        """Time within which any change in the registry must take effect."""
         bound_s = min(self.configuration_bound_s, self.leaving_bound_s)
         return bound_s if self.evacuation_bound_s is None else min(bound_s, self.evacuation_bound_s)
 
     @property
     def check_interval_s(self) -> float:
-        """How often to check whether a wait for changes was swallowed; see ``FeedFollower``."""
-        return CHECK_SHARE * self.recovery_bound_s
+        """Interval of checks for a lost long poll; see ``FeedFollower``."""
+        return LONG_POLL_CHECK_SHARE * self.recovery_bound_s
 
     @property
     def withdraw_time_s(self) -> float:
-        """How long a stopping node still accepts callers while readiness probes notice."""
-        return min(WITHDRAW_LIMIT_S, self.stop_grace_s * WITHDRAW_SHARE)
+        """How long a stopping node still accepts callers while readiness probes detect the stop."""
+        return min(MAX_WITHDRAW_TIME_S, self.stop_grace_s * WITHDRAW_SHARE)
 
     @property
     def drain_time_s(self) -> float:
-        """How long requests in flight may still take after the listener closed."""
+        """How long requests in flight may take after the listener was closed."""
         return max(0.0, self.stop_grace_s - STOP_MARGIN_S - self.withdraw_time_s)
 
     def options(self) -> GatewayOptions:
@@ -149,7 +150,7 @@
         Raises
         ------
         ValueError
-            A name in ``switched_off`` is no switch.
+            A name in ``switched_off`` is not the name of a switch.
         """
         options = GatewayOptions(
             self.zone,
--- a/src/yokesill/serving/settings_reader.py
+++ b/src/yokesill/serving/settings_reader.py
@@ -1,8 +1,8 @@
-"""Reads typed fields out of a settings file's tables and collects every mistake with its place.
+"""Reads typed fields of a settings file's tables and collects all mistakes with the paths of their fields.
 
-For files with settings of a node; objects of the registry are read by ``object_fields``, which stops at the
-first mistake. A field with a mistake gets a default, and ``problems`` is then not empty: callers discard the
-settings.
+Used for a node's settings; ``object_fields`` reads the registry's objects and stops at the first mistake. A
+field with a mistake gets a default and is added to ``problems``; callers must discard the settings if there
+are any.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 class SettingsReader:
-    """Reads fields named by their path, as in ``bounds.graceS``; mistakes go into ``problems``."""
+    """Reads fields by their path, such as ``bounds.graceS``, and adds mistakes to ``problems``."""
 
     def __init__(self, values: dict[str, Any]) -> None:
         self.problems: list[SettingsProblem] = []
@@ -24,56 +24,56 @@
         return value
 
     def text(self, place: str) -> str:
-        """Return a text that must be there."""
+        """Return a required text."""
         value = self._get(place)
         if isinstance(value, str) and value:
             return value
-        self._complain(place, "a text is needed", value)
+        self._add_problem(place, "a text is needed", value)
         return ""
 
     def number(self, place: str, default: float) -> float:
-        """Return a number of at least 0."""
+        """Return a number of at least 0, or ``default`` if it is missing."""
         value = self._get(place)
         if value is None:
             return default
         if isinstance(value, int | float) and not isinstance(value, bool) and value >= 0:
             return float(value)
-        self._complain(place, "a number of at least 0 is needed", value)
+        self._add_problem(place, "a number of at least 0 is needed", value)
         return default
 
     def address(self, place: str) -> Address:
-        """Return an address that must be there."""
+        """Return a required address."""
         return self._parse_address(place, self._get(place)) or Address("", 0)
 
     def addresses(self, place: str) -> tuple[Address, ...]:
-        """Return a list of addresses; none where it is missing."""
+        """Return a list of addresses; empty if it is missing."""
         value = self._get(place) or []
         parsed = [self._parse_address(f"{place}.{index}", each) for index, each in enumerate(value)]
         return tuple(each for each in parsed if each is not None)
 
     def optional_address(self, place: str) -> Address | None:
-        """Return an address, or ``None`` where it is missing."""
+        """Return an address; ``None`` if it is missing."""
         value = self._get(place)
         return None if value is None else self._parse_address(place, value)
 
     def text_table(self, place: str) -> dict[str, str]:
-        """Return a table of texts; empty where it is missing."""
+        """Return a table of texts; empty if it is missing."""
         value = self._get(place)
         return {str(key): str(each) for key, each in value.items()} if isinstance(value, dict) else {}
 
     def text_list(self, place: str) -> tuple[str, ...]:
-        """Return a list of texts; none where it is missing."""
+        """Return a list of texts; empty if it is missing."""
         value = self._get(place)
         return tuple(str(each) for each in value) if isinstance(value, list) else ()
 
     def port_range(self, place: str) -> range:
-        """Return the ports from the first to the second of a pair; none where it is missing."""
+        """Return the range of ports between a pair, both included; empty if it is missing."""
         value = self._get(place)
         if value is None:
             return range(0)
         pair = value if isinstance(value, list) and len(value) == 2 else []
         if not pair or not all(type(each) is int for each in pair) or not 0 < pair[0] <= pair[1] < 1 << 16:
-            self._complain(place, "two ports are needed, the first not above the second", value)
+            self._add_problem(place, "two ports are needed, the first not above the second", value)
             return range(0)
         return range(pair[0], pair[1] + 1)
 
@@ -81,9 +81,9 @@
         host, _, port = value.rpartition(":") if isinstance(value, str) else ("", "", "")
         if host and port.isdigit():
             return Address(host, int(port))
-        self._complain(place, "HOST:PORT is needed", value)
+        self._add_problem(place, "HOST:PORT is needed", value)
         return None
 
-    def _complain(self, place: str, message: str, value: Any) -> None:
+    def _add_problem(self, place: str, message: str, value: Any) -> None:
         found = "it is missing" if value is None else f"found {value!r}"
         self.problems.append(SettingsProblem(place, f"{message}, {found}"))
--- a/src/yokesill/serving/state_snapshot.py
+++ b/src/yokesill/serving/state_snapshot.py
@@ -1,7 +1,7 @@
-"""What a node knows, in the forms in which it tells other nodes.
+"""Exports a router's state in the forms that a node sends to other nodes.
 
-Read from the router at the moment of the call; nothing is owned or kept here. ``registry.snapshots`` and
-``registry.feed_states`` have the wire forms.
+The state is read from the router at the time of the call; this module holds none. ``registry.snapshots`` and
+``registry.feed_states`` define the wire formats.
 """
 
 from yokesill.gateway.events import (
@@ -16,14 +16,14 @@
 from yokesill.registry.snapshots import encode_snapshot
 
 
-def snapshot_of(router: GatewayRouter) -> bytes | None:
-    """Return all that a router knows, for a starting node.
+def encode_router_snapshot(router: GatewayRouter) -> bytes | None:
+    """Return a snapshot of the router's whole state for a starting node.
 
-    ``None`` while it has no configuration, or does not know the orders of roll-outs where there are any.
+    ``None`` while the router has no configuration, or follows roll-outs and has not received their orders.
     """
     configuration, servers = router.configuration, router.servers
-    follows = router.options.rollouts is not None
-    if configuration is None or (follows and not router.rollouts.synchronised):
+    follows_rollouts = router.options.rollouts is not None
+    if configuration is None or (follows_rollouts and not router.rollouts.synchronised):
         return None
     rollouts = (router.rollouts.recorded_orders(), servers.versions.established())
     quarantined = router.quarantine.detector.quarantined
@@ -31,7 +31,7 @@
 
 
 def whole_feed(router: GatewayRouter, feed: str) -> WholeFeed | None:
-    """Return one feed as a router knows it; ``None`` while it knows nothing of it."""
+    """Return a router's state of one feed; ``None`` for the configuration before the first one."""
     if feed == SERVERS:
         return ServersReplaced(tuple(router.servers.records()))
     if feed == EVACUATIONS:
@@ -45,5 +45,5 @@
 
 
 def configuration_version(router: GatewayRouter) -> int:
-    """Return the version of the configuration in force; 0 without one."""
+    """Return the version of the configuration in force; 0 if there is none."""
     return router.configuration.version if router.configuration is not None else 0
--- a/tests/serving/test_reload.py
+++ b/tests/serving/test_reload.py
@@ -9,7 +9,7 @@
 from harness import RouterHarness, failure, single_route
 
 from yokesill.gateway.limits.budget import BudgetLimits
-from yokesill.serving.reload import APPLIED, SettingsFollower
+from yokesill.serving.reload import RELOADABLE_SETTINGS, SettingsFollower
 from yokesill.serving.settings import Address, GatewaySettings, SettingsProblem
 
 BASE = GatewaySettings("n1", "z1", Address("h", 1), Address("h", 2), Address("store", 3))
@@ -54,7 +54,7 @@
 
 
 def test_what_a_running_node_applies_are_settings_by_their_names() -> None:
-    assert {each.name for each in fields(GatewaySettings)} >= APPLIED
+    assert {each.name for each in fields(GatewaySettings)} >= RELOADABLE_SETTINGS
 
 
 def test_a_file_with_mistakes_changes_nothing(tmp_path: Path) -> None:
