--- a/tests/serving/test_gateway_parts.py
+++ b/tests/serving/test_gateway_parts.py
@@ -1,11 +1,11 @@
-"""A part of a gateway node that fails is begun anew: requests go on, and a stop answers what is under way."""
+"""Failed parts of a node are restarted: requests still succeed, and a stop answers those in flight."""
 
 from collections.abc import Awaitable, Callable, Iterator
 from typing import Any
 
 import anyio
 import pytest
-from test_process import Node, with_node
+from test_process import Node, run_with_node
 
 from yokesill.gateway.messages import GatewayRequest
 from yokesill.logs import LogOutput
@@ -21,7 +21,7 @@
 from yokesill.upstreams import server_client
 from yokesill.verdict import Failure, Verdict
 
-LATER_S = 0.1
+FAILURE_DELAY_S = 0.1
 PARTS: dict[str, tuple[type, str]] = {
     "feed_servers": (FeedFollower, "run"),
     "presence": (NodePresence, "run"),
@@ -32,18 +32,18 @@
 
 
 class InjectedError(Exception):
-    """A bug in a part."""
+    """Stands for a bug in a part."""
 
 
 @pytest.fixture(autouse=True)
-def _no_output(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+def _discard_log_output(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     monkeypatch.setattr(LogOutput, "write", lambda _self, _line: None)
     yield
 
 
-def failing(method: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
+def fail_after_delay(method: Callable[..., Awaitable[None]]) -> Callable[..., Awaitable[None]]:
     async def broken(self: Any) -> None:
-        with anyio.move_on_after(LATER_S):
+        with anyio.move_on_after(FAILURE_DELAY_S):
             await method(self)
         raise InjectedError
 
@@ -52,15 +52,15 @@
 
 @pytest.mark.part_failures
 @pytest.mark.parametrize("part", PARTS)
-def test_a_stop_answers_what_is_under_way_whichever_part_fails(
+def test_stop_answers_requests_in_flight_after_any_part_failed(
     part: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     owner, name = PARTS[part]
-    monkeypatch.setattr(owner, name, failing(getattr(owner, name)))
+    monkeypatch.setattr(owner, name, fail_after_delay(getattr(owner, name)))
 
     async def main(node: Node) -> None:
         await node.wait_until(node.ready)
-        await anyio.sleep(2 * LATER_S)
+        await anyio.sleep(2 * FAILURE_DELAY_S)
         assert node.process.node.supervisor.failures[part] >= 1
         assert node.process.node.metrics.decisions["part_failed"] >= 1
         node.backend.open.clear()
@@ -77,31 +77,31 @@
             node.backend.open.set()
         assert answers[0].startswith(b"HTTP/1.1 200")
 
-    with_node(main)
+    run_with_node(main)
 
 
 @pytest.mark.part_failures
-def test_a_node_that_fails_to_look_for_others_at_its_start_looks_again(
+def test_peer_bootstrap_that_fails_is_restarted(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(PeerBootstrap, "run", failing(PeerBootstrap.run))
+    monkeypatch.setattr(PeerBootstrap, "run", fail_after_delay(PeerBootstrap.run))
 
     async def main(node: Node) -> None:
         with anyio.fail_after(5.0):
             while node.process.node.supervisor.failures["bootstrap"] < 2:
                 await anyio.sleep(0.02)
 
-    with_node(main, known=False)
+    run_with_node(main, has_configuration=False)
 
 
 @pytest.mark.part_failures
-def test_a_connection_that_fails_by_a_bug_fails_its_attempt_alone(monkeypatch: pytest.MonkeyPatch) -> None:
-    open_connection, left = server_client.open_connection, 1
+def test_bug_in_opening_a_connection_fails_only_its_attempt(monkeypatch: pytest.MonkeyPatch) -> None:
+    open_connection, remaining_failures = server_client.open_connection, 1
 
     async def broken(*arguments: Any) -> Any:
-        nonlocal left
-        if left:
-            left -= 1
+        nonlocal remaining_failures
+        if remaining_failures:
+            remaining_failures -= 1
             raise InjectedError
         return await open_connection(*arguments)
 
@@ -114,10 +114,10 @@
         assert node.process.node.supervisor.failures == {"connections": 1}
         assert not node.process.node.router.in_flight
 
-    with_node(main)
+    run_with_node(main)
 
 
-def test_a_request_whose_handling_fails_by_a_bug_fails_alone(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_bug_in_handling_a_request_fails_only_that_request(monkeypatch: pytest.MonkeyPatch) -> None:
     execute = GatewayDriver.execute
 
     async def broken(self: GatewayDriver, request: GatewayRequest) -> Any:
@@ -132,11 +132,11 @@
         answers = [await node.get(f"/one/{path}") for path in ("good", "bad", "good")]
         assert [each.split(b" ")[1] for each in answers] == [b"200", b"500", b"200"]
 
-    with_node(main)
+    run_with_node(main)
 
 
 @pytest.mark.part_failures
-def test_a_timer_that_fails_by_a_bug_stops_no_other() -> None:
+def test_bug_in_a_timer_does_not_stop_other_timers() -> None:
     fired: list[int] = []
 
     def fire(number: int) -> None:
@@ -171,8 +171,8 @@
 
 
 @pytest.mark.part_failures
-def test_a_decider_learns_of_a_write_that_failed_by_a_bug() -> None:
-    """Until it does it writes nothing else of that order."""
+def test_decider_gets_the_outcome_of_a_write_that_failed_by_a_bug() -> None:
+    """Until it gets the outcome, the decider writes no other record of that order."""
     decider = _Decider()
     recorder = RolloutRecorder(decider, _BrokenRecords(), lambda: True, lambda: None, None)  # type: ignore[arg-type]
 
--- a/tests/serving/test_process.py
+++ b/tests/serving/test_process.py
@@ -1,4 +1,4 @@
-"""A whole node over real sockets: ready, serving, bad bytes refused, a planned stop that cuts nothing off."""
+"""A whole node over real sockets: readiness, serving, rejected malformed requests, and the planned stop."""
 
 import asyncio
 import contextlib
@@ -37,7 +37,7 @@
 
 
 class FixedFeed(Feed):
-    """One batch, and nothing new ever; nothing at all while ``events`` is ``None``."""
+    """Returns one batch and never any changes; unavailable while ``events`` is ``None``."""
 
     def __init__(self, name: str, *events: Event) -> None:
         self.name = name
@@ -51,8 +51,8 @@
         return Batch(position, ())
 
 
-class NoNodes(NodeDirectory):
-    """A directory that is down."""
+class UnavailableDirectory(NodeDirectory):
+    """A node directory whose calls all fail."""
 
     async def announce(self, contact: NodeContact, beat: int) -> Failure | None:
         return DOWN
@@ -62,18 +62,18 @@
 
 
 class Backend:
-    """A server; it answers once ``open`` is set, and keeps what it read."""
+    """A server that answers while ``open`` is set and keeps the request heads that it read."""
 
     def __init__(self) -> None:
         self.open = asyncio.Event()
         self.open.set()
-        self.heard: list[bytes] = []
+        self.received_heads: list[bytes] = []
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
             while True:
                 head = await reader.readuntil(b"\r\n\r\n")
-                self.heard.append(head)
+                self.received_heads.append(head)
                 await self.open.wait()
                 request_id = next(line for line in head.split(b"\r\n") if line.startswith(b"request-id: "))
                 writer.write(b"HTTP/1.1 200 OK\r\n" + request_id + b"\r\nserver-signature: s\r\n")
@@ -90,10 +90,14 @@
 
 
 class Node:
-    """A node under test and ways to talk to it."""
+    """A node under test, with methods that send requests to it."""
 
     def __init__(
-        self, backend: Backend, backend_port: int, known: bool = True, order: RolloutOrder | None = None
+        self,
+        backend: Backend,
+        backend_port: int,
+        has_configuration: bool = True,
+        order: RolloutOrder | None = None,
     ) -> None:
         callers, probes, peers, registry = free_ports(4)
         self.backend = backend
@@ -110,18 +114,20 @@
         record = ServerRecord("i-1", "desk", LOOPBACK, backend_port, "z1", 2)
         routes = replace(configuration(1, single_route()), limits=RequestLimits(header_timeout_s=0.3))
         self.configuration = FixedFeed("configuration", ConfigurationReceived(routes))
-        if not known:
+        if not has_configuration:
             self.configuration.events = None
         servers = FixedFeed("servers", ServersReplaced((record,)))
-        around = Dependencies(self.configuration, servers, NoNodes(), HeaderNames(), "/ready")
+        dependencies = Dependencies(
+            self.configuration, servers, UnavailableDirectory(), HeaderNames(), "/ready"
+        )
         if order is not None:
-            around = replace(around, rollouts=FixedFeed("rollouts", RolloutsReplaced((order,))))
-        self.process = GatewayProcess(self.settings, around, random.Random(1), LogOutput(1))
+            dependencies = replace(dependencies, rollouts=FixedFeed("rollouts", RolloutsReplaced((order,))))
+        self.process = GatewayProcess(self.settings, dependencies, random.Random(1), LogOutput(1))
 
-    async def talk(self, data: bytes, address: Address | None = None) -> bytes:
-        """Send bytes on a new connection; return all that comes until it is closed or answered."""
-        to = address or self.settings.callers
-        reader, writer = await asyncio.open_connection(to.host, to.port)
+    async def exchange(self, data: bytes, address: Address | None = None) -> bytes:
+        """Send bytes on a new connection; return the answer, or what arrived before the connection closed."""
+        target = address or self.settings.callers
+        reader, writer = await asyncio.open_connection(target.host, target.port)
         writer.write(data)
         answer = b""
         with contextlib.suppress(asyncio.IncompleteReadError, ConnectionError):
@@ -132,10 +138,10 @@
         return answer
 
     async def get(self, path: str = "/one/x") -> bytes:
-        return await self.talk(f"GET {path} HTTP/1.1\r\n{REQUEST_HEADERS}\r\n".encode())
+        return await self.exchange(f"GET {path} HTTP/1.1\r\n{REQUEST_HEADERS}\r\n".encode())
 
     async def ready(self) -> bool:
-        answer = await self.talk(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", self.settings.probes)
+        answer = await self.exchange(b"GET /ready HTTP/1.1\r\nHost: x\r\n\r\n", self.settings.probes)
         return answer.startswith(b"HTTP/1.1 200")
 
     async def wait_until(self, condition: Callable[[], Awaitable[bool]]) -> None:
@@ -143,13 +149,13 @@
             await asyncio.sleep(0.02)
 
 
-def with_node(
-    main: Callable[[Node], Awaitable[None]], known: bool = True, order: RolloutOrder | None = None
+def run_with_node(
+    main: Callable[[Node], Awaitable[None]], has_configuration: bool = True, order: RolloutOrder | None = None
 ) -> None:
     async def run() -> None:
         backend = Backend()
         server = await asyncio.start_server(backend.serve, LOOPBACK, 0)
-        node = Node(backend, server.sockets[0].getsockname()[1], known, order)
+        node = Node(backend, server.sockets[0].getsockname()[1], has_configuration, order)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(node.process.run)
             await asyncio.sleep(0.2)
@@ -161,52 +167,52 @@
 
 
 @pytest.fixture(autouse=True)
-def _no_output(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
+def _discard_log_output(monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
     monkeypatch.setattr(LogOutput, "write", lambda _self, _line: None)
     yield
 
 
-def test_a_node_becomes_ready_serves_and_shows_figures_and_state() -> None:
+def test_node_becomes_ready_serves_and_exposes_metrics_and_state() -> None:
     async def main(node: Node) -> None:
         await node.wait_until(node.ready)
         answer = await node.get()
         assert answer.startswith(b"HTTP/1.1 200 OK\r\n")
         assert answer.endswith(b"ok")
-        figures = await node.talk(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.probes)
-        assert b'yokesill_requests_total{outcome="answered",route="one"} 1.0' in figures
-        state = await node.talk(b"GET /snapshot HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.peers)
+        metrics = await node.exchange(b"GET /metrics HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.probes)
+        assert b'yokesill_requests_total{outcome="answered",route="one"} 1.0' in metrics
+        state = await node.exchange(b"GET /snapshot HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.peers)
         assert state.startswith(b"HTTP/1.1 200")
-        nothing = await node.talk(b"GET /else HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.probes)
-        assert nothing.startswith(b"HTTP/1.1 404")
+        unknown_path = await node.exchange(b"GET /else HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.probes)
+        assert unknown_path.startswith(b"HTTP/1.1 404")
 
-    with_node(main)
+    run_with_node(main)
 
 
-def test_a_node_follows_roll_outs_and_tells_those_that_start() -> None:
+def test_node_follows_rollouts_and_includes_them_in_its_snapshot() -> None:
     order = RolloutOrder("desk", "v2", 12.0, 5, 6, RolloutState.CANARY)
 
     async def main(node: Node) -> None:
         await node.wait_until(node.ready)
         assert node.process.node.router.open_orders() == (order,)
-        state = await node.talk(b"GET /snapshot HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.peers)
+        state = await node.exchange(b"GET /snapshot HTTP/1.1\r\nHost: x\r\n\r\n", node.settings.peers)
         events = decode_snapshot(state.partition(b"\r\n\r\n")[2])
         assert RolloutsReplaced((order,)) in events
         assert VersionsEstablished({"desk": ("",)}) in events
 
-    with_node(main, order=order)
+    run_with_node(main, order=order)
 
 
-def test_a_node_waits_for_the_orders_of_roll_outs() -> None:
+def test_node_is_not_synchronised_before_it_has_the_rollout_orders() -> None:
     async def main(node: Node) -> None:
         node.process.node.router.rollouts.synchronised = False
         assert not node.process.node.updates.synchronised()
         node.process.node.driver.feed(RolloutsReplaced(()))
         assert node.process.node.updates.synchronised()
 
-    with_node(main, order=RolloutOrder("desk", "v2", 12.0, 5, 6))
+    run_with_node(main, order=RolloutOrder("desk", "v2", 12.0, 5, 6))
 
 
-def test_a_node_waits_for_the_requests_that_are_kept_from_servers() -> None:
+def test_node_is_not_synchronised_before_it_has_the_quarantined_requests() -> None:
     async def main(node: Node) -> None:
         await node.wait_until(node.ready)
         node.process.node.updates.awaits_quarantine = True
@@ -214,18 +220,18 @@
         node.process.node.driver.feed(QuarantineReplaced(frozenset()))
         assert node.process.node.updates.synchronised()
 
-    with_node(main)
+    run_with_node(main)
 
 
-def test_a_peer_that_knows_fewer_servers_makes_no_hole_in_what_the_registry_told() -> None:
+def test_snapshot_of_a_peer_with_fewer_servers_removes_none_listed_by_the_registry() -> None:
     async def main(node: Node) -> None:
-        known = encode_snapshot(configuration(1, single_route()), [], frozenset())
+        snapshot = encode_snapshot(configuration(1, single_route()), [], frozenset())
 
-        async def tell(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        async def serve_snapshot(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.readuntil(b"\r\n\r\n")
-            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(known) + known)
+            writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(snapshot) + snapshot)
 
-        peer = await asyncio.start_server(tell, LOOPBACK, 0)
+        peer = await asyncio.start_server(serve_snapshot, LOOPBACK, 0)
         seed = Address(LOOPBACK, peer.sockets[0].getsockname()[1])
         while not len(node.process.node.router.servers):
             await anyio.sleep(0.02)
@@ -235,17 +241,17 @@
         assert (await node.get()).startswith(b"HTTP/1.1 200")
         peer.close()
 
-    with_node(main, known=False)
+    run_with_node(main, has_configuration=False)
 
 
-def test_a_node_without_a_configuration_is_not_ready_and_says_when_to_come_back() -> None:
+def test_node_without_a_configuration_is_not_ready_and_answers_with_retry_after() -> None:
     async def main(node: Node) -> None:
         assert not await node.ready()
         answer = await node.get()
         assert answer.startswith(b"HTTP/1.1 503")
         assert b"retry-after: " in answer.lower()
 
-    with_node(main, known=False)
+    run_with_node(main, has_configuration=False)
 
 
 @pytest.mark.parametrize(
@@ -263,25 +269,25 @@
 def test_malformed_and_smuggled_requests_reach_no_server(data: bytes) -> None:
     async def main(node: Node) -> None:
         await node.wait_until(node.ready)
-        answer = await node.talk(data)
+        answer = await node.exchange(data)
         assert answer.startswith(b"HTTP/1.1 400") or answer == b""
         assert (await node.get()).startswith(b"HTTP/1.1 200")
-        assert len(node.backend.heard) == 1
+        assert len(node.backend.received_heads) == 1
 
-    with_node(main)
+    run_with_node(main)
 
 
-def test_a_head_that_does_not_end_is_timed_out_and_ran_nowhere() -> None:
+def test_incomplete_request_head_times_out_and_reaches_no_server() -> None:
     async def main(node: Node) -> None:
         await node.wait_until(node.ready)
-        answer = await node.talk(b"GET /one/x HTTP/1.1\r\nHost: shop.example\r\n")
+        answer = await node.exchange(b"GET /one/x HTTP/1.1\r\nHost: shop.example\r\n")
         assert answer.startswith(b"HTTP/1.1 408")
-        assert node.backend.heard == []
+        assert node.backend.received_heads == []
 
-    with_node(main)
+    run_with_node(main)
 
 
-def test_a_node_that_is_cut_off_says_that_it_is_not_ready_and_still_serves_who_comes() -> None:
+def test_partitioned_node_is_not_ready_but_still_serves_requests() -> None:
     async def main(node: Node) -> None:
         await node.wait_until(node.ready)
         node.process.life_cycle.apply_event("cut_off")
@@ -290,10 +296,10 @@
         node.process.life_cycle.apply_event("reached")
         assert await node.ready()
 
-    with_node(main)
+    run_with_node(main)
 
 
-def test_a_planned_stop_cuts_nothing_off() -> None:
+def test_planned_stop_answers_all_requests() -> None:
     async def main(node: Node) -> None:
         await node.wait_until(node.ready)
         node.backend.open.clear()
@@ -313,4 +319,4 @@
         with pytest.raises(ConnectionError):
             await node.get()
 
-    with_node(main)
+    run_with_node(main)
--- a/tests/serving/test_reload.py
+++ b/tests/serving/test_reload.py
@@ -1,4 +1,4 @@
-"""Changed settings are taken over, with or without a signal; mistakes change nothing."""
+"""Changed settings are applied, with or without a signal; a file with mistakes is not applied."""
 
 from dataclasses import fields, replace
 from pathlib import Path
@@ -15,8 +15,8 @@
 BASE = GatewaySettings("n1", "z1", Address("h", 1), Address("h", 2), Address("store", 3))
 
 
-def follow(tmp_path: Path, text_after: str, signal: bool) -> list[GatewaySettings]:
-    """Change the file and return what was applied; the text names the store's host, "bad" is a mistake."""
+def apply_changed_file(tmp_path: Path, text_after: str, signal: bool) -> list[GatewaySettings]:
+    """Change the file to the registry's host, or to "bad" for a mistake; return the applied settings."""
     file = tmp_path / "settings"
     file.write_text("store")
     applied: list[GatewaySettings] = []
@@ -43,25 +43,25 @@
     return applied
 
 
-def test_a_signal_reads_the_file_again(tmp_path: Path) -> None:
-    (taken,) = follow(tmp_path, "elsewhere", signal=True)
-    assert BASE.changes(taken) == ["registry"]
+def test_signal_reloads_the_file(tmp_path: Path) -> None:
+    (applied,) = apply_changed_file(tmp_path, "elsewhere", signal=True)
+    assert BASE.changes(applied) == ["registry"]
 
 
-def test_a_file_that_changed_without_a_signal_is_noticed(tmp_path: Path) -> None:
-    (taken,) = follow(tmp_path, "elsewhere", signal=False)
-    assert taken.registry.host == "elsewhere"
+def test_changed_file_is_reloaded_without_a_signal(tmp_path: Path) -> None:
+    (applied,) = apply_changed_file(tmp_path, "elsewhere", signal=False)
+    assert applied.registry.host == "elsewhere"
 
 
-def test_what_a_running_node_applies_are_settings_by_their_names() -> None:
+def test_reloadable_settings_are_names_of_settings_fields() -> None:
     assert {each.name for each in fields(GatewaySettings)} >= RELOADABLE_SETTINGS
 
 
-def test_a_file_with_mistakes_changes_nothing(tmp_path: Path) -> None:
-    assert follow(tmp_path, "bad", signal=True) == []
+def test_file_with_mistakes_is_not_applied(tmp_path: Path) -> None:
+    assert apply_changed_file(tmp_path, "bad", signal=True) == []
 
 
-def test_other_budget_terms_hold_at_once_and_what_was_spent_still_counts() -> None:
+def test_changed_budget_applies_immediately_and_counts_earlier_attempts() -> None:
     harness = RouterHarness(single_route(attempts=5))
     key = harness.arrive("/one/x", 6.0)
     harness.fail(harness.attempts(key)[0])
@@ -72,7 +72,7 @@
     assert len(harness.attempts(key)) == 1
 
 
-def test_a_vanished_entry_is_a_last_resort_until_living_servers_are_back_but_within_the_bound() -> None:
+def test_removed_grace_ends_when_live_servers_are_reregistered_and_within_the_bound() -> None:
     address = Address("127.0.0.1", 1)
     for bound_s, grace_s in ((2.0, 1.2), (3.0, 1.8), (5.0, 2.0)):
         settings = GatewaySettings("n", "z", address, address, address, leaving_bound_s=bound_s)
