--- a/src/yokesill/serving/datagrams.py
+++ b/src/yokesill/serving/datagrams.py
@@ -145,7 +145,7 @@
         self._by_kind.update(dict.fromkeys(link.kinds, link))
 
     async def run(self) -> None:
-        """Send and receive until cancelled; return if there is no port."""
+        """Send and receive until cancelled; return if the node has no port for datagrams."""
         self._has_no_port = not await self._datagrams.run(self._receive, self._send)
         self.wake()
 
--- a/src/yokesill/serving/driver.py
+++ b/src/yokesill/serving/driver.py
@@ -46,7 +46,7 @@
 
     ``log_event`` is called with each decision that is logged. ``Findings`` sets the callbacks:
     ``on_server_observed`` gets servers that other nodes should know of, ``on_crash_finding`` gets losses and
-    answers of suspected requests, ``on_server_forgotten`` gets servers that were removed some time ago.
+    answers of suspected requests, ``on_server_forgotten`` gets servers that were removed long ago.
     ``last_remote_answer_s`` is when a server of another zone last answered, in seconds of the node's clock.
     """
 
--- a/src/yokesill/serving/findings.py
+++ b/src/yokesill/serving/findings.py
@@ -61,7 +61,7 @@
         driver.on_crash_finding = self._quarantine_link.on_finding
 
     async def run(self) -> None:
-        """Send and receive until cancelled."""
+        """Exchange datagrams and maintain the registry's records until cancelled."""
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._datagrams.run)
             task_group.start_soon(self._quarantine_link.run)
--- a/src/yokesill/serving/quarantine_link.py
+++ b/src/yokesill/serving/quarantine_link.py
@@ -106,7 +106,7 @@
         self._wake()
 
     def receive(self, data: bytes, sender: str, now: float) -> None:
-        """Handle a datagram; raises ``ValueError`` if it is no valid message or its sender is not a node."""
+        """Handle a datagram; raises ``ValueError`` if it is invalid or its sender is not a node."""
         match self._exchange.receive(data, sender):
             case Losses(losses):
                 for fingerprint, loss in losses:
--- a/src/yokesill/serving/request_path.py
+++ b/src/yokesill/serving/request_path.py
@@ -152,5 +152,8 @@
 
 
 def _is_suspected(router: GatewayRouter, request: GatewayRequest) -> bool:
-    """Whether a request may crash servers; if its coordinator failed, a second node would send it too."""
+    """Whether a request may crash servers.
+
+    Such a request is not forwarded: if its coordinator failed, two nodes would send it to servers.
+    """
     return router.quarantine.status(request, anyio.current_time()) > QuarantineStatus.CLEAR
--- a/src/yokesill/serving/rollout_link.py
+++ b/src/yokesill/serving/rollout_link.py
@@ -25,8 +25,8 @@
 # How often a decider evaluates new reports; a shorter interval rolls a bad version back sooner.
 DECIDING_INTERVAL_S = 0.1
 # Minimum time between urgent announcements, so that orders that change at about the same time are announced
-# together; short compared to ``DECIDING_INTERVAL_S``.
-MIN_ANNOUNCE_INTERVAL_S = 0.05
+# together; adds little to ``DECIDING_INTERVAL_S``.
+URGENT_ANNOUNCE_INTERVAL_S = 0.05
 
 Send = Callable[[str, bytes], Awaitable[None]]
 
@@ -200,7 +200,7 @@
         """Send this node's decisions to all nodes if they are due."""
         since_announcement_s = now - self._announced_at_s
         if since_announcement_s < (
-            MIN_ANNOUNCE_INTERVAL_S if self._decider.urgent(now) else self._decider.interval_s / 2
+            URGENT_ANNOUNCE_INTERVAL_S if self._decider.urgent(now) else self._decider.interval_s / 2
         ):
             return
         decisions = self._decider.decisions(now)
--- a/tests/serving/test_gateway_parts.py
+++ b/tests/serving/test_gateway_parts.py
@@ -66,11 +66,11 @@
         node.backend.open.clear()
         answers: list[bytes] = []
 
-        async def ask() -> None:
+        async def send_request() -> None:
             answers.append(await node.get())
 
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(ask)
+            tasks.start_soon(send_request)
             await anyio.sleep(0.1)
             node.process.stop()
             await anyio.sleep(0.2)
