--- a/src/yokesill/access.py
+++ b/src/yokesill/access.py
@@ -34,7 +34,7 @@
         self._catalog = catalog
         self._bootstrap = bootstrap_sha256
 
-    def grant_of(self, authorization: str | None) -> Grant | None:
+    def find_grant(self, authorization: str | None) -> Grant | None:
         """Return what an ``Authorization`` header grants; ``None`` for none or an unknown token."""
         scheme, _, secret = (authorization or "").partition(" ")
         if scheme.lower() != "bearer" or not secret:
--- a/src/yokesill/admin/changes.py
+++ b/src/yokesill/admin/changes.py
@@ -29,5 +29,5 @@
             outcome = await settle(self._node.store, change)
             have: list[str] = []
             if isinstance(outcome, Accepted):
-                have = await self._node.take_into_force(outcome.stored)
+                have = await self._node.apply_committed(outcome.stored)
         return outcome_reply(self._node, change.change_id, outcome, have)
--- a/src/yokesill/admin/objects.py
+++ b/src/yokesill/admin/objects.py
@@ -29,7 +29,7 @@
 
     async def list(self, request: Request) -> Response:
         """List the keys that the token may see, with their revisions."""
-        grant = self._node.access.grant_of(request.headers.get("authorization"))
+        grant = self._node.access.find_grant(request.headers.get("authorization"))
         if grant is None:
             raise JsonError(401, "unauthenticated", "a valid bearer token is needed")
         keys = {
@@ -88,7 +88,7 @@
             outcome = await commit(self._node.store, change)
             have: list[str] = []
             if isinstance(outcome, Accepted):
-                have = await self._node.take_into_force(outcome.stored)
+                have = await self._node.apply_committed(outcome.stored)
         return outcome_reply(self._node, change.change_id, outcome, have)
 
     def _key(self, request: Request) -> ObjectKey:
--- a/src/yokesill/admin/status.py
+++ b/src/yokesill/admin/status.py
@@ -25,7 +25,7 @@
     async def get(self, request: Request) -> Response:
         """Return the state of the cluster as this node can learn it now."""
         node = self._node
-        grant = node.access.grant_of(request.headers.get("authorization"))
+        grant = node.access.find_grant(request.headers.get("authorization"))
         if grant is None or not grant.allows(grant.namespace, Role.VIEWER):
             raise JsonError(403 if grant else 401, "forbidden", "a viewer's token is needed")
         replies = await self._sweep()
@@ -39,7 +39,7 @@
                 "revision": own.revision,
                 "in_force": {"members": in_force, "of": len(node.table.serving())},
                 "isolated": node.isolated,
-                "zones_cut": sorted(node.table.cut_zones),
+                "zones_cut": sorted(node.table.unreachable_zones),
                 "members": sorted(members, key=lambda each: str(each["address"])),
                 "watchers": sorted(each.address for each in replies.values() if each and each.watcher),
                 "leaving_servers": sorted(each.address for each in node.leaving_servers.all()),
--- a/src/yokesill/backends/subsetting.py
+++ b/src/yokesill/backends/subsetting.py
@@ -15,7 +15,7 @@
 import xxhash
 
 from yokesill.membership.table import MemberTable
-from yokesill.rendezvous import MIX_FIRST, MIX_SECOND
+from yokesill.rendezvous import SPLITMIX64_MULTIPLIER_1, SPLITMIX64_MULTIPLIER_2
 from yokesill.replication.state import ReplicatedState
 from yokesill.resources.documents import Replica, ReplicaSet
 
@@ -62,8 +62,8 @@
     node_hashes = np.array([_hash(each) for each in nodes], dtype=np.uint64)
     server_hashes = np.array([_hash(each) for each in servers], dtype=np.uint64)
     mixed = node_hashes[:, None] ^ server_hashes[None, :]
-    mixed = (mixed ^ (mixed >> np.uint64(30))) * np.uint64(MIX_FIRST)
-    mixed = (mixed ^ (mixed >> np.uint64(27))) * np.uint64(MIX_SECOND)
+    mixed = (mixed ^ (mixed >> np.uint64(30))) * np.uint64(SPLITMIX64_MULTIPLIER_1)
+    mixed = (mixed ^ (mixed >> np.uint64(27))) * np.uint64(SPLITMIX64_MULTIPLIER_2)
     return mixed ^ (mixed >> np.uint64(31))
 
 
--- a/src/yokesill/cli/base.py
+++ b/src/yokesill/cli/base.py
@@ -15,7 +15,7 @@
 from cleo.ui.table import Table
 
 from yokesill.cli.admin_client import AdminClient, AdminReply
-from yokesill.clock import run_steadily
+from yokesill.clock import run_with_boottime_clock
 from yokesill.resources.validation import DocumentError
 from yokesill.verdict import Failure
 
@@ -100,4 +100,4 @@
     @staticmethod
     def run_async(main: Callable[[], Awaitable[int]]) -> int:
         """Run ``main`` on asyncio's loop."""
-        return run_steadily(main)
+        return run_with_boottime_clock(main)
--- a/src/yokesill/clock.py
+++ b/src/yokesill/clock.py
@@ -24,7 +24,7 @@
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
-class SteadyEventLoop(asyncio.SelectorEventLoop):
+class BoottimeEventLoop(asyncio.SelectorEventLoop):
     """An event loop whose timers count the time that the machine was suspended."""
 
     def time(self) -> float:
@@ -32,9 +32,9 @@
         return time.clock_gettime(_CLOCK)
 
 
-def run_steadily(main: Callable[..., Awaitable[Result]], *arguments: Any) -> Result:
+def run_with_boottime_clock(main: Callable[..., Awaitable[Result]], *arguments: Any) -> Result:
     """Run an asynchronous function to its end by the clock that counts suspensions."""
-    return anyio.run(main, *arguments, backend_options={"loop_factory": SteadyEventLoop})
+    return anyio.run(main, *arguments, backend_options={"loop_factory": BoottimeEventLoop})
 
 
 def running_clock() -> Clock:
--- a/src/yokesill/cluster/gossip.py
+++ b/src/yokesill/cluster/gossip.py
@@ -76,7 +76,7 @@
             now = anyio.current_time()
             if now - last > TICK_S + PAUSE_THRESHOLD_S:
                 self._log.warning("paused", seconds=round(now - last, 1))
-                self.detector.resumed(now)
+                self.detector.resume(now)
                 self.on_pause()
             last = now
             self._outgoing.extend(self.detector.tick(now))
--- a/src/yokesill/frontend/figures.py
+++ b/src/yokesill/frontend/figures.py
@@ -8,7 +8,7 @@
     gauge = node.metrics.gauge
     services = node.router.services()
     gauge("yokesill_members_serving", "Members that take part", len(node.table.serving()))
-    gauge("yokesill_zones_cut", "Zones that cannot be reached", len(node.table.cut_zones))
+    gauge("yokesill_zones_cut", "Zones that cannot be reached", len(node.table.unreachable_zones))
     gauge("yokesill_objects", "Configuration objects known", len(node.replica.state))
     gauge("yokesill_objects_unusable", "Objects that cannot be compiled here", len(node.catalog.unusable))
     gauge("yokesill_watching", "Whether this node watches the store", float(node.watcher.watching))
--- a/src/yokesill/membership/detector.py
+++ b/src/yokesill/membership/detector.py
@@ -123,7 +123,7 @@
         self._gossip(sends)
         return sends
 
-    def resumed(self, now: float) -> None:
+    def resume(self, now: float) -> None:
         """Forget open probes after a pause of this node: the silence was its own."""
         self._probe = None
         self._next_probe = now
@@ -132,7 +132,7 @@
         for zone in self._zone_heard:
             self._zone_heard[zone] = now
 
-    def heard_since(self, moment: float, other_zone_only: bool) -> bool:
+    def reachable_since(self, moment: float, other_zone_only: bool) -> bool:
         """Whether some peer (or one of another zone) was heard of at or after ``moment``."""
         own_zone = self.table.own.zone
         zones = self._zone_heard.items()
@@ -201,7 +201,7 @@
             return
         if self._zone_unheard(record.zone, probed_at):
             if self._zone_silent(record.zone, now):
-                self.table.cut_zones.add(record.zone)
+                self.table.unreachable_zones.add(record.zone)
             return
         suspect = replace(record, status=MemberStatus.SUSPECT)
         self.table.merge(suspect, now)
@@ -237,7 +237,7 @@
                 # The zone may be cut off as a whole: wait until that is clear.
                 self._suspected_at[address] = since
                 if self._zone_silent(record.zone, now):
-                    self.table.cut_zones.add(record.zone)
+                    self.table.unreachable_zones.add(record.zone)
                 continue
             dead = replace(record, status=MemberStatus.DEAD)
             self.table.merge(dead, now)
@@ -271,7 +271,7 @@
         if record is None:
             return
         self._zone_heard[record.zone] = now
-        self.table.cut_zones.discard(record.zone)
+        self.table.unreachable_zones.discard(record.zone)
 
     def _gossip(self, sends: list[SendPacket]) -> None:
         peers = self.table.peers()
--- a/src/yokesill/membership/table.py
+++ b/src/yokesill/membership/table.py
@@ -17,7 +17,7 @@
     def __init__(self, own: MemberRecord) -> None:
         self.own = own
         self.version = 0
-        self.cut_zones: set[str] = set()
+        self.unreachable_zones: set[str] = set()
         self._records: dict[str, MemberRecord] = {own.address: own}
         self._changed_at: dict[str, float] = {}
         self._digest = _record_hash(own)
@@ -44,7 +44,7 @@
 
     def reachable(self) -> list[MemberRecord]:
         """Return the serving members outside of cut-off zones."""
-        return [each for each in self.serving() if each.zone not in self.cut_zones]
+        return [each for each in self.serving() if each.zone not in self.unreachable_zones]
 
     def peers(self) -> list[MemberRecord]:
         """Return the serving members other than this node."""
--- a/src/yokesill/node.py
+++ b/src/yokesill/node.py
@@ -70,7 +70,7 @@
         self.catalog = Catalog(self.replica.state, self.subsets.choose)
         self.access = Access(self.catalog, settings.administration.token_sha256)
         self.gossip = Gossip(
-            transport, self.sealer, self.table, self.replica, random_source, settings.detector()
+            transport, self.sealer, self.table, self.replica, random_source, settings.detector_options()
         )
         self.sync = Synchroniser(transport, self.sealer, self.gossip, self.replica, random_source)
         self.watcher = StoreWatcher(store, self.gossip, self.table, random_source)
@@ -227,13 +227,13 @@
         for notice in self.leaving_servers.all():
             self._tell_router(notice)
 
-    async def take_into_force(self, stored: StoredObject) -> list[str]:
+    async def apply_committed(self, stored: StoredObject) -> list[str]:
         """Take a committed object into force here and hand it to peers; return who has it."""
         if self.gossip.merge_objects([stored], anyio.current_time()):
             self._configuration_changed()
         return await self.sync.push([stored])
 
-    def reached_another_zone(self, addresses: list[str]) -> bool:
+    def reaches_another_zone(self, addresses: list[str]) -> bool:
         """Whether some address is of another zone, or there is no other zone to reach."""
         own_zone = self.table.own.zone
         others = {each.address for each in self.table.peers() if each.zone != own_zone}
@@ -249,7 +249,7 @@
         if not peers:
             return True
         other_zones = any(each.zone != self.table.own.zone for each in peers)
-        return not self.gossip.detector.heard_since(since, other_zones)
+        return not self.gossip.detector.reachable_since(since, other_zones)
 
     # --- leaving servers ---
 
--- a/src/yokesill/platform/main.py
+++ b/src/yokesill/platform/main.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 
 from yokesill import logs
-from yokesill.clock import run_steadily
+from yokesill.clock import run_with_boottime_clock
 from yokesill.gateway.options import GatewayOptions
 from yokesill.platform import feeds
 from yokesill.platform.names import HEADER_NAMES, READY_PATH, SETTINGS_VARIABLE, SWITCHED_OFF_VARIABLE
@@ -47,7 +47,7 @@
     output = logs.configure(settings.log_level)
     process = GatewayProcess(settings, _dependencies(settings, listening), random.Random(), output)
     follower = SettingsFollower(path, settings, load_settings, process.apply_settings)
-    run_steadily(run_until_stopped, process, follower)
+    run_with_boottime_clock(run_until_stopped, process, follower)
     return OK
 
 
--- a/src/yokesill/rendezvous.py
+++ b/src/yokesill/rendezvous.py
@@ -9,7 +9,7 @@
 
 _MASK = (1 << 64) - 1
 # The two multipliers of splitmix64's finish.
-MIX_FIRST, MIX_SECOND = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
+SPLITMIX64_MULTIPLIER_1, SPLITMIX64_MULTIPLIER_2 = 0xBF58476D1CE4E5B9, 0x94D049BB133111EB
 
 
 def name_hash(name: str) -> int:
@@ -25,6 +25,6 @@
 
 def _mix(value: int) -> int:
     """Spread a number's bits (splitmix64's finish), so that near numbers rank unlike."""
-    value = ((value ^ (value >> 30)) * MIX_FIRST) & _MASK
-    value = ((value ^ (value >> 27)) * MIX_SECOND) & _MASK
+    value = ((value ^ (value >> 30)) * SPLITMIX64_MULTIPLIER_1) & _MASK
+    value = ((value ^ (value >> 27)) * SPLITMIX64_MULTIPLIER_2) & _MASK
     return value ^ (value >> 31)
--- a/src/yokesill/settings.py
+++ b/src/yokesill/settings.py
@@ -105,7 +105,7 @@
     limits: LimitsSection = LimitsSection()
     logs: LogSection = LogSection()
 
-    def detector(self) -> DetectorOptions:
+    def detector_options(self) -> DetectorOptions:
         """Return the failure detector's options."""
         interval = self.cluster.probe_interval_seconds
         return DetectorOptions(
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -77,7 +77,7 @@
         self.forgotten = self.revision
         self._wake()
 
-    def copied(self) -> StoreCopy:
+    def take_copy(self) -> StoreCopy:
         """Return a copy of the state now."""
         return copy.deepcopy(StoreCopy(self.revision, self.objects, self.log, self.forgotten))
 
--- a/tests/platform/test_following_the_store.py
+++ b/tests/platform/test_following_the_store.py
@@ -308,7 +308,7 @@
 
 def test_changes_after_a_revision_that_was_given_out_again_are_not_applied() -> None:
     async def main(standin: StoreStandin, followed: Followed) -> None:
-        older = standin.copied()
+        older = standin.take_copy()
         standin.put("servers", "i-lost", entry())
         await anyio.sleep(1.0)
         standin.mode = "busy"
@@ -328,7 +328,7 @@
 
 def test_an_answer_that_names_no_timeline_is_no_restore() -> None:
     async def main(standin: StoreStandin, followed: Followed) -> None:
-        standin.restore(standin.copied())
+        standin.restore(standin.take_copy())
         await anyio.sleep(5.0)
         assert {each.position.timeline for each in followed.followers if each.position} == {1}
         standin.timeline = 0
@@ -342,7 +342,7 @@
 
 def test_pages_of_a_list_from_before_and_after_a_restore_are_no_list() -> None:
     async def main(standin: StoreStandin, followed: Followed) -> None:
-        older = standin.copied()
+        older = standin.take_copy()
         standin.put("servers", "i-late", entry())
         standin.answer_s = 0.4
         listing: list[object] = []
@@ -368,7 +368,7 @@
         counts: dict[str, int] = {}
         nodes: list[NodePresence] = []
         async with anyio.create_task_group() as tasks:
-            older = standin.copied()
+            older = standin.take_copy()
             for number in range(4):
                 server = MemoryServer(standin.script, tasks)
                 store = MetadataStore(ApiClient(Address("10.0.0.1", 80), server.connect))
--- a/tests/platform/test_rollout_records.py
+++ b/tests/platform/test_rollout_records.py
@@ -274,7 +274,7 @@
 
 def test_a_record_that_was_read_before_the_store_was_restored_is_not_written() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
-        older = standin.copied()
+        older = standin.take_copy()
         standin.timeline = 1
         feed = rollout_feed(store)
         await feed.list()
--- a/tests/serving/test_registry_restored.py
+++ b/tests/serving/test_registry_restored.py
@@ -29,7 +29,7 @@
 
 def test_configurations_are_in_force_in_time_after_the_registry_lost_two_of_them() -> None:
     async def main(zone: Zone) -> None:
-        older = zone.standin.copied()
+        older = zone.standin.take_copy()
         for _ in range(2):
             zone.configure()
             await anyio.sleep(2.0)
@@ -48,7 +48,7 @@
 
 def test_revisions_given_out_again_hide_nothing_from_nodes_that_could_not_ask_meanwhile() -> None:
     async def main(zone: Zone) -> None:
-        older = zone.standin.copied()
+        older = zone.standin.take_copy()
         zone.change()
         await anyio.sleep(2.0)
         for node in zone.nodes:
@@ -72,7 +72,7 @@
     async def main(zone: Zone) -> None:
         source = random.Random(seed)
         for _ in range(4):
-            older = zone.standin.copied()
+            older = zone.standin.take_copy()
             for _ in range(source.randrange(3)):
                 zone.configure()
                 await anyio.sleep(source.random())
@@ -97,7 +97,7 @@
 
 def test_a_restored_registry_costs_two_lists_a_feed_of_each_watcher_however_many_nodes_there_are() -> None:
     async def main(zone: Zone) -> None:
-        older = zone.standin.copied()
+        older = zone.standin.take_copy()
         zone.configure()
         await anyio.sleep(2.0)
         before = zone.full_calls()
@@ -113,7 +113,7 @@
 
 def test_an_evacuation_that_the_registry_lost_stands_until_it_is_written_again() -> None:
     async def main(zone: Zone) -> None:
-        older = zone.standin.copied()
+        older = zone.standin.take_copy()
         zone.standin.put("evacuations", "z2", {})
         await anyio.sleep(2.0)
         zone.standin.restore(older)
@@ -130,7 +130,7 @@
 
 def test_an_evacuation_that_nobody_writes_again_ends() -> None:
     async def main(zone: Zone) -> None:
-        older = zone.standin.copied()
+        older = zone.standin.take_copy()
         zone.standin.put("evacuations", "z2", {})
         await anyio.sleep(2.0)
         zone.standin.restore(older)
@@ -142,7 +142,7 @@
 
 def test_a_node_that_lists_the_copy_takes_the_later_configuration_from_its_zone() -> None:
     async def main(zone: Zone) -> None:
-        older = zone.standin.copied()
+        older = zone.standin.take_copy()
         zone.configure()
         await anyio.sleep(2.0)
         zone.standin.restore(older)
@@ -161,7 +161,7 @@
 
 def test_reports_of_a_release_without_timelines_are_not_relied_on() -> None:
     async def main(zone: Zone) -> None:
-        older = zone.standin.copied()
+        older = zone.standin.take_copy()
         zone.change()
         await anyio.sleep(2.0)
         zone.standin.restore(older)
@@ -197,7 +197,7 @@
 def test_the_first_answer_of_a_later_timeline_ends_the_waits_of_all_feeds(seed: int) -> None:
     async def main(zone: Zone) -> None:
         await anyio.sleep(random.Random(seed).random())
-        older = zone.standin.copied()
+        older = zone.standin.take_copy()
         zone.standin.mode = "silent"
         # Waits that stand are answered; those that follow are swallowed.
         zone.change()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -50,7 +50,7 @@
         suspension.begin()
         return anyio.current_time() - by_library, clock.running_clock()() - by_hot_paths
 
-    assert min(clock.run_steadily(main)) >= SUSPENDED_S
+    assert min(clock.run_with_boottime_clock(main)) >= SUSPENDED_S
 
 
 def test_what_came_due_meanwhile_is_due_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -75,7 +75,7 @@
                 tasks.cancel_scope.cancel()
         return order
 
-    assert clock.run_steadily(main) == ["hedge", "deadline"]
+    assert clock.run_with_boottime_clock(main) == ["hedge", "deadline"]
 
 
 def test_nothing_else_reads_a_clock_or_starts_a_loop() -> None:
