--- a/deploy/serve.py
+++ b/deploy/serve.py
@@ -1,13 +1,13 @@
-"""Entry file of the deploy file's role: finds the package beside it and starts a node.
+"""Entry point of the role in the deploy file: puts the package on the path and starts a node.
 
-Started without the ``site`` module, which costs time and would let packages in that nobody declared.
+Runs without the ``site`` module, which takes time and would make undeclared packages importable.
 """
 
 import os.path
 import sys
 
 HERE = os.path.dirname(os.path.abspath(__file__))
-# This file's own folder holds no module, and would be looked at for each import.
+# This file's folder contains no modules, and would be searched at each import.
 if os.path.abspath(sys.path[0]) == HERE:
     del sys.path[0]
 sys.path.insert(0, os.path.join(os.path.dirname(HERE), "src"))
--- a/src/yokesill/clock.py
+++ b/src/yokesill/clock.py
@@ -1,13 +1,14 @@
-"""The node's clock: one for all decisions, which goes on while the machine is suspended.
+"""The node's clock: used for all decisions, and counts the time that the machine is suspended.
 
-A machine may be suspended for seconds. Its monotonic clock stands still meanwhile, and by it a request whose
-caller has given up would still have time left, an ejected server would stay ejected, and what other nodes
-said seconds ago would still count as fresh. So the event loop runs by the clock that counts that time, and
-with it everything that asks ``anyio.current_time`` or sets a timer. The time of day is no use: it is set back
-and forth. After a suspension all timers that came due meanwhile fire as after a pause of the process.
+A machine may be suspended for seconds. Its monotonic clock stops meanwhile: by that clock, a request whose
+caller has given up would still have time left, an ejected server would stay ejected, and reports that other
+nodes sent before the suspension would still count as fresh. The event loop therefore uses the boot-time
+clock, which counts suspensions, and so does everything that calls ``anyio.current_time`` or sets a timer.
+Wall-clock time is unsuitable because it can be set forward and back. After a suspension, all timers that came
+due meanwhile fire, as they do after a pause of the process.
 
-The kernel's wait for events does not count a suspension: a loop without a connection may sleep on for what
-was left of its last wait. A node's shortest steady timer bounds that to half a second.
+The kernel's wait for events does not count a suspension: a loop without connections may sleep for the rest
+of its last wait. A node's shortest periodic timer limits that to half a second.
 """
 
 import asyncio
@@ -20,12 +21,12 @@
 Clock = Callable[[], float]
 Result = TypeVar("Result")
 
-# Systems without this clock don't stop the other one either.
+# Systems without CLOCK_BOOTTIME don't stop CLOCK_MONOTONIC during a suspension.
 _CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class BoottimeEventLoop(asyncio.SelectorEventLoop):
-    """An event loop whose timers count the time that the machine was suspended."""
+    """An event loop whose timers count the time that the machine is suspended."""
 
     def time(self) -> float:
         """Return the loop's time in seconds."""
@@ -33,7 +34,7 @@
 
 
 def run_with_boottime_clock(main: Callable[..., Awaitable[Result]], *arguments: Any) -> Result:
-    """Run an asynchronous function to its end by the clock that counts suspensions."""
+    """Run an asynchronous function to completion in a ``BoottimeEventLoop``."""
     return anyio.run(main, *arguments, backend_options={"loop_factory": BoottimeEventLoop})
 
 
@@ -43,7 +44,7 @@
     Returns
     -------
     Clock
-        Reads the same time as ``anyio.current_time`` (seconds), without looking the loop up anew.
+        Returns the same time as ``anyio.current_time`` (seconds), without a lookup of the loop at each call.
     """
     try:
         return asyncio.get_running_loop().time
--- a/src/yokesill/gc_tuning.py
+++ b/src/yokesill/gc_tuning.py
@@ -1,9 +1,9 @@
-"""When the garbage collector runs: not while a node starts, and never over what was there by then.
+"""Turns garbage collection off while a node starts, and excludes the objects created by then from it.
 
-Modules and first lists live until the process ends. Collecting among them costs 6% of the start's processor
-time, and each later full collection 8 ms of a node's answers for 28,000 objects
-(``docs/design/startup-and-memory.md``). So the collector is off until the node listens, and objects of that
-moment, and of the moment at which it is ready, are frozen.
+Modules and the first lists from the registry live until the process ends. Collections during the start take
+6% of its CPU time, and each later full collection over 28,000 such objects delays a node's answers by 8 ms
+(``docs/design/startup-and-memory.md``). The collector is therefore off until the node listens, and the
+objects that exist then, and those that exist when the node becomes ready, are frozen.
 """
 
 import gc
@@ -12,14 +12,14 @@
 
 
 def pause() -> None:
-    """Collect nothing until ``freeze``; only the entry point of a process calls it."""
-    global _paused  # noqa: PLW0603 (the collector is one of the process, too)
+    """Disable garbage collection until ``freeze``; called only by the entry point of a process."""
+    global _paused  # noqa: PLW0603 (the collector is process-wide, too)
     _paused = True
     gc.disable()
 
 
 def freeze() -> None:
-    """Exclude all present objects from collections, and collect from now on; only after ``pause``."""
+    """Exclude all existing objects from collections and enable them again; no effect without ``pause``."""
     if _paused:
         gc.freeze()
         gc.enable()
--- a/src/yokesill/logs.py
+++ b/src/yokesill/logs.py
@@ -1,8 +1,8 @@
-"""Structured logs: one JSON object a line on standard output, by structlog.
+"""Structured logs by structlog: one JSON object per line on standard output.
 
-Lines go through a bounded buffer and out by non-blocking writes, so that no request ever waits for
-a log: when whoever reads them is slower than they come, lines are dropped, counted, and the next
-line that goes out says how many.
+Lines go through a bounded buffer and non-blocking writes, so that no request ever waits for a log. If the
+reader of the output is slower than the lines come, lines are dropped and counted, and a line with their
+number follows once the buffer is empty.
 """
 
 import json
@@ -15,14 +15,14 @@
 import structlog
 
 Logger = structlog.typing.FilteringBoundLogger
-# Lines that wait for a slow reader: a share of the node's memory.
+# Limits the memory that lines for a slow reader take.
 BUFFER_BYTES = 1_048_576
 
 
 class LogOutput:
-    """Writes lines to a file descriptor without ever waiting for it.
+    """Writes lines to a file descriptor without blocking.
 
-    ``dropped`` counts the lines that did not fit into the buffer, or whose reader was gone.
+    ``dropped`` counts the lines that did not fit into the buffer or that could not be written.
     """
 
     def __init__(self, descriptor: int, limit_bytes: int = BUFFER_BYTES) -> None:
@@ -34,7 +34,7 @@
         self._unreported = 0
 
     def write(self, line: str) -> None:
-        """Add a line and write what can be written now."""
+        """Append a line and write what can be written without blocking."""
         data = line.encode() + b"\n"
         if self._size + len(data) > self._limit_bytes:
             self.dropped += 1
@@ -44,7 +44,7 @@
         self.flush()
 
     def flush(self) -> None:
-        """Write what the reader takes at once; the rest stays in the buffer."""
+        """Write as much as possible without blocking; the rest stays in the buffer."""
         while self._lines:
             data = self._lines[0]
             try:
@@ -52,7 +52,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for good: the only place left to say so is the figure of dropped lines.
+                # The reader is gone for good, which only the metric of dropped lines can still report.
                 self.dropped += len(self._lines)
                 self._lines.clear()
                 self._size = 0
@@ -75,7 +75,7 @@
 
 
 class _LineLogger:
-    """What structlog hands rendered lines to."""
+    """The logger that structlog passes rendered lines to."""
 
     def __init__(self, output: LogOutput) -> None:
         self.msg = output.write
@@ -83,7 +83,7 @@
 
 
 def configure(level: str = "info", output: LogOutput | None = None) -> LogOutput:
-    """Send JSON lines of at least ``level`` (a ``logging`` level name) to ``output`` or standard output."""
+    """Write lines of at least ``level`` (a ``logging`` level name) to ``output`` or standard output."""
     if output is None:
         descriptor = sys.stdout.fileno()
         os.set_blocking(descriptor, False)
@@ -109,6 +109,6 @@
 
 
 def get_logger(component: str) -> Logger:
-    """Return a logger whose lines name ``component``."""
+    """Return a logger that adds ``component`` to its lines."""
     logger: Logger = structlog.get_logger(component=component)
     return logger
--- a/src/yokesill/membership/__init__.py
+++ b/src/yokesill/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who the members are: a SWIM-style failure detector and member table, sans I/O."""
+"""Cluster membership: a SWIM-style failure detector and member table, sans I/O."""
--- a/src/yokesill/membership/detector.py
+++ b/src/yokesill/membership/detector.py
@@ -1,10 +1,10 @@
 """The failure detector: SWIM-style probes, indirect probes, suspicion and refutation; sans I/O.
 
-Every probe interval one member is pinged, in a shuffled round. Without an ack, members in other
-zones are asked to ping it. Without any ack it is suspected, and unless it refutes that in time it
-is held for dead. When nobody in its zone has been heard of lately the zone is held for cut off
-instead: its members are not declared dead one by one, so a lost zone causes no storm of rumors
-and no reshuffle. The dead are still pinged now and then, so that a healed cut is noticed.
+Every probe interval one member is pinged, in a shuffled round. Without an ack, members in several zones
+are asked to ping it. Without any ack it is suspected, and unless it refutes that in time it is declared
+dead. If no member of its zone has been reachable recently, the whole zone is marked unreachable instead: its
+members are not declared dead one by one, so the loss of a zone causes no storm of rumors and no reshuffle.
+Dead members are still pinged occasionally, so that the end of a network partition is detected.
 """
 
 import math
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DetectorOptions:
-    """Periods and bounds of the failure detector; times in seconds."""
+    """Intervals and limits of the failure detector; times in seconds."""
 
     probe_interval: float = 1.0
     probe_timeout: float = 0.3
@@ -28,7 +28,7 @@
     gossip_fanout: int = 3
     indirect_probes: int = 3
     suspicion_factor: float = 1.5
-    zone_silence: float = 4.0
+    zone_silence_timeout: float = 4.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
 
 
 class FailureDetector:
-    """One node's part in the detection; driven by ``tick`` and ``on_packet``."""
+    """The failure detector of one node; driven by ``tick`` and ``on_packet``."""
 
     def __init__(
         self,
@@ -69,13 +69,13 @@
         self._next_probe = 0.0
         self._next_gossip = 0.0
         self._suspected_at: dict[str, float] = {}
-        self._zone_heard: dict[str, float] = {}
+        self._zone_reachable_at: dict[str, float] = {}
         self._relays: dict[int, tuple[str, int, str]] = {}
 
     # --- events ---
 
     def tick(self, now: float) -> list[SendPacket]:
-        """Do what is due; call it several times a gossip interval."""
+        """Run everything that is due; must be called several times per gossip interval."""
         sends: list[SendPacket] = []
         self._check_probe(now, sends)
         self._check_suspects(now)
@@ -88,20 +88,20 @@
         return sends
 
     def on_packet(self, packet: Packet, now: float) -> list[SendPacket]:
-        """Answer a packet; its rumors are the caller's to merge."""
-        self._hear(packet.sender, now)
+        """Answer a packet; the caller merges its rumors."""
+        self._record_reachable(packet.sender, now)
         if packet.kind is PacketKind.PING:
             return [self._send(packet.sender, PacketKind.ACK, packet.sequence)]
         if packet.kind is PacketKind.INDIRECT_PING:
             return self._relay(packet)
         if packet.kind is PacketKind.ACK:
-            return self._acknowledged(packet, now)
+            return self._handle_ack(packet, now)
         return []
 
     def learn(self, record: MemberRecord, now: float) -> bool:
-        """Merge a record from a peer; return whether it was news, which is the caller's to pass on."""
+        """Merge a record from a peer; return whether it was new, in which case the caller passes it on."""
         if record.address == self.table.own.address:
-            # An older incarnation is news of this node's restart that has not arrived there yet.
+            # The peer has an older incarnation: it doesn't have the record of this node's restart yet.
             if self.table.refute(record, now) or record.incarnation < self.table.own.incarnation:
                 self._rumors.add(self.table.own)
             return False
@@ -116,7 +116,7 @@
         return True
 
     def leave(self, now: float) -> list[SendPacket]:
-        """Tell the others at once that this node is leaving."""
+        """Mark this node as leaving and return the packets that announce it immediately."""
         self.table.leave(now)
         self._rumors.add(self.table.own)
         sends: list[SendPacket] = []
@@ -124,18 +124,18 @@
         return sends
 
     def resume(self, now: float) -> None:
-        """Forget open probes after a pause of this node: the silence was its own."""
+        """Reset probes and timeouts after a pause of this node, during which it received nothing."""
         self._probe = None
         self._next_probe = now
         for address in self._suspected_at:
             self._suspected_at[address] = now
-        for zone in self._zone_heard:
-            self._zone_heard[zone] = now
+        for zone in self._zone_reachable_at:
+            self._zone_reachable_at[zone] = now
 
     def reachable_since(self, moment: float, other_zone_only: bool) -> bool:
-        """Whether some peer (or one of another zone) was heard of at or after ``moment``."""
+        """Whether a peer was reachable at or after ``moment``; only peers of other zones if so asked."""
         own_zone = self.table.own.zone
-        zones = self._zone_heard.items()
+        zones = self._zone_reachable_at.items()
         return any(at >= moment and not (other_zone_only and zone == own_zone) for zone, at in zones)
 
     # --- probing ---
@@ -149,8 +149,8 @@
         sends.append(self._send(target, PacketKind.PING, self._sequence))
         dead = self.table.dead()
         if dead and self._random.random() < 0.2:
-            lost = self._random.choice(dead).address
-            sends.append(self._send(lost, PacketKind.PING, 0))
+            dead_address = self._random.choice(dead).address
+            sends.append(self._send(dead_address, PacketKind.PING, 0))
 
     def _next_target(self) -> str | None:
         while True:
@@ -178,7 +178,7 @@
             self._suspect(probe.target, probe.sent_at, now)
 
     def _helpers(self, target: str) -> list[str]:
-        """Choose who pings ``target`` for this node: one of its own zone first, then one a zone."""
+        """Choose members to ping ``target``: one of the target's zone first, then one of each other zone."""
         others = [
             each for each in self.table.reachable() if each.address not in (target, self.table.own.address)
         ]
@@ -191,16 +191,16 @@
         return [each.address for each in chosen[: self._options.indirect_probes]]
 
     def _suspect(self, address: str, probed_at: float, now: float) -> None:
-        """Suspect a member that did not answer, unless nobody of its zone was heard of since.
+        """Suspect a member that did not answer, unless its whole zone may be unreachable since the probe.
 
-        A silent zone is no news of one member: its members would all be suspected by everybody,
-        and refute it all at once when the cut heals.
+        The silence of a whole zone says nothing about a single member: every node would suspect all of the
+        zone's members, which would all refute it at the same time when the partition ends.
         """
         record = self.table.get(address)
         if record is None or record.status is not MemberStatus.ALIVE:
             return
-        if self._zone_unheard(record.zone, probed_at):
-            if self._zone_silent(record.zone, now):
+        if self._zone_silent_since(record.zone, probed_at):
+            if self._zone_timed_out(record.zone, now):
                 self.table.unreachable_zones.add(record.zone)
             return
         suspect = replace(record, status=MemberStatus.SUSPECT)
@@ -208,35 +208,37 @@
         self._suspected_at[address] = now
         self._rumors.add(suspect)
 
-    def _zone_silent(self, zone: str, now: float) -> bool:
-        """Whether a zone has been silent for long."""
-        silence = now - self._zone_heard.get(zone, now)
-        return self._may_be_cut(zone) and silence > self._options.zone_silence
+    def _zone_timed_out(self, zone: str, now: float) -> bool:
+        """Whether a zone that may be partitioned has been silent for longer than the timeout."""
+        silence = now - self._zone_reachable_at.get(zone, now)
+        return self._may_be_partitioned(zone) and silence > self._options.zone_silence_timeout
 
-    def _zone_unheard(self, zone: str, since: float) -> bool:
-        """Whether no member of a zone that may be cut off was heard of after ``since``."""
-        return self._may_be_cut(zone) and self._zone_heard.get(zone, since) <= since
+    def _zone_silent_since(self, zone: str, since: float) -> bool:
+        """Whether a zone may be partitioned and none of its members was reachable after ``since``."""
+        return self._may_be_partitioned(zone) and self._zone_reachable_at.get(zone, since) <= since
 
-    def _may_be_cut(self, zone: str) -> bool:
-        """Whether a zone's silence tells more than that one member is lost."""
+    def _may_be_partitioned(self, zone: str) -> bool:
+        """Whether silence of a zone may mean a partition: it is another zone with several serving members."""
         if zone == self.table.own.zone:
             return False
         return sum(1 for each in self.table.serving() if each.zone == zone) >= 2
 
     def _check_suspects(self, now: float) -> None:
         members = len(self.table.serving())
-        patience = self._options.suspicion_factor * math.log(members + 2) * self._options.probe_interval
+        suspicion_timeout = (
+            self._options.suspicion_factor * math.log(members + 2) * self._options.probe_interval
+        )
         for address, since in list(self._suspected_at.items()):
-            if now - since < patience:
+            if now - since < suspicion_timeout:
                 continue
             del self._suspected_at[address]
             record = self.table.get(address)
             if record is None or record.status is not MemberStatus.SUSPECT:
                 continue
-            if self._zone_unheard(record.zone, since):
-                # The zone may be cut off as a whole: wait until that is clear.
+            if self._zone_silent_since(record.zone, since):
+                # The whole zone may be unreachable: keep the suspicion until that is known.
                 self._suspected_at[address] = since
-                if self._zone_silent(record.zone, now):
+                if self._zone_timed_out(record.zone, now):
                     self.table.unreachable_zones.add(record.zone)
                 continue
             dead = replace(record, status=MemberStatus.DEAD)
@@ -250,27 +252,27 @@
         self._relays = dict(list(self._relays.items())[-32:])
         self._relays[self._sequence] = (packet.sender, packet.sequence, packet.target)
         ping = self._send(packet.target, PacketKind.PING, self._sequence)
-        # The asker learns that this zone is there, whatever becomes of the target.
+        # The gossip packet shows the requester that this zone is reachable, even if the target is not.
         return [ping, self._send(packet.sender, PacketKind.GOSSIP, 0)]
 
-    def _acknowledged(self, packet: Packet, now: float) -> list[SendPacket]:
+    def _handle_ack(self, packet: Packet, now: float) -> list[SendPacket]:
         relay = self._relays.pop(packet.sequence, None)
         if relay is not None:
-            asker, sequence, target = relay
-            return [self._send(asker, PacketKind.ACK, sequence, target)]
+            requester, sequence, target = relay
+            return [self._send(requester, PacketKind.ACK, sequence, target)]
         probe = self._probe
         if probe is None or probe.sequence != packet.sequence:
             return []
         if probe.target in (packet.sender, packet.target):
             self._probe = None
-            self._hear(probe.target, now)
+            self._record_reachable(probe.target, now)
         return []
 
-    def _hear(self, address: str, now: float) -> None:
+    def _record_reachable(self, address: str, now: float) -> None:
         record = self.table.get(address)
         if record is None:
             return
-        self._zone_heard[record.zone] = now
+        self._zone_reachable_at[record.zone] = now
         self.table.unreachable_zones.discard(record.zone)
 
     def _gossip(self, sends: list[SendPacket]) -> None:
--- a/src/yokesill/membership/packets.py
+++ b/src/yokesill/membership/packets.py
@@ -14,7 +14,7 @@
 
 
 class PacketKind(enum.IntEnum):
-    """What a packet asks for or answers; every kind carries rumors and digests."""
+    """The kind of a packet; packets of every kind carry rumors and digests."""
 
     PING = 1
     ACK = 2
@@ -26,7 +26,7 @@
 class Packet:
     """One datagram.
 
-    ``target`` is who an indirect ping asks about, or on whose behalf an ack is sent.
+    ``target`` is the member that an indirect ping is to reach, or on whose behalf an ack is sent.
     """
 
     kind: PacketKind
@@ -53,7 +53,7 @@
 
 
 def decode_packet(data: bytes) -> Packet | None:
-    """Read a packet; ``None`` when it is not one."""
+    """Decode a packet; ``None`` if it is malformed."""
     try:
         fields = cbor2.loads(data)
     except (cbor2.CBORDecodeError, ValueError, RecursionError):
@@ -61,8 +61,8 @@
     if not isinstance(fields, list) or len(fields) != PACKET_FIELDS:
         return None
     kind, sender, sequence, target, config_digest, member_digest, rumors = fields
-    numbers_hold = all(isinstance(each, int) for each in (sequence, config_digest, member_digest))
-    if kind not in (1, 2, 3, 4) or not numbers_hold or not isinstance(rumors, list):
+    numbers_valid = all(isinstance(each, int) for each in (sequence, config_digest, member_digest))
+    if kind not in (1, 2, 3, 4) or not numbers_valid or not isinstance(rumors, list):
         return None
     if not isinstance(sender, str) or not isinstance(target, str):
         return None
@@ -70,7 +70,7 @@
 
 
 def rumor_from_wire(item: Any) -> Rumor | None:
-    """Read one rumor; ``None`` when it is malformed."""
+    """Parse one rumor; ``None`` if it is malformed."""
     if not isinstance(item, list) or not item:
         return None
     tag, fields = item[0], item[1:]
--- a/src/yokesill/membership/records.py
+++ b/src/yokesill/membership/records.py
@@ -1,4 +1,4 @@
-"""Members and what is said of them."""
+"""Member records and their wire form."""
 
 import enum
 from dataclasses import dataclass
@@ -16,10 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberRecord:
-    """What is known of a member.
+    """The state of a member.
 
-    ``incarnation`` is the member's own: it starts from the wall clock in milliseconds, so that a
-    restart outranks everything said before, and rises when the member refutes a suspicion.
+    ``incarnation`` is set by the member itself: it starts from the wall clock in milliseconds, so that after
+    a restart it outranks all earlier records, and increases when the member refutes a suspicion.
     """
 
     address: str
@@ -34,20 +34,20 @@
 
     @property
     def serving(self) -> bool:
-        """Whether the member takes part: alive or only suspected."""
+        """Whether the member is active: alive or only suspected."""
         return self.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
     def to_wire(self) -> list[Any]:
-        """Return the form in which peers exchange it."""
+        """Return the wire form of the record."""
         return [self.address, self.zone, self.region, self.incarnation, int(self.status)]
 
 
 def record_from_wire(item: Any) -> MemberRecord | None:
-    """Read ``to_wire``'s form; ``None`` when it is malformed."""
+    """Parse the form that ``to_wire`` returns; ``None`` if it is malformed."""
     if not isinstance(item, list) or len(item) != 5:
         return None
     address, zone, region, incarnation, status = item
-    texts_hold = all(isinstance(each, str) for each in (address, zone, region))
-    if not texts_hold or not isinstance(incarnation, int) or status not in (0, 1, 2, 3):
+    texts_valid = all(isinstance(each, str) for each in (address, zone, region))
+    if not texts_valid or not isinstance(incarnation, int) or status not in (0, 1, 2, 3):
         return None
     return MemberRecord(address, zone, region, incarnation, MemberStatus(status))
--- a/src/yokesill/membership/rumors.py
+++ b/src/yokesill/membership/rumors.py
@@ -1,4 +1,4 @@
-"""Rumors: what is passed on from node to node, each a bounded number of times."""
+"""Rumors: updates that nodes pass on to each other, each a limited number of times."""
 
 import math
 from dataclasses import dataclass, field
@@ -7,18 +7,18 @@
 from yokesill.membership.records import MemberRecord
 from yokesill.resources.objects import StoredObject
 
-# Each rumor is sent this many times the logarithm of the members: gossip reaches all members with high
-# probability after a few logarithms of rounds.
-REPEAT_FACTOR = 3.0
-# With the packet's other fields and the seal below a usual MTU of 1,500 bytes.
-PACKET_BYTES = 1200
-# What a rumor's frame takes in a packet.
+# Each rumor is sent this factor times log(members) times: gossip reaches all members with high probability
+# within a small multiple of log(members) rounds.
+SEND_COUNT_FACTOR = 3.0
+# Keeps a sealed packet with its other fields below the usual MTU of 1,500 bytes.
+MAX_RUMOR_BYTES = 1200
+# Encoding overhead of a rumor in a packet.
 RUMOR_OVERHEAD_BYTES = 8
 
 
 @dataclass(frozen=True, slots=True)
 class ObjectNotice:
-    """An object has a newer revision that is too large for a datagram: fetch it."""
+    """Announces a newer revision of an object that is too large for a datagram and must be fetched."""
 
     key: str
     revision: int
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerNotice:
-    """A back end is leaving, in this incarnation (empty: the one it has now)."""
+    """Announces that a back end is leaving; an empty ``incarnation`` means its current one."""
 
     address: str
     incarnation: str
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True)
 class RumorQueue:
-    """The rumors that still have to be passed on; a newer one of a subject replaces the older."""
+    """Rumors that still have to be passed on; a newer one replaces an older one on the same subject."""
 
     _entries: dict[str, _Entry] = field(default_factory=dict)
 
@@ -54,29 +54,29 @@
         return len(self._entries)
 
     def add(self, rumor: Rumor) -> None:
-        """Pass ``rumor`` on from now on."""
-        subject = subject_of(rumor)
+        """Queue ``rumor``; it replaces a queued one on the same subject."""
+        subject = subject_key(rumor)
         wire = rumor_to_wire(rumor)
-        size = _size(wire) + RUMOR_OVERHEAD_BYTES
+        size = _estimate_size(wire) + RUMOR_OVERHEAD_BYTES
         self._entries[subject] = _Entry(subject, rumor, wire, size)
 
-    def take(self, members: int, room: int = PACKET_BYTES) -> list[list[Any]]:
-        """Return rumors for one packet, the least passed on first, and count them as passed on."""
-        repeats = math.ceil(REPEAT_FACTOR * math.log(members + 2))
+    def take(self, members: int, free_bytes: int = MAX_RUMOR_BYTES) -> list[list[Any]]:
+        """Return rumors for one packet, those sent least often first, and count them as sent."""
+        max_sends = math.ceil(SEND_COUNT_FACTOR * math.log(members + 2))
         taken: list[list[Any]] = []
         for entry in sorted(self._entries.values(), key=lambda each: each.sent):
-            if entry.size > room:
+            if entry.size > free_bytes:
                 continue
-            room -= entry.size
+            free_bytes -= entry.size
             taken.append(entry.wire)
             entry.sent += 1
-            if entry.sent >= repeats:
+            if entry.sent >= max_sends:
                 del self._entries[entry.subject]
         return taken
 
 
-def subject_of(rumor: Rumor) -> str:
-    """Return what the rumor is about: a newer one about the same replaces it."""
+def subject_key(rumor: Rumor) -> str:
+    """Return the key of the rumor's subject; a newer rumor with the same key replaces it."""
     match rumor:
         case MemberRecord(address=address):
             return f"member {address}"
@@ -87,7 +87,7 @@
 
 
 def rumor_to_wire(rumor: Rumor) -> list[Any]:
-    """Return the form in which a rumor travels: a tag and its fields."""
+    """Return the wire form of a rumor: a tag and its fields."""
     match rumor:
         case MemberRecord():
             return ["m", *rumor.to_wire()]
@@ -99,12 +99,12 @@
             return ["s", address, incarnation]
 
 
-def _size(value: Any) -> int:
+def _estimate_size(value: Any) -> int:
     """Estimate the encoded size of plain data, in bytes."""
     if isinstance(value, str):
         return len(value) + 3
     if isinstance(value, dict):
-        return 3 + sum(_size(key) + _size(item) for key, item in value.items())
+        return 3 + sum(_estimate_size(key) + _estimate_size(item) for key, item in value.items())
     if isinstance(value, list | tuple):
-        return 3 + sum(_size(item) for item in value)
+        return 3 + sum(_estimate_size(item) for item in value)
     return 9
--- a/src/yokesill/membership/table.py
+++ b/src/yokesill/membership/table.py
@@ -1,4 +1,4 @@
-"""The member table: the newest record of each member, and zones that cannot be reached."""
+"""The member table: the newest record of each member, and the unreachable zones."""
 
 from dataclasses import replace
 
@@ -7,12 +7,13 @@
 from yokesill.membership.records import MemberRecord, MemberStatus
 from yokesill.resources.hashing import rendezvous_weight
 
-# How long a dead member is remembered, so that an old rumor of it is recognised and a healed cut is noticed.
+# How long a dead member stays in the table, so that old rumors of it are recognised and the end of a
+# network partition is detected.
 DEAD_RETENTION_S = 600.0
 
 
 class MemberTable:
-    """All members that this node knows, itself included."""
+    """All known members, including this node."""
 
     def __init__(self, own: MemberRecord) -> None:
         self.own = own
@@ -25,7 +26,7 @@
 
     @property
     def digest(self) -> int:
-        """A hash of the table that is equal at members with equal tables."""
+        """A hash of the table; members with equal tables have equal digests."""
         return self._digest
 
     def get(self, address: str) -> MemberRecord | None:
@@ -37,13 +38,13 @@
         return list(self._records.values())
 
     def serving(self) -> list[MemberRecord]:
-        """Return the members that take part, this node included; not to be changed by the caller."""
+        """Return the serving members, including this node; the caller must not modify the list."""
         if self._serving is None:
             self._serving = [each for each in self._records.values() if each.serving]
         return self._serving
 
     def reachable(self) -> list[MemberRecord]:
-        """Return the serving members outside of cut-off zones."""
+        """Return the serving members outside of unreachable zones."""
         return [each for each in self.serving() if each.zone not in self.unreachable_zones]
 
     def peers(self) -> list[MemberRecord]:
@@ -51,22 +52,22 @@
         return [each for each in self.serving() if each.address != self.own.address]
 
     def dead(self) -> list[MemberRecord]:
-        """Return the members held for dead."""
+        """Return the members that are declared dead."""
         return [each for each in self._records.values() if each.status is MemberStatus.DEAD]
 
     def merge(self, record: MemberRecord, now: float) -> bool:
-        """Take ``record`` in if it is newer; return whether it was."""
+        """Store ``record`` if it is newer; return whether it was."""
         known = self._records.get(record.address)
         if known is not None and not record.outranks(known):
             return False
         self._store(record, now)
         return True
 
-    def refute(self, said: MemberRecord, now: float) -> bool:
-        """Outrank what ``said`` claims of this node, unless it is true; return whether it did."""
-        if not said.outranks(self.own):
+    def refute(self, claimed: MemberRecord, now: float) -> bool:
+        """Refute a peer's record of this node if it outranks the own one; return whether it did."""
+        if not claimed.outranks(self.own):
             return False
-        self._store(replace(self.own, incarnation=said.incarnation + 1), now)
+        self._store(replace(self.own, incarnation=claimed.incarnation + 1), now)
         return True
 
     def leave(self, now: float) -> None:
@@ -74,7 +75,7 @@
         self._store(replace(self.own, status=MemberStatus.LEAVING), now)
 
     def expire(self, now: float) -> None:
-        """Forget members that have been dead for long."""
+        """Remove members that have been dead for longer than the retention time."""
         for record in self.dead():
             if now - self._changed_at.get(record.address, now) > DEAD_RETENTION_S:
                 self._digest ^= _record_hash(record)
@@ -82,7 +83,7 @@
                 self._serving = None
 
     def rank(self, subject: str, members: list[MemberRecord]) -> list[MemberRecord]:
-        """Return ``members`` by rendezvous weight for ``subject``, the highest first."""
+        """Return ``members`` in descending order of their rendezvous weight for ``subject``."""
         return sorted(members, key=lambda each: rendezvous_weight(each.address, subject), reverse=True)
 
     def _store(self, record: MemberRecord, now: float) -> None:
@@ -100,7 +101,10 @@
 
 
 def _record_hash(record: MemberRecord) -> int:
-    """Hash what members must agree on: suspicion is passing, and the dead are forgotten."""
+    """Hash the fields that all members must agree on.
+
+    Suspicions are left out because they are temporary, and dead members because they are removed.
+    """
     if record.status is MemberStatus.DEAD:
         return 0
     status = MemberStatus.LEAVING if record.status is MemberStatus.LEAVING else MemberStatus.ALIVE
--- a/src/yokesill/metrics.py
+++ b/src/yokesill/metrics.py
@@ -1,4 +1,4 @@
-"""Figures of a node for ``/metrics``, by prometheus-client."""
+"""A node's metrics for ``/metrics``, by prometheus-client."""
 
 from prometheus_client import CollectorRegistry, Counter, Gauge, Histogram, ProcessCollector, generate_latest
 
@@ -6,7 +6,7 @@
 
 
 class Metrics:
-    """The metrics of one node; one registry each, so that many nodes can share a process."""
+    """The metrics of one node, in a registry of their own so that several nodes can share a process."""
 
     def __init__(self) -> None:
         self.registry = CollectorRegistry()
@@ -27,12 +27,12 @@
         self.gauges: dict[str, Gauge] = {}
 
     def gauge(self, name: str, description: str, value: float) -> None:
-        """Set a gauge, creating it on first use."""
+        """Set a gauge; create it on first use."""
         gauge = self.gauges.get(name)
         if gauge is None:
             gauge = self.gauges[name] = Gauge(name, description, registry=self.registry)
         gauge.set(value)
 
     def render(self) -> bytes:
-        """Return the metrics in the text format."""
+        """Return the metrics in the Prometheus text format."""
         return generate_latest(self.registry)
--- a/src/yokesill/node.py
+++ b/src/yokesill/node.py
@@ -1,4 +1,4 @@
-"""Wires one node together; the only place that knows every part."""
+"""Builds and runs one node; the only module that depends on all of its parts."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -36,15 +36,15 @@
 from yokesill.supervision import Supervisor
 from yokesill.verdict import Failure, Reason, Verdict
 
-# Before a starting node asks store and peers again.
-BARRIER_PAUSE_S = 0.3
-# How soon a draining node notices that it is idle.
-IDLE_CHECK_S = 0.02
+# Delay before a node that starts, or that was paused, asks the store and its peers again.
+BARRIER_RETRY_S = 0.3
+# How often a draining node checks whether it is idle.
+IDLE_CHECK_INTERVAL_S = 0.02
 SERVING_STATES = frozenset({"serving", "lame_duck"})
 
 
 class Node:
-    """One node, from its settings and its ways to the outside."""
+    """One node, built from its settings, store, transport and back-end client."""
 
     def __init__(
         self,
@@ -60,7 +60,7 @@
         self.store = store
         self.lifecycle = Lifecycle("node")
         self.metrics = Metrics()
-        self.supervisor = Supervisor(self._part_failed)
+        self.supervisor = Supervisor(self._count_failure)
         self.transport = transport
         self.sealer = Sealer([bytes.fromhex(each) for each in settings.cluster.keys])
         record = MemberRecord(own.address, own.zone, own.region, incarnation, MemberStatus.ALIVE)
@@ -90,11 +90,11 @@
             lambda: self.isolated,
             self.supervisor,
         )
-        self.leaving_servers = LeavingServers(self.gossip, self._tell_router, self._incarnation_of)
-        self.close_listener: Callable[[], Awaitable[None]] = _nothing_to_close
+        self.leaving_servers = LeavingServers(self.gossip, self._notify_router, self._incarnation_of)
+        self.close_listener: Callable[[], Awaitable[None]] = _no_listener
         self._backends = backends
-        self._resync_wanted = anyio.Event()
-        self._stop_wanted = anyio.Event()
+        self._resync_requested = anyio.Event()
+        self._stop_requested = anyio.Event()
         self._log = get_logger("node")
         self.gossip.on_change = self._configuration_changed
         self.gossip.on_server = self.leaving_servers.learn
@@ -105,7 +105,7 @@
     # --- life cycle ---
 
     async def run(self) -> None:
-        """Start, pass the barrier and serve; returns once a planned stop is complete."""
+        """Start, pass the barrier and serve; return when a planned stop is complete."""
         parts: dict[str, Callable[[], Awaitable[None]]] = {
             "transport": self.transport.run,
             "driver": self.driver.run,
@@ -118,46 +118,46 @@
         async with anyio.create_task_group() as task_group:
             for name, run in parts.items():
                 task_group.start_soon(self.supervisor.keep_running, name, run)
-            await self._stop_wanted.wait()
+            await self._stop_requested.wait()
             await self._drain()
             task_group.cancel_scope.cancel()
 
     def stop(self) -> None:
         """Begin a planned stop; ``run`` returns when it is complete."""
-        self._stop_wanted.set()
+        self._stop_requested.set()
 
     @property
     def accepting(self) -> bool:
-        """Whether new requests are taken."""
+        """Whether new requests are accepted."""
         return self.lifecycle.state in SERVING_STATES
 
     @property
     def ready(self) -> bool:
-        """Whether callers should come here: serving and not about to stop."""
+        """Whether callers should send requests here: serving and not about to stop."""
         return self.lifecycle.state == "serving"
 
     async def _barrier(self) -> None:
-        """Learn the configuration from peers of several zones, and from the store, before serving."""
+        """Load the configuration from the store and from peers of several zones before serving."""
         seeds = list(self.settings.node.seeds)
         while True:
             loaded = await self.watcher.load()
             if loaded:
-                await self._learn_machines(seeds)
+                await self._add_seeds_from_machines(seeds)
             answered = await self.sync.barrier(seeds) if seeds else 0
             if answered or loaded:
                 break
             self._log.info("barrier_waits", reason="neither the store nor a peer answered")
-            await anyio.sleep(BARRIER_PAUSE_S)
+            await anyio.sleep(BARRIER_RETRY_S)
         self.gossip.rumors.add(self.table.own)
         self._configuration_changed()
-        self._enter("synchronised")
+        self._apply_event("synchronised")
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self.supervisor.keep_running, "synchronisation", self.sync.run)
             task_group.start_soon(self.supervisor.keep_running, "store", self.watcher.run)
             task_group.start_soon(self.supervisor.keep_running, "health", self.health.run)
 
-    async def _learn_machines(self, seeds: list[str]) -> None:
-        """Take further seeds from the platform's machine list."""
+    async def _add_seeds_from_machines(self, seeds: list[str]) -> None:
+        """Add seeds from the platform's machine list."""
         machines = await self.store.machines()
         if isinstance(machines, Failure):
             return
@@ -166,52 +166,52 @@
         seeds.extend(address for address in nodes if address not in known)
 
     async def _drain(self) -> None:
-        """Lame duck, then drain: nothing in flight is cut off."""
+        """Enter the lame-duck state, then drain: requests in flight are completed, within the drain limit."""
         limits = self.settings.limits
-        if self._enter("stop") == "lame_duck":
+        if self._apply_event("stop") == "lame_duck":
             await self.supervisor.run_once("gossip", self.gossip.announce_leaving)
             await anyio.sleep(limits.lame_duck_seconds)
-            self._enter("announced")
+            self._apply_event("announced")
         await self.supervisor.run_once("listener", self.close_listener)
-        with anyio.move_on_after(limits.drain_seconds) as bound:
+        with anyio.move_on_after(limits.drain_seconds) as drain_limit:
             while self.queries.in_flight or self.router.queries_in_flight:
-                await anyio.sleep(IDLE_CHECK_S)
-        self._enter("drain_time_over" if bound.cancelled_caught else "idle")
+                await anyio.sleep(IDLE_CHECK_INTERVAL_S)
+        self._apply_event("drain_time_over" if drain_limit.cancelled_caught else "idle")
 
-    def _enter(self, event: str) -> str:
+    def _apply_event(self, event: str) -> str:
         before = self.lifecycle.state
         state = self.lifecycle.handle(event)
         if state != before:
             self._log.info("state", node=self.table.own.address, before=before, state=state)
         return state
 
-    def _part_failed(self, part: str) -> None:
+    def _count_failure(self, part: str) -> None:
         failures = self.supervisor.failures[part]
         self.metrics.gauge(f"yokesill_failures_{part}", "How often this part began anew", failures)
 
     def _paused(self) -> None:
-        """After a pause the configuration is confirmed before new requests are taken."""
-        self._enter("paused")
-        self._resync_wanted.set()
+        """After a pause, have the configuration confirmed before new requests are accepted."""
+        self._apply_event("paused")
+        self._resync_requested.set()
 
     async def _resynchronise_when_wanted(self) -> None:
         while True:
-            await self._resync_wanted.wait()
-            self._resync_wanted = anyio.Event()
-            alone = not self.table.peers()
-            while not await self.sync.barrier([], 1) and not await self.watcher.load() and not alone:
-                await anyio.sleep(BARRIER_PAUSE_S)
-            self._enter("synchronised")
+            await self._resync_requested.wait()
+            self._resync_requested = anyio.Event()
+            has_no_peers = not self.table.peers()
+            while not await self.sync.barrier([], 1) and not await self.watcher.load() and not has_no_peers:
+                await anyio.sleep(BARRIER_RETRY_S)
+            self._apply_event("synchronised")
 
     async def _follow_membership(self) -> None:
-        """Choose subsets anew when members came or went."""
-        seen = self.table.version
+        """Choose subsets again when the set of members has changed."""
+        seen_version = self.table.version
         while True:
             await anyio.sleep(1.0)
             self.table.expire(anyio.current_time())
-            if self.table.version == seen:
+            if self.table.version == seen_version:
                 continue
-            seen = self.table.version
+            seen_version = self.table.version
             if await self.subsets.replan(self.replica.state):
                 self._install(self.catalog.recompile_all())
 
@@ -225,23 +225,26 @@
             service = self.catalog.services.get(name)
             self.driver.feed(ServiceRemoved(name) if service is None else ServiceInstalled(service))
         for notice in self.leaving_servers.all():
-            self._tell_router(notice)
+            self._notify_router(notice)
 
     async def apply_committed(self, stored: StoredObject) -> list[str]:
-        """Take a committed object into force here and hand it to peers; return who has it."""
+        """Apply a committed object here and push it to peers; return the addresses of nodes that have it."""
         if self.gossip.merge_objects([stored], anyio.current_time()):
             self._configuration_changed()
         return await self.sync.push([stored])
 
     def reaches_another_zone(self, addresses: list[str]) -> bool:
-        """Whether some address is of another zone, or there is no other zone to reach."""
+        """Whether an address is in another zone, or there are no peers in other zones."""
         own_zone = self.table.own.zone
         others = {each.address for each in self.table.peers() if each.zone != own_zone}
         return not others or bool(others.intersection(addresses))
 
     @property
     def isolated(self) -> bool:
-        """Whether nobody outside this zone (or nobody at all) confirmed freshness lately."""
+        """Whether the node may be stale: for the isolation time, neither store nor peers were reachable.
+
+        Peers of this zone count only if there are none in other zones.
+        """
         since = anyio.current_time() - self.settings.cluster.isolation_seconds
         if self.watcher.confirmed_at >= since:
             return False
@@ -256,7 +259,7 @@
     def _announce_leaving_server(self, action: AnnounceLeaving) -> None:
         self.leaving_servers.learn(ServerNotice(action.address, action.incarnation))
 
-    def _tell_router(self, notice: ServerNotice) -> None:
+    def _notify_router(self, notice: ServerNotice) -> None:
         self.driver.feed(ServerLeaving(notice.address, notice.incarnation))
 
     def _incarnation_of(self, address: str) -> str:
@@ -266,7 +269,7 @@
     # --- queries ---
 
     async def query(self, call: QueryCall) -> FinalAnswer:
-        """Answer a caller's request, or refuse it at once."""
+        """Answer a caller's request, or refuse it immediately."""
         return await self.queries.answer(call)
 
     def _not_accepting(self) -> str | None:
@@ -286,7 +289,7 @@
         return self.sealer.seal(answer)
 
     def own_status(self) -> msg.StatusReply:
-        """Return what this node has in force."""
+        """Return this node's state and its configuration's digest and revision."""
         own, state = self.table.own, self.replica.state
         return msg.StatusReply(
             own.address, own.zone, self.lifecycle.state, state.digest, state.revision, self.watcher.watching
@@ -296,5 +299,5 @@
         return msg.encode_status(self.own_status())
 
 
-async def _nothing_to_close() -> None:
-    """The listener of a node without one, as in simulations."""
+async def _no_listener() -> None:
+    """Default for nodes without a listener, as in simulations."""
--- a/src/yokesill/platform/__init__.py
+++ b/src/yokesill/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Translates between the users' platform and the gateway; decides nothing and keeps nothing.
+"""The adapter between the users' platform and the gateway: it makes no decisions and keeps no state.
 
-The only place that knows the platform's headers, fields and kinds.
+The platform's headers, fields and kinds are named only in this package.
 """
--- a/src/yokesill/platform/documents.py
+++ b/src/yokesill/platform/documents.py
@@ -1,6 +1,6 @@
-"""Reads the platform's objects into the gateway's documents; raises ``ObjectError`` naming the place.
+"""Converts the platform's objects to the gateway's documents; raises ``ObjectError`` with the place.
 
-Here the platform's names end: a comment says what a field holds where its name misleads.
+The platform's field names are used only up to here. Comments explain fields with misleading names.
 """
 
 from typing import Any
@@ -28,13 +28,13 @@
     whole,
 )
 
-# What the platform's rules say of routes without these fields.
+# The platform's defaults for routes without these fields.
 DEFAULT_ATTEMPTS = 1
 LOWEST_PRIORITY = 9
 
 
 def read_configuration(spec: Any) -> Configuration:
-    """Read the operator's configuration."""
+    """Parse the operator's configuration."""
     limits = take(spec, "limits", table, "config")
     services = take(spec, "services", items, "config")
     return Configuration(
@@ -42,9 +42,9 @@
         routes=tuple(_read_route(item) for item in take(spec, "routes", items, "config")),
         services={
             take(item, "name", name, "services"): ServiceLimits(
-                # Of all nodes together, to each server of the service.
+                # The total of all nodes, for each server of the service.
                 take(item, "maxConnections", whole, f"services.{item['name']}"),
-                # Requests a second to a cold server, of all nodes together; 0 is no limit.
+                # Requests per second to a cold server, in total of all nodes; 0 means no limit.
                 number(item.get("warmupPerS", 0.0)),
             )
             for item in services
@@ -66,7 +66,7 @@
         name=route,
         host=name(take(item, "host", text, place).lower()),
         prefix=take(item, "pathPrefix", text, place),
-        # Not the kind of destination: whether a request may run more than once.
+        # Despite its name not the kind of destination, but whether a request may run more than once.
         repeatable=take(item, "routeType", text, place) == "idempotent",
         timeout_s=timeout,
         objective_s=seconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
@@ -94,7 +94,7 @@
 
 
 def read_server(instance: str, spec: Any) -> ServerRecord:
-    """Read a server's entry."""
+    """Parse a server's entry."""
     place = f"servers.{instance}"
     host, _, port = take(spec, "address", text, place).rpartition(":")
     if not host or not port.isdigit():
@@ -105,10 +105,10 @@
         host=host,
         port=int(port),
         zone=name(spec.get("zone", "")),
-        # How many requests it runs at a time.
+        # The number of requests that it runs concurrently.
         slots=whole(spec.get("capacity", 1)),
         leaving=spec.get("state") == "draining",
         warmup_left_s=seconds(spec.get("warmupLeftMs", 0)),
-        # Of the server's software; the gateway's configuration has a field of the same name.
+        # The version of the server's software; the gateway's configuration has a field of the same name.
         version=version(spec.get("configVersion", "")),
     )
--- a/src/yokesill/platform/feeds.py
+++ b/src/yokesill/platform/feeds.py
@@ -1,6 +1,6 @@
-"""The metadata store's kinds as feeds of the gateway's events, and what nodes themselves keep there.
+"""Feeds of gateway events from the metadata store's kinds, and the records that nodes store there.
 
-Objects that can't be read become a batch's ``problems`` and are logged; the state before them stays.
+Malformed objects are returned as a batch's ``problems`` and logged; the previous state stays in effect.
 """
 
 from collections.abc import Callable
@@ -33,7 +33,7 @@
 
 
 class StoreFeed(Feed):
-    """One kind of objects; ``read_changes`` turns changes into a batch, ``read_all`` a whole list."""
+    """A feed of one kind; ``read_changes`` converts changes to a batch, and ``read_all`` a complete list."""
 
     def __init__(
         self,
@@ -66,28 +66,28 @@
 
 
 def configuration_feed(store: MetadataStore) -> Feed:
-    """Return the operator's configuration as a feed."""
+    """Return the feed of the operator's configuration."""
     return StoreFeed("configuration", CONFIGURATION_KIND, store, _configuration_batch, _configuration_batch)
 
 
 def server_feed(store: MetadataStore) -> Feed:
-    """Return the servers' entries as a feed."""
+    """Return the feed of the servers' entries."""
     return StoreFeed("servers", SERVERS_KIND, store, _server_batch, _all_servers_batch)
 
 
 def evacuation_feed(store: MetadataStore) -> Feed:
-    """Return the zones that operators evacuate as a feed: each has an object of its name."""
+    """Return the feed of the zones that operators evacuate; each object is named after its zone."""
     events = (ev.ZoneEvacuated, ev.ZoneReopened, ev.EvacuationsReplaced)
-    return _names_feed("evacuations", EVACUATIONS_KIND, store, *events)
+    return _name_feed("evacuations", EVACUATIONS_KIND, store, *events)
 
 
 def quarantine_feed(store: MetadataStore) -> Feed:
-    """Return the quarantined requests as a feed: each has an object of its fingerprint."""
+    """Return the feed of quarantined requests; each object is named after a fingerprint."""
     events = (ev.RequestQuarantined, ev.QuarantineLifted, ev.QuarantineReplaced)
-    return _names_feed("quarantine", QUARANTINE_KIND, store, *events)
+    return _name_feed("quarantine", QUARANTINE_KIND, store, *events)
 
 
-def _names_feed(
+def _name_feed(
     name: str,
     kind: str,
     store: MetadataStore,
@@ -95,7 +95,7 @@
     removed: Callable[[str], ev.Event],
     replaced: Callable[[frozenset[str]], ev.Event],
 ) -> Feed:
-    """Return a feed of a kind whose objects' names say everything; ``replaced`` gets all names."""
+    """Return a feed of a kind whose objects consist of their names; ``replaced`` gets all names."""
 
     def changes(view: StoreView) -> Batch:
         return Batch(view.at, tuple((removed if item.gone else added)(item.name) for item in view.items))
@@ -107,7 +107,7 @@
 
 
 class StoredQuarantine(QuarantineRecords):
-    """The record of those requests; an operator lifts one by deleting its object."""
+    """The records of quarantined requests; an operator lifts a quarantine by deleting its object."""
 
     def __init__(self, store: MetadataStore) -> None:
         self._store = store
@@ -122,7 +122,7 @@
 
 
 class StoredNodes(NodeDirectory):
-    """The nodes, each under an object of its own."""
+    """The directory of nodes, with one object per node."""
 
     def __init__(self, store: MetadataStore) -> None:
         self._store = store
@@ -156,8 +156,8 @@
 
 
 def _all_servers_batch(view: StoreView) -> Batch:
-    # The newest last: of servers at one address it holds.
-    items = tuple(sorted(view.items, key=lambda item: item.made))
+    # The newest last: it replaces older servers at the same address.
+    items = tuple(sorted(view.items, key=lambda item: item.created_revision))
     events, problems = _server_events(view._replace(items=items))
     records = tuple(event.record for event in events if isinstance(event, ev.ServerListed))
     return Batch(view.at, (ev.ServersReplaced(records),), problems)
@@ -166,7 +166,7 @@
 def _server_events(view: StoreView) -> tuple[tuple[ev.Event, ...], tuple[Problem, ...]]:
     events: list[ev.Event] = []
     problems: list[Problem] = []
-    # Only the last change of each server: one that was overtaken within the batch must not be applied.
+    # Only the last change of each server: one that a later change supersedes must not be applied.
     for item in {item.name: item for item in view.items}.values():
         try:
             events.append(_server_event(item))
--- a/src/yokesill/platform/main.py
+++ b/src/yokesill/platform/main.py
@@ -1,4 +1,4 @@
-"""Starts a gateway node on the platform: settings, the store's feeds, and the process until it stops."""
+"""Runs a gateway node on the platform: loads its settings and builds its feeds and its process."""
 
 import os
 import random
@@ -29,7 +29,7 @@
 def run(listening: socket.socket | None = None) -> int:
     """Run a node until SIGTERM or SIGINT; return the exit code.
 
-    ``listening`` is the callers' socket, if it was opened already.
+    ``listening`` is the socket for callers, if it is already open.
     """
     path = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     settings = load_settings(path)
--- a/src/yokesill/platform/names.py
+++ b/src/yokesill/platform/names.py
@@ -1,4 +1,4 @@
-"""The platform's names of headers, kinds, paths and environment variables."""
+"""Names of headers, kinds, paths and environment variables on the platform."""
 
 from yokesill.serving.header_names import HeaderNames
 
@@ -19,7 +19,7 @@
 ROLLOUTS_KIND = "rollouts"
 NODES_KIND = "yokesill-nodes"
 QUARANTINE_KIND = "yokesill-quarantine"
-# Of the store's answers: rises by one each time that the store came back from an older copy.
+# In the store's answers; increases by one each time that the store is restored from an older copy.
 TIMELINE_HEADER = b"store-era"
 SWITCHED_OFF_VARIABLE = "YOKESILL_SWITCHED_OFF"
 SETTINGS_VARIABLE = "YOKESILL_CONFIG"
--- a/src/yokesill/platform/rollouts.py
+++ b/src/yokesill/platform/rollouts.py
@@ -1,4 +1,4 @@
-"""Operators' orders of roll-outs, and the record of how far each has come."""
+"""Operators' roll-out orders, and the records of their progress."""
 
 from collections.abc import Mapping
 from functools import partial
@@ -16,29 +16,30 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 IN_PROGRESS = "in_progress"
-# Thirty years: a longer duration is a mistake in the order.
-DURATION_LIMIT_S = 1e9
-# ``stage`` is the product's own field beside the platform's ``state``, which is the same for both stages.
+# About thirty years: a longer duration is a mistake in the order.
+MAX_DURATION_S = 1e9
+# ``stage`` is added by this product, because the platform's ``state`` is the same for both stages.
 _STAGES = {each.value: each for each in (RolloutState.CANARY, RolloutState.SWITCHING)}
 _FINAL = {each.value: each for each in RolloutState if each.final}
 
 
 def rollout_feed(store: MetadataStore, unix_clock: Clock | None = None) -> Feed:
-    """Return the orders as a feed: each has an object of its service's name."""
+    """Return the feed of orders; each object is named after its service."""
     readers = (partial(_order_batch, unix_clock), partial(_all_orders_batch, unix_clock))
     return StoreFeed("rollouts", ROLLOUTS_KIND, store, *readers)
 
 
 class StoredRollouts(RolloutRecords):
-    """The records, each the status of its order's object.
+    """The records of orders, each stored as the status of its order's object.
 
     Parameters
     ----------
     store
-        Holds them.
+        Stores the records.
     unix_clock
-        The time of day, in seconds: a record says by it when its order was made, so that the time goes on
-        while no node runs. Without one, records tell only how much had passed at their writing.
+        Returns the wall-clock time, in seconds. A record contains the wall-clock time of its order, so that
+        the time since the order also counts while no node runs. Without this clock, records contain only
+        the time that had passed when they were written.
     """
 
     def __init__(self, store: MetadataStore, unix_clock: Clock | None = None) -> None:
@@ -65,35 +66,37 @@
 
 
 def read_order(item: StoredItem, unix_clock: Clock | None = None) -> RolloutOrder:
-    """Read an order; what is wrong with one that can't be carried out stands in its ``problem``."""
-    target, duration_s, problem, numbered = "", 0.0, "", False
+    """Parse an order; ``problem`` describes why an invalid one can't be carried out."""
+    target, duration_s, problem, numeric_target = "", 0.0, "", False
     place = f"{ROLLOUTS_KIND}.{item.name}"
     try:
         target = take(item.spec, "targetVersion", version, place)
-        numbered = type(item.spec["targetVersion"]) is int
+        numeric_target = type(item.spec["targetVersion"]) is int
         duration_s = take(item.spec, "durationS", _duration_s, place)
         if take(item.spec, "service", text, place) != item.name:
             raise ObjectError(f"{place}.service: is {item.spec['service']!r}, the object's name is another")
     except ObjectError as error:
         problem = str(error)
     status = item.status if isinstance(item.status, dict) else {}
-    state = _state(status, target)
-    elapsed_s = max(_elapsed_s(status.get("elapsedMs")), _since_order_s(status, unix_clock))
-    ordered = (item.name, target, duration_s, item.made, item.revision)
-    order = RolloutOrder(*ordered, problem=problem, numeric_target=numbered, timeline=item.timeline)
+    state = _recorded_state(status, target)
+    elapsed_s = max(_elapsed_s(status.get("elapsedMs")), _elapsed_since_order_s(status, unix_clock))
+    order_fields = (item.name, target, duration_s, item.created_revision, item.revision)
+    order = RolloutOrder(
+        *order_fields, problem=problem, numeric_target=numeric_target, timeline=item.timeline
+    )
     if state is RolloutState.ORDERED:
         return order
     return order._replace(state=state, elapsed_s=elapsed_s, reason=str(status.get("reason", "")))
 
 
 def _elapsed_s(elapsed_ms: Any) -> float:
-    """Return a time that a record tells; 0 for one that can't be read, as in a new order."""
-    readable = isinstance(elapsed_ms, int) and 0 <= elapsed_ms < DURATION_LIMIT_S
-    return elapsed_ms / 1000 if readable else 0.0
+    """Return a record's elapsed time; 0 if it is missing, as in a new order, or invalid."""
+    valid = isinstance(elapsed_ms, int) and 0 <= elapsed_ms < MAX_DURATION_S
+    return elapsed_ms / 1000 if valid else 0.0
 
 
-def _since_order_s(status: Mapping[str, Any], unix_clock: Clock | None) -> float:
-    """Return how long ago a record says that its order was made, by the time of day; 0 if it doesn't."""
+def _elapsed_since_order_s(status: Mapping[str, Any], unix_clock: Clock | None) -> float:
+    """Return the wall-clock time since a record's order was created; 0 if the record lacks it."""
     ordered_at_ms = status.get("orderedAtMs")
     if unix_clock is None or not isinstance(ordered_at_ms, int):
         return 0.0
@@ -108,13 +111,13 @@
     duration_s = number(value)
     if not duration_s > 0.0:
         raise ObjectError("a time above 0 is needed")
-    if duration_s > DURATION_LIMIT_S:
-        raise ObjectError(f"a time up to {DURATION_LIMIT_S:g} s is needed")
+    if duration_s > MAX_DURATION_S:
+        raise ObjectError(f"a time up to {MAX_DURATION_S:g} s is needed")
     return duration_s
 
 
-def _state(status: Mapping[str, Any], target: str) -> RolloutState:
-    """Return the state recorded of an order; the status may still be that of an order before it."""
+def _recorded_state(status: Mapping[str, Any], target: str) -> RolloutState:
+    """Return the recorded state of an order; the status may still be that of an earlier order."""
     if str(status.get("targetVersion", "")) != target:
         return RolloutState.ORDERED
     recorded = status.get("state")
@@ -126,21 +129,21 @@
 def _status_of(order: RolloutOrder, unix_clock: Clock | None) -> dict[str, Any]:
     state = order.state.value if order.state.final else IN_PROGRESS
     elapsed_ms = round(order.elapsed_s * 1000)
-    ours: dict[str, Any] = {"stage": order.state.value, "elapsedMs": elapsed_ms, "reason": order.reason}
+    own_fields: dict[str, Any] = {"stage": order.state.value, "elapsedMs": elapsed_ms, "reason": order.reason}
     if unix_clock is not None:
-        ours["orderedAtMs"] = _unix_ms(unix_clock) - elapsed_ms
+        own_fields["orderedAtMs"] = _unix_ms(unix_clock) - elapsed_ms
     target = int(order.target) if order.numeric_target else order.target
-    return {"state": state, "targetVersion": target, **ours}
+    return {"state": state, "targetVersion": target, **own_fields}
 
 
-def _event(item: StoredItem, unix_clock: Clock | None) -> RolloutOrdered | RolloutWithdrawn:
+def _order_event(item: StoredItem, unix_clock: Clock | None) -> RolloutOrdered | RolloutWithdrawn:
     return RolloutWithdrawn(item.name) if item.gone else RolloutOrdered(read_order(item, unix_clock))
 
 
 def _order_batch(unix_clock: Clock | None, view: StoreView) -> Batch:
-    # Only the last change of each order: one that was overtaken within the batch must not be applied.
+    # Only the last change of each order: one that a later change supersedes must not be applied.
     last = {item.name: item for item in view.items}
-    return Batch(view.at, tuple(_event(item, unix_clock) for item in last.values()))
+    return Batch(view.at, tuple(_order_event(item, unix_clock) for item in last.values()))
 
 
 def _all_orders_batch(unix_clock: Clock | None, view: StoreView) -> Batch:
--- a/src/yokesill/platform/settings.py
+++ b/src/yokesill/platform/settings.py
@@ -1,4 +1,4 @@
-"""Reads the platform's settings file into the gateway's settings; every mistake with its place."""
+"""Converts the platform's settings file to the gateway's settings; reports every error with its place."""
 
 import tomllib
 from pathlib import Path
@@ -9,19 +9,19 @@
 from yokesill.serving.settings import Address, GatewaySettings, SettingsProblem
 from yokesill.serving.settings_reader import SettingsReader
 
-# The contract under which operators evacuate zones, and the bound where its figure is missing.
-EVACUATING_CONTRACT, EVACUATION_BOUND_S = "places", 5.0
+# The contract under which operators evacuate zones, and the default of its time bound.
+EVACUATION_CONTRACT, DEFAULT_EVACUATION_BOUND_S = "places", 5.0
 # The contract under which operators order roll-outs.
 ROLLOUT_CONTRACT = "rollout"
 
 
 def parse_settings(text: str) -> GatewaySettings | list[SettingsProblem]:
-    """Read settings; unknown fields are ignored, as the platform demands."""
+    """Parse settings; unknown fields are ignored, as the platform requires."""
     try:
         reader = SettingsReader(tomllib.loads(text))
     except tomllib.TOMLDecodeError as error:
         return [SettingsProblem("(file)", str(error))]
-    own_port, reports, rollouts = _own_addresses(reader)
+    own_port, reports, rollout_datagrams = _own_addresses(reader)
     settings = GatewaySettings(
         node=reader.text("nodeName"),
         zone=reader.text("zone"),
@@ -31,19 +31,19 @@
         metrics=own_port,
         datagrams=own_port,
         reports=reports,
-        rollout_datagrams=rollouts,
+        rollout_datagrams=rollout_datagrams,
         peers=reader.optional_address("listenAddrs.control"),
         seeds=reader.addresses("seedNodes"),
         regions=reader.texts("zones"),
         budget=BudgetLimits(
             ratio=reader.number("bounds.retryBudgetRatio", 0.1),
-            allowance=reader.number("bounds.retrySlack", 10.0),  # attempts beside the share
+            allowance=reader.number("bounds.retrySlack", 10.0),  # attempts in addition to the ratio
             window_s=max(1.0, reader.number("bounds.retryWindowS", 10.0)),
         ),
         configuration_bound_s=max(1.0, reader.number("bounds.configApplyMs", 3000) / 1000),
-        # How long a server that leaves may still get work, not how long this node drains.
+        # How long a leaving server may still get requests, not how long this node drains.
         leaving_bound_s=reader.number("bounds.drainMs", 2000) / 1000,
-        # How long after the registry's return a node may still be behind.
+        # How long after the registry is available again a node may still be stale.
         recovery_bound_s=max(1.0, reader.number("bounds.contactMs", 4000) / 1000),
         evacuation_bound_s=_evacuation_bound_s(reader),
         cold_starts=ColdStartLimits(
@@ -58,35 +58,35 @@
 
 
 def _evacuation_bound_s(reader: SettingsReader) -> float | None:
-    """Return within what time evacuations must take effect; ``None`` where there are none."""
+    """Return the time within which evacuations must take effect; ``None`` if the contracts have none."""
     bound_ms = reader.number("bounds.evacuateMs", 0.0)
     if bound_ms:
         return bound_ms / 1000
-    return EVACUATION_BOUND_S if EVACUATING_CONTRACT in reader.words("contracts") else None
+    return DEFAULT_EVACUATION_BOUND_S if EVACUATION_CONTRACT in reader.words("contracts") else None
 
 
 def _rollout_limits(reader: SettingsReader) -> RolloutLimits | None:
-    """Return the figures of roll-outs; ``None`` where the contracts have none."""
+    """Return the limits of roll-outs; ``None`` if the contracts have no roll-outs."""
     if ROLLOUT_CONTRACT not in reader.words("contracts"):
         return None
-    usual = RolloutLimits()
+    defaults = RolloutLimits()
     return RolloutLimits(
-        canary_share=reader.number("bounds.canaryShare", usual.canary_share),
-        canary_slack=reader.number("bounds.canarySlack", usual.canary_slack),
-        rollback_s=reader.number("bounds.rollbackMs", usual.rollback_s * 1000) / 1000,
+        canary_share=reader.number("bounds.canaryShare", defaults.canary_share),
+        canary_slack=reader.number("bounds.canarySlack", defaults.canary_slack),
+        rollback_s=reader.number("bounds.rollbackMs", defaults.rollback_s * 1000) / 1000,
     )
 
 
 def _own_addresses(reader: SettingsReader) -> tuple[Address | None, ...]:
-    """Return the first three addresses for use among nodes; ``None`` for each that is missing."""
+    """Return three addresses for communication between nodes; ``None`` for each that is missing."""
     ports = reader.ports("portRange")
     host = reader.text("ip") if ports else ""
-    known = tuple(Address(host, port) for port in ports[:3])
-    return (*known, None, None, None)[:3]
+    addresses = tuple(Address(host, port) for port in ports[:3])
+    return (*addresses, None, None, None)[:3]
 
 
 def load_settings(path: Path) -> GatewaySettings | list[SettingsProblem]:
-    """Read the settings file at ``path``."""
+    """Load the settings file at ``path``; return every error with its place."""
     try:
         return parse_settings(path.read_text())
     except OSError as error:
--- a/src/yokesill/platform/start.py
+++ b/src/yokesill/platform/start.py
@@ -1,10 +1,10 @@
-"""Starts a node: opens the callers' socket first, loads everything else after it.
+"""Starts a node: opens the socket for callers first, and imports everything else after it.
 
-Loading takes a node longer than everything else at its start. Callers that connect meanwhile wait in
-the socket's queue and are answered a moment later; without the socket they would be turned away, and
-many would use up their retries while all nodes come back after a loss of power.
+Imports take longer than the rest of a node's start. Callers that connect meanwhile wait in the socket's
+queue and are answered a moment later; without the socket they would be refused, and many would use up their
+retries while all nodes restart after a power failure.
 
-Only what this module needs is imported at its head: each import is time without a socket.
+Only what this module needs is imported at module level, because each import delays the socket.
 """
 
 from yokesill.callers.sockets import listen_early
@@ -16,7 +16,7 @@
     Parameters
     ----------
     arguments
-        The callers' address as ``HOST:PORT``, if it is known before the settings are read.
+        The address for callers as ``HOST:PORT``, if it is known before the settings are read.
     """
     listening = listen_early(arguments[0]) if arguments else None
     from yokesill import gc_tuning, lazy_imports  # noqa: PLC0415 (after the socket is open)
--- a/src/yokesill/platform/store.py
+++ b/src/yokesill/platform/store.py
@@ -1,6 +1,6 @@
-"""Calls the platform's metadata store: lists, watches and single objects.
+"""A client of the platform's metadata store: lists, watches and calls for single objects.
 
-Only ``stale`` calls are cheap; all others are paid at full price, failed ones too.
+Only ``stale`` calls are cheap; all others cost the full price, even if they fail.
 """
 
 from typing import Any, NamedTuple
@@ -14,37 +14,37 @@
 from yokesill.registry.feeds import HistoryLost
 from yokesill.verdict import Failure, Reason, Verdict
 
-# Bound what a silent store costs a call; a watch may take its wait and the margin.
+# Limit the time of a call to an unresponsive store; a watch may take its wait and the margin.
 CALL_TIMEOUT_S = 2.0
 WATCH_MARGIN_S = 2.0
 STALE_TIMEOUT_S = 1.0
 
 
 class StoredItem(NamedTuple):
-    """One object: its name, its last revision and its content; ``gone`` when it was removed.
+    """One object: its name, its last revision and its content; ``gone`` if it was removed.
 
-    ``made`` tells it from objects of the same name before it; ``status`` is written by nodes, not operators.
-    Both numbers count on ``timeline``.
+    ``created_revision`` distinguishes it from earlier objects of the same name; ``status`` is written by
+    nodes, not operators. Both revisions are on ``timeline``.
     """
 
     name: str
     revision: int
     spec: Any
     gone: bool = False
-    made: int = 0
+    created_revision: int = 0
     status: Any = None
     timeline: int = 0
 
 
 class StoreView(NamedTuple):
-    """Objects or changes up to ``at``."""
+    """Objects or changes, as of ``at``."""
 
     at: Position
     items: tuple[StoredItem, ...]
 
 
 class MetadataStore:
-    """A client of the store; every call ends in bounded time."""
+    """A client of the store; every call has a timeout."""
 
     def __init__(self, client: ApiClient) -> None:
         self._client = client
@@ -52,7 +52,7 @@
         self._log = get_logger("registry")
 
     async def list(self, kind: str, stale: bool = False) -> StoreView | Failure:
-        """Return a kind's objects; all pages, as of the first page's revision."""
+        """Return a kind's objects from all pages, with the position of the first page."""
         items: list[StoredItem] = []
         first_at: Position | None = None
         after = ""
@@ -70,7 +70,7 @@
             except (KeyError, TypeError) as error:
                 return Failure(Reason.MALFORMED_REPLY, Verdict.NOT_RUN, f"a list of {kind}: {error!r}")
             if timeline != first_at.timeline:
-                # Pages of two timelines are no list of either.
+                # Pages of two timelines don't form a list of either.
                 return Failure(Reason.NOT_READY, Verdict.NOT_RUN, f"restored within a list of {kind}")
             items.extend(page)
             if not more or not page:
@@ -80,7 +80,7 @@
     async def watch(
         self, kind: str, revision: int, wait: float, stale: bool = False
     ) -> StoreView | HistoryLost | Failure:
-        """Return the changes of a kind after ``revision``; waits up to ``wait`` seconds for one."""
+        """Return the changes of a kind after ``revision``; wait up to ``wait`` seconds for one."""
         path = f"/objects/{kind}?watch={revision}&waitMs={int(wait * 1000)}" + ("&stale=1" if stale else "")
         reply = await self._call("GET", path, STALE_TIMEOUT_S if stale else wait + WATCH_MARGIN_S)
         if isinstance(reply, ApiReply) and reply.status == http.GONE:
@@ -95,7 +95,7 @@
             return Failure(Reason.MALFORMED_REPLY, Verdict.NOT_RUN, f"changes of {kind}: {error!r}")
 
     async def put(self, kind: str, name: str, spec: dict[str, Any], replace: bool = True) -> Failure | None:
-        """Create an object; ``replace`` what it says if there is one, or leave that as it is."""
+        """Create an object; an existing one is replaced if ``replace``, and otherwise left as it is."""
         body = {"meta": {"name": name}, "spec": spec}
         reply = await self._call("POST", f"/objects/{kind}", CALL_TIMEOUT_S, body)
         if isinstance(reply, ApiReply) and reply.status == http.CONFLICT:
@@ -107,7 +107,7 @@
         return _failure(reply)
 
     async def delete(self, kind: str, name: str) -> Failure | None:
-        """Remove an object; one that isn't there is no failure."""
+        """Delete an object; it is no failure if the object doesn't exist."""
         path = f"/objects/{kind}/{quote(name, safe='')}"
         reply = await self._call("DELETE", path, CALL_TIMEOUT_S)
         gone = isinstance(reply, ApiReply) and reply.status in (http.OK, http.NOT_FOUND)
@@ -116,9 +116,9 @@
     async def put_status(
         self, kind: str, name: str, position: Position, status: dict[str, Any]
     ) -> ApiReply | Failure:
-        """Replace an object's status if it is still at ``position``; an answer is 200, 404 or 409.
+        """Replace an object's status if it is still at ``position``; the reply's status is 200, 404 or 409.
 
-        The store's condition knows revisions only, and on a later timeline the same one names another change.
+        The store compares only revisions, and on a later timeline the same revision is another change.
         """
         if position.timeline < self._timeline:
             return Failure(Reason.NOT_READY, Verdict.NOT_RUN, f"{name} was read on another timeline")
@@ -130,9 +130,9 @@
         return _failure(reply)
 
     async def _call(self, method: str, path: str, timeout_s: float, body: Any = None) -> ApiReply | Failure:
-        """Call the store; note when it has come back from an older copy since the last answer.
+        """Call the store and detect whether it was restored from an older copy since the last answer.
 
-        An answer that names no timeline, as of something in between, is taken to be from the last one.
+        An answer without a timeline, such as one of an intermediary, counts as one of the last timeline.
         """
         reply = await self._client.call(method, path, timeout_s, body)
         timeline = timeline_of(reply) if isinstance(reply, ApiReply) else 0
@@ -143,22 +143,26 @@
 
 
 def timeline_of(reply: ApiReply) -> int:
-    """Return which timeline an answer is from; 0 if it doesn't say."""
+    """Return the timeline of an answer; 0 if the answer names none."""
     value = next((value for name, value in reply.headers if name == TIMELINE_HEADER), b"")
     return int(value) if value.isdigit() else 0
 
 
 def item_of(item: Any, gone: bool = False, timeline: int = 0) -> StoredItem:
-    """Read an object; a malformed one raises ``KeyError`` or ``TypeError``."""
+    """Parse an object; raise ``KeyError`` or ``TypeError`` if it is malformed."""
     meta = item["meta"]
-    made = meta.get("made", 0)
-    known = (gone or bool(meta.get("deleting")), made if isinstance(made, int) else 0, item.get("status"))
-    return StoredItem(meta["name"], meta["revision"], item.get("spec"), *known, timeline)
+    created = meta.get("made", 0)
+    fields = (
+        gone or bool(meta.get("deleting")),
+        created if isinstance(created, int) else 0,
+        item.get("status"),
+    )
+    return StoredItem(meta["name"], meta["revision"], item.get("spec"), *fields, timeline)
 
 
 def _failure(reply: ApiReply | Failure) -> Failure:
     if isinstance(reply, Failure):
         return reply
-    refused = reply.status in (http.TOO_MANY_REQUESTS, http.UNAVAILABLE)
-    verdict = Verdict.NOT_RUN if refused else Verdict.MAY_HAVE_RUN
+    is_refused = reply.status in (http.TOO_MANY_REQUESTS, http.UNAVAILABLE)
+    verdict = Verdict.NOT_RUN if is_refused else Verdict.MAY_HAVE_RUN
     return Failure(Reason.BACKEND_ERROR, verdict, f"the store answered {reply.status}")
--- a/src/yokesill/settings.py
+++ b/src/yokesill/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a node: one TOML file, every key typed, ranged and documented; unknown keys refused."""
+"""Settings of a node, from one TOML file: every key has a type, a range and a description.
+
+Unknown keys are errors.
+"""
 
 import tomllib
 from pathlib import Path
@@ -17,13 +20,13 @@
 
 
 class Section(BaseModel):
-    """Base of all sections: immutable, unknown keys refused."""
+    """Base class of all sections: immutable, and unknown keys are errors."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
 
 class NodeSection(Section):
-    """Who and where this node is."""
+    """Identity and location of this node."""
 
     address: Address = Field(description="IP:PORT for callers, operators and peers (TCP and UDP)")
     zone: Name = Field(description="the zone that the machine stands in")
@@ -40,7 +43,7 @@
 
 
 class ClusterSection(Section):
-    """How nodes act together."""
+    """Communication between nodes."""
 
     keys: tuple[HexKey, ...] = Field(min_length=1, description="shared keys; the first seals, any opens")
     probe_interval_seconds: float = Field(default=1.0, ge=0.05, le=60, description="between probes")
@@ -50,13 +53,13 @@
 
 
 class AdministrationSection(Section):
-    """Access of the first operator, before any token is stored."""
+    """Access for the first operator, before any token is stored."""
 
     token_sha256: Sha256 = Field(description="hex SHA-256 of the bootstrap administrator's token")
 
 
 class RoutingSection(Section):
-    """The data path; the defaults suit production."""
+    """The data path; the defaults are suitable for production."""
 
     hedging: bool = Field(default=True, description="whether policies' hedges are sent")
     thin: bool = Field(default=False, description="the baseline: one random replica and no protection")
@@ -76,7 +79,7 @@
 
 
 class LimitsSection(Section):
-    """Bounds on what a caller or operator may send."""
+    """Limits on requests of callers and operators, and on a planned stop."""
 
     body_bytes: int = Field(default=1_048_576, ge=1024, le=67_108_864, description="largest request body")
     deadline_ms: int = Field(default=60_000, ge=1, le=3_600_000, description="longest deadline of a query")
@@ -89,7 +92,7 @@
 
 
 class LogSection(Section):
-    """Logs."""
+    """Logging."""
 
     level: str = Field(default="info", pattern="^(debug|info|warning|error)$", description="least level")
 
@@ -114,7 +117,7 @@
 
 
 def parse_settings(text: str) -> Settings | list[DocumentError]:
-    """Read settings from TOML text; return every error with its place."""
+    """Parse settings from TOML text; return every error with its place."""
     try:
         values = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -128,7 +131,7 @@
 
 
 def load_settings(path: Path) -> Settings | list[DocumentError]:
-    """Read the settings file at ``path``."""
+    """Load the settings file at ``path``; return every error with its place."""
     try:
         return parse_settings(path.read_text())
     except OSError as error:
--- a/src/yokesill/supervision.py
+++ b/src/yokesill/supervision.py
@@ -1,9 +1,9 @@
-"""What a failure in one part of a node does to the others: nothing.
+"""Isolates failures: an exception in one part of a node does not affect the others.
 
-An exception that nobody expected is a bug, and a task group answers it by ending all of its tasks: a node
-would cut every request under way for a fault in, say, its announcements. So each part runs under a
-``Supervisor``, which logs and counts the failure and begins the part anew. Who can't serve without a part (a
-port that can't be bound, settings that can't be read) raises before any request is taken.
+An unhandled exception is a bug, and a task group reacts to it by cancelling all of its tasks: a node would
+abort every request in flight because of a fault in, say, its announcements. Each part therefore runs under a
+``Supervisor``, which logs and counts the failure and restarts the part. Failures without which a node can't
+serve (a port that can't be bound, settings that can't be read) are raised before any request is accepted.
 """
 
 import traceback
@@ -14,14 +14,14 @@
 
 from yokesill.logs import get_logger
 
-# Before a part that failed begins anew, doubled while it goes on failing: one that can never run costs a
-# log line each ten seconds.
-FIRST_PAUSE_S = 0.2
-LONGEST_PAUSE_S = 10.0
-# A part that ran for so long before it failed begins anew after the first pause again.
-SOUND_S = 30.0
-# Innermost calls that a log line names.
-CALLS_LOGGED = 3
+# The delay before a restart doubles while a part keeps failing: one that can never run costs a log line
+# every ten seconds.
+INITIAL_RESTART_DELAY_S = 0.2
+MAX_RESTART_DELAY_S = 10.0
+# A part that ran for this time before it failed is restarted after the initial delay again.
+BACKOFF_RESET_S = 30.0
+# Innermost stack frames in a log line.
+MAX_LOGGED_FRAMES = 3
 
 
 class Supervisor:
@@ -41,29 +41,29 @@
     async def keep_running(
         self, part: str, run: Callable[..., Awaitable[object]], *arguments: object
     ) -> None:
-        """Run a part until it returns; begin it anew each time that it fails."""
-        pause_s = FIRST_PAUSE_S
+        """Run a part until it returns; restart it each time that it fails."""
+        delay_s = INITIAL_RESTART_DELAY_S
         while True:
-            began_at_s = anyio.current_time()
+            started_at_s = anyio.current_time()
             try:
                 await run(*arguments)
                 return
             except Exception as error:
-                if anyio.current_time() - began_at_s >= SOUND_S:
-                    pause_s = FIRST_PAUSE_S
-                self.report(part, error, again_in_s=pause_s)
-            await anyio.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, 2 * pause_s)
+                if anyio.current_time() - started_at_s >= BACKOFF_RESET_S:
+                    delay_s = INITIAL_RESTART_DELAY_S
+                self.report(part, error, again_in_s=delay_s)
+            await anyio.sleep(delay_s)
+            delay_s = min(MAX_RESTART_DELAY_S, 2 * delay_s)
 
     async def run_once(self, part: str, run: Callable[..., Awaitable[object]], *arguments: object) -> None:
-        """Run one task of a part; if it fails the part's other tasks go on."""
+        """Run one task of a part; its failure does not stop the part's other tasks."""
         try:
             await run(*arguments)
         except Exception as error:
             self.report(part, error)
 
     def call(self, part: str, function: Callable[..., object], *arguments: object) -> None:
-        """Call a part's function; if it fails the part goes on."""
+        """Call a function of a part; its failure does not stop the part."""
         try:
             function(*arguments)
         except Exception as error:
@@ -74,13 +74,13 @@
         self.failures[part] += 1
         self._count(part)
         cause = _first_cause(error)
-        calls = traceback.extract_tb(cause.__traceback__)[-CALLS_LOGGED:]
-        where = [f"{each.filename.rpartition('/')[2]}:{each.lineno} {each.name}" for each in calls]
+        frames = traceback.extract_tb(cause.__traceback__)[-MAX_LOGGED_FRAMES:]
+        where = [f"{each.filename.rpartition('/')[2]}:{each.lineno} {each.name}" for each in frames]
         self._log.error("part_failed", part=part, problem=repr(cause), where=where, **details)
 
 
 def _first_cause(error: BaseException) -> BaseException:
-    """Return the first exception of a group of groups."""
+    """Return the first exception within nested exception groups."""
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
     return error
--- a/src/yokesill/timers.py
+++ b/src/yokesill/timers.py
@@ -1,7 +1,7 @@
-"""One task for all timers of a node: a heap of due times, and one wait for the earliest.
+"""One task for all timers of a node: a heap of due times and one wait for the earliest.
 
-Timers aren't cancelled; who sets one checks at its firing whether it still matters. Times in seconds of the
-node's clock (``clock``).
+Timers can't be cancelled; the handler checks whether its event is still relevant. Times are in seconds of
+the node's clock (``clock``).
 """
 
 import heapq
@@ -17,30 +17,30 @@
 
 
 class Timers(Generic[TimerEvent]):
-    """Calls ``fire`` with each timer's event when it is due; one that fails does not stop the others."""
+    """Calls ``fire`` with each timer's event when it is due; an exception stops no other timer."""
 
     def __init__(self, fire: Callable[[TimerEvent], None], supervisor: Supervisor | None = None) -> None:
         self._fire = fire
         self._supervisor = supervisor or Supervisor()
         self._heap: list[tuple[float, int, TimerEvent]] = []
         self._sequence = itertools.count()
-        self._earlier = anyio.Event()
+        self._earliest_changed = anyio.Event()
 
     def set(self, at_s: float, event: TimerEvent) -> None:
         """Fire ``event`` at ``at_s``, in seconds of the node's clock."""
-        first = self._heap[0][0] if self._heap else float("inf")
+        earliest_s = self._heap[0][0] if self._heap else float("inf")
         heapq.heappush(self._heap, (at_s, next(self._sequence), event))
-        if at_s < first:
-            self._earlier.set()
+        if at_s < earliest_s:
+            self._earliest_changed.set()
 
     async def run(self) -> None:
         """Fire timers until cancelled."""
         while True:
             self._fire_due(anyio.current_time())
-            self._earlier = anyio.Event()
-            pause_s = self._heap[0][0] - anyio.current_time() if self._heap else float("inf")
-            with anyio.move_on_after(max(0.0, pause_s)):
-                await self._earlier.wait()
+            self._earliest_changed = anyio.Event()
+            wait_s = self._heap[0][0] - anyio.current_time() if self._heap else float("inf")
+            with anyio.move_on_after(max(0.0, wait_s)):
+                await self._earliest_changed.wait()
 
     def _fire_due(self, now: float) -> None:
         while self._heap and self._heap[0][0] <= now:
--- a/src/yokesill/verdict.py
+++ b/src/yokesill/verdict.py
@@ -1,8 +1,8 @@
-"""Verdicts and failures: what a request that did not get its answer may have done.
+"""Verdicts and failures: whether a request without an answer may have been executed.
 
-A verdict says whether a request may have run on a back end. Verdicts form a lattice
+A verdict states whether a request may have run on a back end. Verdicts form a lattice
 ``NOT_RUN < MAY_HAVE_RUN < RAN``; the verdict of a whole request is the join (maximum) of the
-verdicts of its attempts. Failures are values, not exceptions: each holds a sentinel reason.
+verdicts of its attempts. Failures are values, not exceptions; each has a ``Reason``.
 """
 
 import enum
@@ -11,7 +11,7 @@
 
 
 class Verdict(enum.IntEnum):
-    """Whether a request may have run on some back end; ordered, joined by maximum."""
+    """Whether a request may have run on any back end; ordered, and joined by maximum."""
 
     NOT_RUN = 0
     MAY_HAVE_RUN = 1
@@ -24,19 +24,19 @@
 
 
 def join(verdicts: Iterable[Verdict]) -> Verdict:
-    """Return the least verdict that covers all of ``verdicts``; ``NOT_RUN`` for none."""
+    """Return the maximum of ``verdicts``; ``NOT_RUN`` if there are none."""
     return max(verdicts, default=Verdict.NOT_RUN)
 
 
 class Reason(enum.StrEnum):
-    """Sentinels for every way a request or an attempt can fail."""
+    """Why a request or an attempt failed."""
 
-    # Attempts: what one back end, or the way to it, did.
+    # Attempts: failures of one back end or of the connection to it.
     CONNECT_FAILED = "connect_failed"
     CONNECTION_LOST = "connection_lost"
-    # The server reset a new connection at once: it holds as many as it bears.
+    # The server reset a new connection at once, because it has reached its limit of connections.
     CONNECTION_REFUSED = "connection_refused"
-    # The server had forgotten a connection that rested.
+    # The server had dropped an idle connection.
     CONNECTION_FORGOTTEN = "connection_forgotten"
     TIMED_OUT = "timed_out"
     SHED = "shed"
@@ -46,12 +46,12 @@
     FOREIGN_REPLY = "foreign_reply"
     BACKEND_ERROR = "backend_error"
     CANCELLED = "cancelled"
-    # Requests: why the whole was given up.
+    # Requests: why the whole request failed.
     OVERLOADED = "overloaded"
     POLICY_REFUSED = "policy_refused"
     NO_SNAPSHOT = "no_snapshot"
     NO_REPLICA = "no_replica"
-    # Servers are listed, but each is ejected, or cold beyond its bound.
+    # Servers are listed, but each is ejected, or cold and at its limit.
     REPLICAS_EJECTED = "replicas_ejected"
     DEADLINE_EXCEEDED = "deadline_exceeded"
     COVERAGE_TOO_LOW = "coverage_too_low"
@@ -62,14 +62,14 @@
     OWNER_UNREACHABLE = "owner_unreachable"
     DUPLICATE_IN_DOUBT = "duplicate_in_doubt"
     KEY_REUSED = "key_reused"
-    # Servers ended under it: it is not sent to any more.
+    # Servers crashed while they ran this request, so it is no longer sent to any.
     QUARANTINED = "quarantined"
 
 
 class Failure(NamedTuple):
     """A failed attempt or a refused request.
 
-    ``retry_after_ms`` is when the caller may come back, in milliseconds from now.
+    ``retry_after_ms`` is the time after which the caller may retry, in milliseconds from now.
     """
 
     reason: Reason
--- a/tests/platform/store_standin.py
+++ b/tests/platform/store_standin.py
@@ -1,7 +1,7 @@
-"""A stand-in of the platform's metadata store, in memory and in virtual time.
+"""A fake of the platform's metadata store, in memory and in virtual time.
 
-Lists in pages, long polls, history that is forgotten, compare by revision, and the faults of the
-real one: down, silent, throttled, answers lost after their effect.
+It has paged lists, long polls, a truncated history, conditional writes by revision, and the faults of the
+real store: it may be unavailable, unresponsive or throttled, or lose answers after their effect.
 """
 
 import copy
@@ -19,7 +19,7 @@
 
 
 class StoreCopy(NamedTuple):
-    """A copy of the store's state, from which it may come back."""
+    """A copy of the store's state, from which it can be restored."""
 
     revision: int
     objects: dict[tuple[str, str], dict[str, Any]]
@@ -29,10 +29,10 @@
 
 @dataclass
 class StoreStandin:
-    """Objects by kind and name; ``log`` are the changes that are still remembered.
+    """Stores objects by kind and name; ``log`` has the changes since revision ``forgotten``.
 
-    It lists ``page`` objects at a time, and an answer is ``answer_s`` seconds on its way. ``timeline`` rises
-    by one each time that it comes back from a copy; 0: it names none.
+    A list has pages of ``page`` objects, and an answer takes ``answer_s`` seconds. ``timeline`` increases
+    by one each time that the store is restored from a copy; answers don't name it if it is 0.
     """
 
     revision: int = 0
@@ -48,7 +48,7 @@
     changed: anyio.Event | None = None
 
     def full_price_calls(self) -> int:
-        """How many calls cost their full price; stale reads cost a tenth."""
+        """Return the number of calls at full price; stale reads cost a tenth."""
         return len([call for call in self.calls if "stale=1" not in call])
 
     def put(self, kind: str, name: str, spec: Any) -> None:
@@ -57,54 +57,54 @@
         meta = {"name": name, "revision": self.revision, "made": before["meta"]["made"]}
         item = {"meta": meta, "spec": spec, "status": before["status"]}
         self.objects[(kind, name)] = item
-        self._remember(kind, item, False)
+        self._append_to_log(kind, item, False)
 
     def put_status(self, kind: str, name: str, status: Any) -> None:
         self.revision += 1
         before = self.objects[(kind, name)]
         meta = {**before["meta"], "revision": self.revision}
         item = self.objects[(kind, name)] = {**before, "meta": meta, "status": status}
-        self._remember(kind, item, False)
+        self._append_to_log(kind, item, False)
 
     def remove(self, kind: str, name: str) -> None:
         self.revision += 1
         item = self.objects.pop((kind, name))
         item["meta"]["revision"] = self.revision
-        self._remember(kind, item, True)
+        self._append_to_log(kind, item, True)
 
     def forget_history(self) -> None:
         self.log.clear()
         self.forgotten = self.revision
-        self._wake()
+        self._notify_watches()
 
     def take_copy(self) -> StoreCopy:
-        """Return a copy of the state now."""
+        """Return a copy of the current state."""
         return copy.deepcopy(StoreCopy(self.revision, self.objects, self.log, self.forgotten))
 
     def restore(self, older: StoreCopy) -> None:
-        """Come back from a copy: what was written since is gone, and its revisions are given out again."""
+        """Restore the state from a copy: later writes are lost, and their revisions are assigned again."""
         self.revision, self.objects, self.log, self.forgotten = copy.deepcopy(older)
         self.timeline += 1
-        self._wake()
+        self._notify_watches()
 
-    def _remember(self, kind: str, item: dict[str, Any], gone: bool) -> None:
+    def _append_to_log(self, kind: str, item: dict[str, Any], gone: bool) -> None:
         self.log.append((self.revision, kind, json.loads(json.dumps(item)), gone))
-        self._wake()
+        self._notify_watches()
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         if self.changed is not None:
             self.changed.set()
 
-    async def script(self, _server: MemoryServer, stream: MemoryStream, heard: ReceivedRequest) -> None:
+    async def script(self, _server: MemoryServer, stream: MemoryStream, request: ReceivedRequest) -> None:
         """Answer one call."""
-        method, target, _ = heard.head.split("\r\n")[0].split(" ")
+        method, target, _ = request.head.split("\r\n")[0].split(" ")
         self.calls.append(f"{method} {target}")
         if self.mode == "silent":
             await anyio.sleep_forever()
         if self.mode in ("busy", "throttled"):
             await self._reply(stream, 503 if self.mode == "busy" else 429, None)
             return
-        status, body = await self._answer(method, target, heard.body)
+        status, body = await self._answer(method, target, request.body)
         await anyio.sleep(self.answer_s)
         if self.lose_answers and method != "GET":
             self.lose_answers -= 1
--- a/tests/platform/test_following_the_store.py
+++ b/tests/platform/test_following_the_store.py
@@ -1,4 +1,4 @@
-"""A node follows the store through what the platform does to it."""
+"""A node follows the store during faults, restores and lost history."""
 
 import random
 from collections.abc import Awaitable, Callable
@@ -46,8 +46,8 @@
     return {"service": service, "address": "10.0.0.9:80", "zone": "z1", "capacity": 2, "state": state}
 
 
-class Followed:
-    """What a follower of both feeds was told."""
+class FeedObserver:
+    """Followers of the configuration and server feeds, and the events that they emit."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup, standin: StoreStandin) -> None:
         self.events: list[ev.Event] = []
@@ -60,7 +60,7 @@
             tasks.start_soon(follower.run)
 
     def servers(self) -> dict[str, bool]:
-        """Each known server and whether it leaves, from the events alone."""
+        """Return whether each known server is leaving, from the events alone."""
         known: dict[str, bool] = {}
         for event in self.events:
             if isinstance(event, ev.ServersReplaced):
@@ -77,86 +77,86 @@
         ]
 
 
-def following(main: Callable[[StoreStandin, Followed], Awaitable[None]]) -> None:
+def run_with_observer(main: Callable[[StoreStandin, FeedObserver], Awaitable[None]]) -> None:
     async def run() -> None:
         standin = StoreStandin()
         standin.put("config", "main", CONFIG)
         for number in range(8):
             standin.put("servers", f"i-{number}", entry())
         async with anyio.create_task_group() as tasks:
-            followed = Followed(tasks, standin)
+            observer = FeedObserver(tasks, standin)
             await anyio.sleep(1.0)
-            await main(standin, followed)
+            await main(standin, observer)
             tasks.cancel_scope.cancel()
 
     run_virtual(run)
 
 
-def test_everything_is_learnt_at_start_over_several_pages() -> None:
-    async def main(_standin: StoreStandin, followed: Followed) -> None:
-        assert followed.versions() == [7]
-        assert len(followed.servers()) == 8
+def test_all_pages_are_read_at_start() -> None:
+    async def main(_standin: StoreStandin, observer: FeedObserver) -> None:
+        assert observer.versions() == [7]
+        assert len(observer.servers()) == 8
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_servers_are_listed_in_the_order_of_their_making() -> None:
-    """Of servers at one address the last one of a list is there; the store lists by name."""
+def test_servers_are_listed_in_order_of_creation() -> None:
+    """The last one in a list replaces the others at its address, but the store lists by name."""
 
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         standin.put("servers", "i-00", entry())
         standin.put("servers", "i-5", entry(state="draining"))
-        batch = await server_feed(followed.store).list()
+        batch = await server_feed(observer.store).list()
         assert not isinstance(batch, Failure) and isinstance(batch.events[0], ev.ServersReplaced)
         listed = [record.instance for record in batch.events[0].records]
         assert listed == [f"i-{number}" for number in range(8)] + ["i-00"]
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_changes_arrive_within_the_gathering_time_and_quiet_costs_few_calls() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_changes_arrive_within_the_coalescing_delay_and_idle_feeds_make_few_calls() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         standin.put("config", "main", {**CONFIG, "configVersion": 9})
         standin.put("servers", "i-0", entry(state="draining"))
         standin.remove("servers", "i-1")
         await anyio.sleep(0.7)
-        assert followed.versions() == [7, 9]
-        assert followed.servers()["i-0"] is True
-        assert "i-1" not in followed.servers()
+        assert observer.versions() == [7, 9]
+        assert observer.servers()["i-0"] is True
+        assert "i-1" not in observer.servers()
         before = standin.full_price_calls()
         await anyio.sleep(60.0)
         assert standin.full_price_calls() - before <= 6
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_many_changes_in_quick_succession_are_gathered() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_changes_in_quick_succession_are_coalesced() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         before = len(standin.calls)
         for version in range(10, 40):
             standin.put("config", "main", {**CONFIG, "configVersion": version})
             await anyio.sleep(0.05)
         await anyio.sleep(0.5)
-        assert followed.versions()[-1] == 39
+        assert observer.versions()[-1] == 39
         assert len(standin.calls) - before <= 12
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_after_lost_history_everything_is_listed_again_and_whoever_left_meanwhile_is_gone() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_feeds_are_listed_again_after_lost_history_and_removed_servers_are_gone() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         del standin.objects[("servers", "i-2")]
         standin.revision += 1
         standin.forget_history()
         await anyio.sleep(1.0)
-        assert "i-2" not in followed.servers()
-        assert len(followed.servers()) == 7
+        assert "i-2" not in observer.servers()
+        assert len(observer.servers()) == 7
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_a_store_that_was_down_is_followed_again_within_a_second_or_two() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_store_that_was_unavailable_is_followed_again_within_seconds() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         for mode in ("busy", "throttled"):
             standin.mode = mode
             standin.forget_history()
@@ -164,41 +164,41 @@
             standin.mode = "up"
             standin.put("servers", f"i-{mode}", entry())
             await anyio.sleep(2.5)
-            assert f"i-{mode}" in followed.servers()
-        assert len(followed.servers()) == 10
+            assert f"i-{mode}" in observer.servers()
+        assert len(observer.servers()) == 10
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_a_silent_store_is_given_up_and_asked_again() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_call_to_an_unresponsive_store_times_out_and_is_retried() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         standin.mode = "silent"
         standin.forget_history()
         await anyio.sleep(8.0)
         standin.mode = "up"
         standin.put("config", "main", {**CONFIG, "configVersion": 11})
         await anyio.sleep(4.0)
-        assert followed.versions()[-1] == 11
+        assert observer.versions()[-1] == 11
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_an_entry_that_cannot_be_read_changes_nothing_and_is_told() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_malformed_entries_change_nothing_and_valid_ones_are_applied() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         broken = {**CONFIG, "configVersion": 12, "routes": [{"name": "r1"}]}
         standin.put("config", "main", broken)
         standin.put("servers", "i-bad", {"service": "s1", "address": "nowhere"})
         standin.put("servers", "i-9", entry())
         await anyio.sleep(1.0)
-        assert followed.versions() == [7]
-        assert "i-bad" not in followed.servers()
-        assert "i-9" in followed.servers()
+        assert observer.versions() == [7]
+        assert "i-bad" not in observer.servers()
+        assert "i-9" in observer.servers()
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_a_wait_for_changes_that_was_swallowed_is_noticed_and_asked_anew() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_lost_watch_is_detected_and_restarted() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         await anyio.sleep(1.0)
         standin.put("config", "main", {**CONFIG, "configVersion": 8})
         standin.put("servers", "i-2", entry())
@@ -210,18 +210,18 @@
         standin.put("config", "main", {**CONFIG, "configVersion": 9})
         standin.put("servers", "i-1", entry(state="draining"))
         await anyio.sleep(3.5)
-        assert followed.versions() == [7, 8, 9]
-        assert {name for name, leaving in followed.servers().items() if leaving} == {"i-1"}
+        assert observer.versions() == [7, 8, 9]
+        assert {name for name, leaving in observer.servers().items() if leaving} == {"i-1"}
         standin.put("config", "main", {**CONFIG, "configVersion": 10})
         await anyio.sleep(0.5)
-        assert followed.versions()[-1] == 10
+        assert observer.versions()[-1] == 10
 
-    following(main)
+    run_with_observer(main)
 
 
 @pytest.mark.parametrize("tenths", range(0, 30, 3))
-def test_a_check_that_was_swallowed_too_is_soon_made_again(tenths: int) -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_lost_watch_is_detected_although_a_check_is_lost_too(tenths: int) -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         await anyio.sleep(10.0 + tenths / 10)
         standin.put("config", "main", {**CONFIG, "configVersion": 8})
         await anyio.sleep(0.1)
@@ -230,23 +230,23 @@
         standin.mode = "up"
         standin.put("config", "main", {**CONFIG, "configVersion": 9})
         await anyio.sleep(3.6)
-        assert followed.versions() == [7, 8, 9]
+        assert observer.versions() == [7, 8, 9]
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_checks_for_swallowed_waits_are_cheap_and_change_nothing_by_themselves() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_checks_for_lost_watches_are_cheap_and_change_nothing() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         await anyio.sleep(60.0)
         checks = [call for call in standin.calls if "stale=1" in call]
         assert 30 <= len(checks) <= 80
         assert standin.full_price_calls() <= 12
-        assert followed.versions() == [7]
+        assert observer.versions() == [7]
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_nodes_are_counted_also_when_answers_to_announcements_are_lost() -> None:
+def test_nodes_are_counted_if_answers_to_announcements_are_lost() -> None:
     async def run() -> None:
         standin = StoreStandin(lose_answers=3)
         counts: dict[str, int] = {}
@@ -256,10 +256,12 @@
                 store = MetadataStore(ApiClient(Address("10.0.0.1", 80), server.connect))
                 name = f"n{number}"
 
-                def counted(count: int, name: str = name) -> None:
+                def record_count(count: int, name: str = name) -> None:
                     counts[name] = count
 
-                counter = NodePresence(StoredNodes(store), NodeContact(name), counted, random.Random(number))
+                counter = NodePresence(
+                    StoredNodes(store), NodeContact(name), record_count, random.Random(number)
+                )
                 tasks.start_soon(counter.run)
             await anyio.sleep(30.0)
             assert counts == {f"n{number}": 4 for number in range(4)}
@@ -268,7 +270,7 @@
     run_virtual(run)
 
 
-def test_a_node_that_stopped_announcing_itself_is_not_counted_for_ever() -> None:
+def test_node_without_announcements_is_eventually_not_counted() -> None:
     async def run() -> None:
         standin = StoreStandin()
         standin.put("yokesill-nodes", "gone", {"beat": 1})
@@ -287,7 +289,7 @@
     run_virtual(run)
 
 
-def test_a_node_that_starts_again_knows_the_count_at_once() -> None:
+def test_restarted_node_has_the_node_count_immediately() -> None:
     async def run() -> None:
         standin = StoreStandin()
         for number in range(8):
@@ -306,8 +308,8 @@
     run_virtual(run)
 
 
-def test_changes_after_a_revision_that_was_given_out_again_are_not_applied() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_changes_after_a_reassigned_revision_are_not_applied() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         older = standin.take_copy()
         standin.put("servers", "i-lost", entry())
         await anyio.sleep(1.0)
@@ -316,39 +318,41 @@
         standin.restore(older)
         standin.put("servers", "i-hidden", entry())
         standin.put("servers", "i-told", entry())
-        before = len(followed.events)
+        before = len(observer.events)
         standin.mode = "up"
         await anyio.sleep(3.0)
-        told = [each for each in followed.events[before:] if not isinstance(each, ev.ConfigurationReceived)]
-        assert isinstance(told[0], ev.ServersRestored)
-        assert {record.instance for record in told[0].records} >= {"i-hidden", "i-told"}
+        received = [
+            each for each in observer.events[before:] if not isinstance(each, ev.ConfigurationReceived)
+        ]
+        assert isinstance(received[0], ev.ServersRestored)
+        assert {record.instance for record in received[0].records} >= {"i-hidden", "i-told"}
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_an_answer_that_names_no_timeline_is_no_restore() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_answer_without_a_timeline_is_not_taken_for_a_restore() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         standin.restore(standin.take_copy())
         await anyio.sleep(5.0)
-        assert {each.position.timeline for each in followed.followers if each.position} == {1}
+        assert {each.position.timeline for each in observer.followers if each.position} == {1}
         standin.timeline = 0
         standin.put("servers", "i-9", entry())
         await anyio.sleep(1.5)
-        assert "i-9" in followed.servers()
-        assert {each.position.timeline for each in followed.followers if each.position} == {1}
+        assert "i-9" in observer.servers()
+        assert {each.position.timeline for each in observer.followers if each.position} == {1}
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_pages_of_a_list_from_before_and_after_a_restore_are_no_list() -> None:
-    async def main(standin: StoreStandin, followed: Followed) -> None:
+def test_list_with_pages_from_before_and_after_a_restore_fails() -> None:
+    async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         older = standin.take_copy()
         standin.put("servers", "i-late", entry())
         standin.answer_s = 0.4
         listing: list[object] = []
 
         async def read() -> None:
-            listing.append(await followed.store.list("servers"))
+            listing.append(await observer.store.list("servers"))
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(read)
@@ -357,12 +361,12 @@
         assert isinstance(listing[0], Failure)
         standin.answer_s = 0.0
         await anyio.sleep(3.0)
-        assert "i-late" not in followed.servers()
+        assert "i-late" not in observer.servers()
 
-    following(main)
+    run_with_observer(main)
 
 
-def test_a_node_whose_entry_the_store_lost_is_still_counted_and_announces_itself_again() -> None:
+def test_node_whose_entry_the_store_lost_is_counted_and_announces_itself_again() -> None:
     async def run() -> None:
         standin = StoreStandin()
         counts: dict[str, int] = {}
@@ -374,16 +378,16 @@
                 store = MetadataStore(ApiClient(Address("10.0.0.1", 80), server.connect))
                 name = f"n{number}"
 
-                def counted(count: int, name: str = name) -> None:
+                def record_count(count: int, name: str = name) -> None:
                     counts[name] = count
 
                 nodes.append(
-                    NodePresence(StoredNodes(store), NodeContact(name), counted, random.Random(number))
+                    NodePresence(StoredNodes(store), NodeContact(name), record_count, random.Random(number))
                 )
                 tasks.start_soon(nodes[-1].run)
             await anyio.sleep(30.0)
             standin.restore(older)
-            # Long enough for each node to read the directory twice.
+            # Each node reads the directory twice in this time.
             for _ in range(60):
                 await anyio.sleep(0.5)
                 assert counts == {f"n{number}": 4 for number in range(4)}
--- a/tests/platform/test_quarantine_records.py
+++ b/tests/platform/test_quarantine_records.py
@@ -1,4 +1,4 @@
-"""Which requests are kept from servers stands in the store: all read it, whoever finds one writes it."""
+"""Records of quarantined requests in the store, written by the detecting node and read by all nodes."""
 
 import random
 
@@ -20,7 +20,7 @@
 KIND = "yokesill-quarantine"
 
 
-def test_what_one_node_records_every_other_one_reads_until_an_operator_deletes_it() -> None:
+def test_recorded_request_is_quarantined_until_its_object_is_deleted() -> None:
     async def main() -> list[ev.Event]:
         events: list[ev.Event] = []
         async with anyio.create_task_group() as tasks:
@@ -44,9 +44,9 @@
             tasks.cancel_scope.cancel()
         return events
 
-    told = run_virtual(main)
-    # Named tuples of other types are equal if their items are.
-    assert [(type(each).__name__, each[0]) for each in told] == [
+    received = run_virtual(main)
+    # Compares type names, because named tuples of different types are equal if their items are.
+    assert [(type(each).__name__, each[0]) for each in received] == [
         ("QuarantineReplaced", frozenset()),
         ("RequestQuarantined", "00ff"),
         ("QuarantineLifted", "00ff"),
@@ -55,7 +55,7 @@
     ]
 
 
-def test_a_store_that_takes_nothing_is_a_failure_and_not_a_record() -> None:
+def test_write_to_an_unavailable_store_is_a_failure() -> None:
     async def main() -> None:
         async with anyio.create_task_group() as tasks:
             standin = StoreStandin(mode="busy")
@@ -68,7 +68,7 @@
     run_virtual(main)
 
 
-def test_nodes_tell_one_another_changes_and_the_whole() -> None:
+def test_changes_and_full_state_survive_encoding_for_peers() -> None:
     changes = (ev.RequestQuarantined("00ff"), ev.QuarantineLifted("11ee"))
     read = changes_from_wire(changes_to_wire(changes) or ())
     assert [repr(each) for each in read] == [repr(each) for each in changes]
--- a/tests/platform/test_reading.py
+++ b/tests/platform/test_reading.py
@@ -1,4 +1,4 @@
-"""What the platform writes, read into the product's own terms; every mistake with its place."""
+"""Conversion of the platform's objects and settings; errors name their place."""
 
 import copy
 from typing import Any
@@ -41,7 +41,7 @@
     return spec
 
 
-def test_a_route_to_one_service_a_split_and_a_gather() -> None:
+def test_routes_to_one_service_a_split_and_a_gather_are_read() -> None:
     single = read_configuration(CONFIG).routes[0].destination
     assert isinstance(single, Split)
     assert single.parts[0].service == "s1"
@@ -64,18 +64,18 @@
         ({"backends": [{"service": "s1"}]}, "routes.r1.weight"),
     ],
 )
-def test_a_mistake_in_a_configuration_names_its_place(changes: dict[str, Any], place: str) -> None:
+def test_error_in_a_configuration_names_its_place(changes: dict[str, Any], place: str) -> None:
     with pytest.raises(ObjectError, match=place):
         read_configuration(changed(**changes))
 
 
 @pytest.mark.parametrize("spec", [None, [], {}, {"service": "s1"}, {"service": "s1", "address": "x"}])
-def test_a_mistake_in_a_servers_entry_names_the_server(spec: Any) -> None:
+def test_error_in_a_server_entry_names_the_server(spec: Any) -> None:
     with pytest.raises(ObjectError, match=r"servers\.i-1"):
         read_server("i-1", spec)
 
 
-def test_settings_are_read_and_unknown_fields_passed_over() -> None:
+def test_settings_are_read_and_unknown_fields_ignored() -> None:
     settings = parse_settings(SETTINGS)
     assert isinstance(settings, GatewaySettings)
     assert settings.callers == Address("10.1.0.9", 8104)
@@ -83,7 +83,7 @@
     assert (settings.budget.ratio, settings.budget.allowance) == (0.2, 56.0)
 
 
-def test_every_mistake_in_settings_is_told_with_its_place() -> None:
+def test_all_errors_in_settings_are_reported_with_their_places() -> None:
     broken = SETTINGS.replace('"10.1.0.9:8104"', '"nowhere"').replace("graceS = 6", 'graceS = "long"')
     broken = broken.replace('zone = "z1"\n', "")
     problems = parse_settings(broken)
@@ -92,7 +92,7 @@
     assert isinstance(parse_settings("= nonsense"), list)
 
 
-def test_nodes_speak_to_one_another_on_the_first_two_ports_of_their_range() -> None:
+def test_datagrams_and_reports_use_the_first_two_ports_of_the_range() -> None:
     settings = parse_settings(SETTINGS)
     assert isinstance(settings, GatewaySettings)
     assert (settings.datagrams, settings.reports) == (Address("10.1.0.9", 7380), Address("10.1.0.9", 7381))
@@ -105,13 +105,13 @@
 
 
 @pytest.mark.parametrize("ports", ["[7380]", "[7395, 7380]", '["a", "b"]', "7380", "[0, 70000]"])
-def test_a_range_of_ports_that_is_none_is_told_with_its_place(ports: str) -> None:
+def test_invalid_port_range_is_reported_with_its_place(ports: str) -> None:
     problems = parse_settings(SETTINGS.replace("[7380, 7395]", ports))
     assert isinstance(problems, list)
     assert [each.place for each in problems] == ["portRange"]
 
 
-def test_regions_of_a_route_and_what_cold_servers_bear() -> None:
+def test_regions_and_limits_of_cold_servers_are_read() -> None:
     spec = changed(allowedRegions=["r1", "r2"])
     spec["services"][0] |= {"warmupS": 3.0, "warmupPerS": 4.0}
     read = read_configuration(spec)
@@ -130,13 +130,13 @@
         ('contracts = ["base", "places"]', 5.0),
     ],
 )
-def test_evacuations_are_followed_where_the_contract_names_places(added: str, bound_s: float | None) -> None:
+def test_evacuations_are_followed_if_the_contracts_name_places(added: str, bound_s: float | None) -> None:
     settings = parse_settings(added + SETTINGS)
     assert isinstance(settings, GatewaySettings)
     assert settings.evacuation_bound_s == bound_s
 
 
-def test_bounds_of_evacuations_and_cold_servers_and_the_share_of_a_processor() -> None:
+def test_bounds_of_evacuations_and_cold_servers_and_cpu_limits_are_read() -> None:
     bounds = "[bounds]\nevacuateMs = 2000\nwarmupOvershoot = 1.5\nwarmupSlack = 5\n"
     limits = "[limits]\ncpuShare = 0.5\ncpuCores = 3\n"
     settings = parse_settings(SETTINGS.replace("[bounds]\n", bounds) + limits)
--- a/tests/platform/test_rollout_records.py
+++ b/tests/platform/test_rollout_records.py
@@ -1,4 +1,4 @@
-"""Orders of roll-outs in the platform's store, and the record of each under its condition."""
+"""Roll-out orders in the platform's store, and conditional writes of their records."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -28,7 +28,7 @@
 SPEC = {"service": "s1", "targetVersion": "v2", "durationS": 12}
 
 
-def stored(spec: Any = SPEC, status: Any = None) -> RolloutOrder:
+def read_stored_order(spec: Any = SPEC, status: Any = None) -> RolloutOrder:
     return read_order(StoredItem("s1", 9, spec, False, 5, status))
 
 
@@ -47,8 +47,8 @@
 # --- reading ---
 
 
-def test_an_order_is_read() -> None:
-    assert stored() == RolloutOrder("s1", "v2", 12.0, 5, 9)
+def test_order_is_read() -> None:
+    assert read_stored_order() == RolloutOrder("s1", "v2", 12.0, 5, 9)
 
 
 @pytest.mark.parametrize(
@@ -66,17 +66,17 @@
         ("completed", ORDERED),
     ],
 )
-def test_a_record_tells_the_state(status: Any, state: RolloutState) -> None:
+def test_state_of_an_order_is_read_from_its_record(status: Any, state: RolloutState) -> None:
     if isinstance(status, dict):
         status = {"targetVersion": "v2", "elapsedMs": 700, "reason": "why", **status}
-    order = stored(status=status)
+    order = read_stored_order(status=status)
     known = (0.7, "why") if state is not ORDERED else (0.0, "")
     assert (order.state, order.elapsed_s, order.reason) == (state, *known)
 
 
-def test_a_record_of_another_version_is_none_of_this_order() -> None:
+def test_record_of_another_version_is_ignored() -> None:
     old = {"state": "completed", "targetVersion": "v1", "elapsedMs": 700, "reason": "why"}
-    assert stored(status=old) == stored()
+    assert read_stored_order(status=old) == read_stored_order()
 
 
 @pytest.mark.parametrize(
@@ -93,14 +93,14 @@
         ({"targetVersion": "v2", "durationS": 12}, "rollouts.s1.service: is missing"),
     ],
 )
-def test_a_malformed_order_says_what_is_wrong_and_where(spec: Any, problem: str) -> None:
-    order = stored(spec)
+def test_malformed_order_reports_the_problem_and_its_place(spec: Any, problem: str) -> None:
+    order = read_stored_order(spec)
     assert (order.service, order.created_revision, order.revision) == ("s1", 5, 9)
     assert order.problem.startswith(problem)
 
 
 @pytest.mark.parametrize(("written", "read"), [(9, "9"), ("9", "9"), ("v2.1", "v2.1")])
-def test_a_version_is_recorded_as_it_was_written(written: Any, read: str) -> None:
+def test_version_is_recorded_in_the_form_of_the_order(written: Any, read: str) -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         standin.put(KIND, "s1", {**SPEC, "targetVersion": written})
         batch = await rollout_feed(store).list()
@@ -109,15 +109,15 @@
         assert isinstance(event, RolloutsReplaced)
         (order,) = event.orders
         assert order.target == read
-        stands = await StoredRollouts(store).record(order._replace(state=CANARY))
-        assert isinstance(stands, RolloutOrder)
+        recorded = await StoredRollouts(store).record(order._replace(state=CANARY))
+        assert isinstance(recorded, RolloutOrder)
         status = standin.objects[(KIND, "s1")]["status"]
-        assert (status["targetVersion"], stands.state) == (written, CANARY)
+        assert (status["targetVersion"], recorded.state) == (written, CANARY)
 
     with_store(main)
 
 
-def test_a_servers_entry_tells_its_version() -> None:
+def test_server_entry_contains_its_version() -> None:
     spec = {"service": "s1", "address": "10.0.0.9:80"}
     versions = [read_server("i", {**spec, **extra}).version for extra in ({}, {"configVersion": 9})]
     assert versions == ["", "9"]
@@ -126,7 +126,7 @@
 # --- the feed ---
 
 
-def test_orders_their_records_and_their_end_are_told() -> None:
+def test_orders_records_and_withdrawals_are_emitted_as_events() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         feed = rollout_feed(store)
         first = await feed.list()
@@ -143,16 +143,16 @@
     with_store(main)
 
 
-def test_nodes_tell_one_another_of_orders_unchanged() -> None:
+def test_orders_survive_encoding_for_peers_unchanged() -> None:
     order = RolloutOrder("s1", "9", 12.5, 5, 9, SWITCHING, 0.75, "why", "what is wrong", True)
     events: tuple[Event, ...] = (RolloutOrdered(order), RolloutWithdrawn("s2"))
     assert changes_from_wire(changes_to_wire(events) or ()) == events
-    whole = RolloutsReplaced((order, stored()))
+    whole = RolloutsReplaced((order, read_stored_order()))
     assert decode_state(encode_state(whole, Position(0, 12))) == Batch(Position(0, 12), (whole,))
 
 
 @pytest.mark.parametrize("item", [["ordered", []], ["ordered", ["s1"] * 10], ["withdrawn", 5], ["ordered"]])
-def test_a_malformed_change_of_an_order_is_refused(item: Any) -> None:
+def test_malformed_change_of_an_order_is_rejected(item: Any) -> None:
     with pytest.raises(ValueError, match=r"malformed|order"):
         changes_from_wire([item])
 
@@ -160,19 +160,19 @@
 # --- the record ---
 
 
-def test_a_record_is_written_in_the_platforms_words() -> None:
+def test_record_is_written_with_the_platforms_fields() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         order = RolloutOrder("s1", "v2", 12.0, 5, 5)
         records = StoredRollouts(store)
         for state in (CANARY, SWITCHING, ROLLED_BACK):
-            told = await records.record(order._replace(state=state, elapsed_s=0.7123, reason="why"))
-            assert told == order._replace(
+            written_order = await records.record(order._replace(state=state, elapsed_s=0.7123, reason="why"))
+            assert written_order == order._replace(
                 state=state, elapsed_s=0.712, reason="why", revision=order.revision + 1
             )
-            assert isinstance(told, RolloutOrder)
-            order = told
-            in_words = "rolled_back" if state is ROLLED_BACK else "in_progress"
-            status = {"state": in_words, "targetVersion": "v2", "stage": state.value}
+            assert isinstance(written_order, RolloutOrder)
+            order = written_order
+            platform_state = "rolled_back" if state is ROLLED_BACK else "in_progress"
+            status = {"state": platform_state, "targetVersion": "v2", "stage": state.value}
             expected = {**status, "elapsedMs": 712, "reason": "why"}
             assert standin.objects[(KIND, "s1")]["status"] == expected
         assert standin.objects[(KIND, "s1")]["spec"] == SPEC
@@ -180,14 +180,14 @@
     with_store(main)
 
 
-def test_a_record_tells_by_the_time_of_day_when_its_order_was_made() -> None:
+def test_record_contains_the_wall_clock_time_of_its_order() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         times = iter([1000.7, 1003.0, 1006.2])
         records = StoredRollouts(store, lambda: next(times))
         order = RolloutOrder("s1", "v2", 12.0, 5, 5, CANARY, 0.7)
-        told = await records.record(order)
+        written_order = await records.record(order)
         assert standin.objects[(KIND, "s1")]["status"]["orderedAtMs"] == 1_000_000
-        assert isinstance(told, RolloutOrder) and told.elapsed_s == 3.0
+        assert isinstance(written_order, RolloutOrder) and written_order.elapsed_s == 3.0
         batch = await rollout_feed(store, lambda: next(times)).list()
         assert isinstance(batch, Batch) and isinstance(batch.events[0], RolloutsReplaced)
         assert [each.elapsed_s for each in batch.events[0].orders] == [6.2]
@@ -196,24 +196,24 @@
 
 
 @pytest.mark.parametrize("ordered_at_ms", [1_000_100, None, "soon", 1e400, -(10**300), [1_000_000]])
-def test_a_time_of_day_that_cant_be_right_is_passed_over(ordered_at_ms: Any) -> None:
+def test_invalid_wall_clock_time_is_ignored(ordered_at_ms: Any) -> None:
     status = {"state": "in_progress", "targetVersion": "v2", "elapsedMs": 700, "orderedAtMs": ordered_at_ms}
-    item = StoredItem("s1", 9, SPEC, made=5, status=status)
+    item = StoredItem("s1", 9, SPEC, created_revision=5, status=status)
     assert read_order(item, lambda: 1000.0).elapsed_s == 0.7
 
 
-def test_a_record_that_was_overtaken_is_not_written() -> None:
+def test_outdated_record_is_not_written() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         standin.put_status(KIND, "s1", {"state": "rolled_back", "targetVersion": "v2"})
         late = RolloutOrder("s1", "v2", 12.0, 5, 5, COMPLETED)
-        stands = RolloutOrder("s1", "v2", 12.0, 5, 6, ROLLED_BACK)
-        assert await StoredRollouts(store).record(late) == RevisionConflict(stands)
+        recorded = RolloutOrder("s1", "v2", 12.0, 5, 6, ROLLED_BACK)
+        assert await StoredRollouts(store).record(late) == RevisionConflict(recorded)
         assert standin.objects[(KIND, "s1")]["status"]["state"] == "rolled_back"
 
     with_store(main)
 
 
-def test_a_record_of_an_order_that_is_gone_is_not_written() -> None:
+def test_record_of_a_removed_order_is_not_written() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         standin.remove(KIND, "s1")
         late = RolloutOrder("s1", "v2", 12.0, 5, 5, CANARY)
@@ -226,7 +226,7 @@
     ("mode", "verdict"),
     [("busy", Verdict.NOT_RUN), ("throttled", Verdict.NOT_RUN), ("silent", Verdict.MAY_HAVE_RUN)],
 )
-def test_a_store_that_does_not_write_is_a_failure_with_its_verdict(mode: str, verdict: Verdict) -> None:
+def test_write_to_a_failing_store_is_a_failure_with_a_verdict(mode: str, verdict: Verdict) -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         standin.mode = mode
         failure = await StoredRollouts(store).record(RolloutOrder("s1", "v2", 12.0, 5, 5, CANARY))
@@ -236,7 +236,7 @@
     with_store(main)
 
 
-def test_a_lost_answer_may_have_been_written_and_a_second_try_finds_it() -> None:
+def test_retry_after_a_lost_answer_finds_the_written_record() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         standin.lose_answers = 1
         order = RolloutOrder("s1", "v2", 12.0, 5, 5, COMPLETED)
@@ -252,7 +252,7 @@
 
 
 @pytest.mark.parametrize(
-    ("contracts", "bounds", "terms"),
+    ("contracts", "bounds", "limits"),
     [
         ('["base"]', "canaryShare = 0.2", None),
         ('["base", "rollout"]', "", RolloutLimits()),
@@ -263,16 +263,16 @@
         ),
     ],
 )
-def test_roll_outs_are_followed_where_the_contracts_name_them(
-    contracts: str, bounds: str, terms: RolloutLimits | None
+def test_roll_outs_are_followed_if_the_contracts_name_them(
+    contracts: str, bounds: str, limits: RolloutLimits | None
 ) -> None:
     text = f"contracts = {contracts}\n" + SETTINGS.replace("[bounds]", f"[bounds]\n{bounds}")
     settings = parse_settings(text)
     assert isinstance(settings, GatewaySettings)
-    assert settings.rollouts == terms
+    assert settings.rollouts == limits
 
 
-def test_a_record_that_was_read_before_the_store_was_restored_is_not_written() -> None:
+def test_record_read_before_a_restore_is_not_written() -> None:
     async def main(standin: StoreStandin, store: MetadataStore) -> None:
         older = standin.take_copy()
         standin.timeline = 1
--- a/tests/platform/test_start_is_lean.py
+++ b/tests/platform/test_start_is_lean.py
@@ -1,4 +1,4 @@
-"""What a starting node leaves out: parts of libraries, threads, and looking for garbage."""
+"""A starting node loads no unused library modules, starts no threads and collects no garbage."""
 
 import gc
 import socket
@@ -18,21 +18,21 @@
 from yokesill import lazy_imports
 lazy_imports.install()
 import yokesill.platform.main
-{rest}
+{code}
 """
-LEFT_OUT = ("_ssl", "_hashlib", "click", "multiprocessing", "uuid", "calendar", "logging.handlers")
+UNUSED_MODULES = ("_ssl", "_hashlib", "click", "multiprocessing", "uuid", "calendar", "logging.handlers")
 
 
-def run(rest: str) -> str:
-    """Return what a fresh interpreter prints that loaded what a node loads."""
+def run(code: str) -> str:
+    """Return what a new interpreter prints after it has loaded a node's modules."""
     done = subprocess.run(
-        [sys.executable, "-c", NODE.format(rest=rest)], capture_output=True, text=True, check=False
+        [sys.executable, "-c", NODE.format(code=code)], capture_output=True, text=True, check=False
     )
     return done.stdout.strip() + done.stderr.strip().rpartition("\n")[2]
 
 
-def test_a_node_loads_no_tls_no_command_line_and_nothing_that_starts_processes() -> None:
-    assert run(f"print([name for name in {LEFT_OUT} if name in sys.modules])") == "[]"
+def test_node_loads_no_tls_command_line_or_multiprocessing_modules() -> None:
+    assert run(f"print([name for name in {UNUSED_MODULES} if name in sys.modules])") == "[]"
 
 
 @pytest.mark.parametrize(
@@ -54,24 +54,24 @@
         ("import platform; print(platform.python_implementation())", "CPython"),
     ],
 )
-def test_what_was_left_out_is_loaded_when_it_is_used_all_the_same(use: str, result: str) -> None:
+def test_deferred_module_is_loaded_when_it_is_used(use: str, result: str) -> None:
     assert run(use) == result
 
 
-def test_a_node_renders_its_figures_without_tls() -> None:
+def test_node_renders_its_metrics_without_tls() -> None:
     use = "from yokesill.telemetry import exposition, figures\n"
-    use += "told = figures.GatewayMetrics()\ntold.gauge('yokesill_nodes', 'Nodes', 3)\n"
-    use += "print(exposition.render(told).decode().splitlines()[-1], '_ssl' in sys.modules)"
+    use += "metrics = figures.GatewayMetrics()\nmetrics.gauge('yokesill_nodes', 'Nodes', 3)\n"
+    use += "print(exposition.render(metrics).decode().splitlines()[-1], '_ssl' in sys.modules)"
     assert run(use) == "yokesill_nodes 3.0 False"
 
 
-def test_a_process_that_postponed_nothing_collects_as_before() -> None:
+def test_freeze_without_pause_changes_nothing() -> None:
     before = gc.get_freeze_count()
     gc_tuning.freeze()
     assert (gc.isenabled(), gc.get_freeze_count()) == (True, before)
 
 
-def test_what_a_start_made_is_not_looked_through_again(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_objects_created_at_start_are_excluded_from_collections(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(gc_tuning, "_paused", False)
     try:
         gc_tuning.pause()
@@ -84,7 +84,7 @@
         gc.unfreeze()
 
 
-def test_sockets_for_datagrams_start_no_thread() -> None:
+def test_datagram_socket_starts_no_thread() -> None:
     async def open_and_count() -> int:
         before = threading.active_count()
         opened = await open_datagrams(Address("127.0.0.1", 0))
@@ -95,7 +95,7 @@
     assert anyio.run(open_and_count) == 0
 
 
-def test_a_port_that_is_taken_leaves_a_node_without_datagrams() -> None:
+def test_port_in_use_leaves_a_node_without_datagrams() -> None:
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as taken:
         taken.bind(("127.0.0.1", 0))
         assert anyio.run(open_datagrams, Address(*taken.getsockname())) is None
--- a/tests/platform/test_starting.py
+++ b/tests/platform/test_starting.py
@@ -1,4 +1,4 @@
-"""A node's start: the callers' socket is open before anything else, and nothing undeclared is loaded."""
+"""A node's start: the socket for callers is opened first, and only declared packages are loaded."""
 
 import re
 import socket
@@ -12,7 +12,7 @@
 from yokesill.platform.start import listen_early
 
 ROOT = Path(__file__).resolve().parents[2]
-LOADED = """
+PRINT_LOADED_PACKAGES = """
 import sys
 before = set(sys.modules)
 import yokesill.platform.main
@@ -21,7 +21,7 @@
 paths = {name: getattr(sys.modules.get(name), "__file__", None) or "" for name in names}
 print(" ".join(sorted(name for name in names if "site-packages" in paths[name])))
 """
-SMALL = """
+PRINT_LARGE_PACKAGE_LOADED = """
 import sys
 import yokesill.platform.start
 print(any(name.startswith(("anyio", "uvicorn", "structlog")) for name in sys.modules))
@@ -36,8 +36,8 @@
 [platform]
 address = "127.0.0.1:3"
 """
-# What a package is imported as, where that is not its name.
-IMPORTED_AS = {
+# Packages whose import name differs from their name.
+PACKAGE_OF_IMPORT = {
     "typing_extensions": "typing-extensions",
     "_cbor2": "cbor2",
     "prometheus_client": "prometheus-client",
@@ -50,7 +50,7 @@
     ).stdout.strip()
 
 
-def test_callers_that_connect_while_a_node_loads_wait_in_the_sockets_queue() -> None:
+def test_callers_that_connect_during_imports_wait_in_the_sockets_queue() -> None:
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         port = probe.getsockname()[1]
@@ -64,14 +64,14 @@
 
 
 @pytest.mark.parametrize("address", ["", "nowhere", "127.0.0.1:", "127.0.0.1:99999999", "300.1.1.1:80"])
-def test_an_address_that_cannot_be_had_is_told_and_left_to_the_settings(
+def test_unusable_address_is_reported_and_opens_no_socket(
     address: str, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert listen_early(address) is None
     assert repr(address) in capsys.readouterr().err
 
 
-def test_an_unknown_switch_ends_the_start_with_its_place(
+def test_unknown_switch_ends_the_start_with_an_error(
     monkeypatch: pytest.MonkeyPatch, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "node.toml"
@@ -82,15 +82,17 @@
     assert "YOKESILL_SWITCHED_OFF: no such switch: paging; known: " in capsys.readouterr().err
 
 
-def test_little_is_loaded_before_the_socket_is_open() -> None:
-    assert run(SMALL) == "False"
+def test_no_large_package_is_loaded_before_the_socket_is_open() -> None:
+    assert run(PRINT_LARGE_PACKAGE_LOADED) == "False"
 
 
-def test_a_serving_node_loads_only_packages_that_are_declared() -> None:
+def test_serving_node_loads_only_declared_packages() -> None:
     text = (ROOT / "requirements-serve.txt").read_text()
     declared = {re.split("[=<>]", line)[0].replace("_", "-") for line in text.split()}
-    loaded = {IMPORTED_AS.get(name, name.replace("_", "-")) for name in run(LOADED).split()} - {"yokesill"}
-    # The declared packages use these where they happen to be there, and do without where they are not.
+    loaded = {
+        PACKAGE_OF_IMPORT.get(name, name.replace("_", "-")) for name in run(PRINT_LOADED_PACKAGES).split()
+    } - {"yokesill"}
+    # Optional dependencies of the declared packages, which use them only if they are installed.
     optional = {
         "rich",
         "pygments",
@@ -105,7 +107,7 @@
     assert loaded - optional <= declared
 
 
-def test_every_list_of_packages_pins_what_the_whole_list_pins() -> None:
+def test_every_package_list_has_the_versions_of_the_full_list() -> None:
     whole = set((ROOT / "requirements.txt").read_text().split())
     for name in ("requirements-serve.txt", "requirements-demo.txt"):
         assert set((ROOT / name).read_text().split()) <= whole, name
--- a/tests/platform/test_whole_node.py
+++ b/tests/platform/test_whole_node.py
@@ -1,4 +1,4 @@
-"""A node as the platform starts it: a process of its own, from its entry file to its planned stop."""
+"""A node as the platform starts it: a separate process, from its entry point to its planned stop."""
 
 import asyncio
 import signal
@@ -29,7 +29,7 @@
 """
 
 
-def test_a_process_starts_serves_shows_its_figures_and_stops_as_planned(tmp_path: Path) -> None:
+def test_process_starts_serves_requests_and_metrics_and_stops_as_planned(tmp_path: Path) -> None:
     own, callers, probes, store, *servers = free_ports(4 + 3 * standins.REPLICAS)
     file = tmp_path / "node.toml"
     file.write_text(SETTINGS.format(own=own, callers=callers, probes=probes, store=store))
@@ -53,16 +53,16 @@
         try:
             await ask(client, probes, "/readiness")
             answer = await ask(client, callers, "/wide/x")
-            figures = await ask(client, own, "/metrics")
+            metrics = await ask(client, own, "/metrics")
             await client.aclose()
             node.send_signal(signal.SIGHUP)
             node.send_signal(signal.SIGTERM)
-            return answer, figures, await node.wait()
+            return answer, metrics, await node.wait()
         finally:
             if node.returncode is None:
                 node.kill()
 
-    answer, figures, code = anyio.run(main)
+    answer, metrics, code = anyio.run(main)
     assert (len(answer.body), answer.headers["x-yokesill-part-stamps"].count(",")) == (50 * 16, 1)
-    assert b'route="wide"} 1.0' in figures.body
+    assert b'route="wide"} 1.0' in metrics.body
     assert code == 0
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -1,7 +1,7 @@
-"""A part of ``yokesill serve`` that fails is begun anew: queries go on, and a stop answers what is under way.
+"""A part of ``yokesill serve`` that fails is restarted; queries continue, and a stop answers those in flight.
 
-One exception in any part ended all of them: the node's task group cancelled every query, and the process
-ended with exit code 1, in the seen case just while it was asked to stop.
+Guards against an exception in one part that ends all of them: the node's task group cancelled every query,
+and the process ended with exit code 1. This was observed while the node was asked to stop.
 """
 
 from collections.abc import Awaitable, Callable
@@ -17,16 +17,16 @@
 from yokesill.routing.events import Answer
 
 NODES = 3
-LATER_S = 1.0
+FAILURE_DELAY_S = 1.0
 SLOW_FACTOR = 20.0
 
 
 class InjectedError(Exception):
-    """A bug in a part."""
+    """Stands for a bug in a part."""
 
 
 def failing(run: Callable[[], Awaitable[None]], times: int = 1) -> Callable[[], Awaitable[None]]:
-    """Return a part's ``run`` that fails after a while, ``times`` times."""
+    """Return a part's ``run`` that fails after ``FAILURE_DELAY_S``, ``times`` times."""
     left = times
 
     async def broken() -> None:
@@ -34,7 +34,7 @@
         if not left:
             return await run()
         left -= 1
-        with anyio.move_on_after(LATER_S):
+        with anyio.move_on_after(FAILURE_DELAY_S):
             await run()
         raise InjectedError
 
@@ -59,7 +59,7 @@
 
 @pytest.mark.part_failures
 @pytest.mark.parametrize("part", [*PARTS, *METHODS])
-def test_a_part_that_fails_begins_anew_and_nobody_notices(part: str) -> None:
+def test_failed_part_is_restarted_and_all_queries_are_answered(part: str) -> None:
     async def body(cluster: SimulatedCluster) -> None:
         running = cluster.start_node(NODES)
         break_part(running, part)
@@ -75,12 +75,12 @@
 
 @pytest.mark.part_failures
 @pytest.mark.parametrize("part", [*PARTS, *METHODS])
-def test_a_stop_answers_what_is_under_way_whichever_part_fails(part: str) -> None:
+def test_stop_answers_queries_in_flight_while_a_part_keeps_failing(part: str) -> None:
     async def body(cluster: SimulatedCluster) -> None:
         running = cluster.start_node(NODES)
         break_part(running, part, times=100)
         await cluster.until(lambda: running.node.ready, 30.0)
-        await anyio.sleep(2 * LATER_S)
+        await anyio.sleep(2 * FAILURE_DELAY_S)
         for model in cluster.models.values():
             model.set_faults(ServerFaults(slow_factor=SLOW_FACTOR))
         finals: list[Any] = []
@@ -101,7 +101,7 @@
 
 
 @pytest.mark.part_failures
-def test_an_attempt_that_fails_by_a_bug_fails_alone() -> None:
+def test_bug_in_one_attempt_fails_no_query() -> None:
     async def body(cluster: SimulatedCluster) -> None:
         running = cluster.nodes[cluster.address_of(0)]
         call, left = running.backends.call, 1
@@ -122,7 +122,7 @@
 
 
 @pytest.mark.part_failures
-def test_a_timer_that_fails_by_a_bug_stops_no_other() -> None:
+def test_bug_in_one_timer_stops_no_other_timer() -> None:
     async def body(cluster: SimulatedCluster) -> None:
         node = cluster.node(0)
         timers, left = node.driver._timers, 1
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine is suspended for seconds: its monotonic clock stands still, the node's clock must not."""
+"""While a machine is suspended its monotonic clock stops, but the node's clock must not."""
 
 import random
 import re
@@ -27,33 +27,33 @@
 
 
 class Suspension:
-    """The machine's clocks; ``begin`` lets time pass that the monotonic clock does not count."""
+    """The machine's clocks; ``suspend`` advances only the clock that counts suspensions."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
-        self.passed_s = 0.0
-        real = time.clock_gettime
+        self.suspended_s = 0.0
+        real_clock_gettime = time.clock_gettime
 
         def clock_gettime(which: int) -> float:
-            return real(which) + (self.passed_s if which == time.CLOCK_BOOTTIME else 0.0)
+            return real_clock_gettime(which) + (self.suspended_s if which == time.CLOCK_BOOTTIME else 0.0)
 
         monkeypatch.setattr(time, "clock_gettime", clock_gettime)
 
-    def begin(self) -> None:
-        self.passed_s += SUSPENDED_S
+    def suspend(self) -> None:
+        self.suspended_s += SUSPENDED_S
 
 
-def test_the_nodes_clock_counts_the_time_of_a_suspension(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_node_clock_counts_the_time_of_a_suspension(monkeypatch: pytest.MonkeyPatch) -> None:
     suspension = Suspension(monkeypatch)
 
     async def main() -> tuple[float, float]:
-        by_library, by_hot_paths = anyio.current_time(), clock.running_clock()()
-        suspension.begin()
-        return anyio.current_time() - by_library, clock.running_clock()() - by_hot_paths
+        anyio_start, clock_start = anyio.current_time(), clock.running_clock()()
+        suspension.suspend()
+        return anyio.current_time() - anyio_start, clock.running_clock()() - clock_start
 
     assert min(clock.run_with_boottime_clock(main)) >= SUSPENDED_S
 
 
-def test_what_came_due_meanwhile_is_due_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_timers_that_came_due_during_a_suspension_fire_immediately(monkeypatch: pytest.MonkeyPatch) -> None:
     suspension = Suspension(monkeypatch)
 
     async def main() -> list[str]:
@@ -68,7 +68,7 @@
                 tasks.start_soon(wait, "deadline", 20.0)
                 tasks.start_soon(wait, "hedge", 10.0)
                 await anyio.sleep(0.05)
-                suspension.begin()
+                suspension.suspend()
                 with anyio.move_on_after(3.0):
                     while len(order) < 2:
                         await anyio.sleep(0.01)
@@ -78,26 +78,26 @@
     assert clock.run_with_boottime_clock(main) == ["hedge", "deadline"]
 
 
-def test_nothing_else_reads_a_clock_or_starts_a_loop() -> None:
+def test_no_other_module_reads_a_clock_or_starts_an_event_loop() -> None:
     found = [
         f"{path.relative_to(SOURCE)}: {match[0]}"
         for path in SOURCE.rglob("*.py")
         for match in OTHER_CLOCKS.finditer(path.read_text())
     ]
-    # The one loop, and a number that tells two starts of a node apart.
+    # The only event loop, and a number that distinguishes starts of a node.
     assert sorted(found) == ["cli/serve.py: time.time(", "clock.py: anyio.run("]
 
 
-# --- what decides by time, when a suspension is over: ``now`` jumps, and what came due fires in any order ---
+# --- decisions after a suspension: ``now`` jumps, and timers that came due fire in any order ---
 
 
-def test_nothing_is_sent_for_a_caller_who_has_given_up_meanwhile() -> None:
+def test_request_past_its_deadline_after_a_suspension_is_not_retried() -> None:
     harness = RouterHarness(gather_route(attempts=3))
     harness.warm_up()
     key = harness.arrive(timeout_s=1.5)
     sent = harness.attempts(key)
     harness.now += SUSPENDED_S
-    # The connections were lost meanwhile, which is heard of before the timers fire.
+    # The connections were lost meanwhile, and the losses are reported before the timers fire.
     for attempt in sent:
         harness.fail(attempt)
     assert harness.attempts(key) == sent
@@ -105,7 +105,7 @@
     assert isinstance(harness.finals[key], ev.Refuse)
 
 
-def test_hedges_that_came_due_meanwhile_are_not_sent_past_the_deadline() -> None:
+def test_hedge_due_during_a_suspension_is_not_sent_past_the_deadline() -> None:
     harness = RouterHarness(gather_route(attempts=3))
     harness.warm_up()
     key = harness.arrive(timeout_s=1.5)
@@ -116,7 +116,7 @@
     assert isinstance(harness.finals[key], ev.Refuse)
 
 
-def test_an_ejected_server_is_tried_again_and_a_suspicion_is_over() -> None:
+def test_ejection_and_suspicion_expire_during_a_suspension() -> None:
     harness = RouterHarness(single_route())
     harness.warm_up("/one/x")
     for instance in ("desk-z1", "desk-z2"):
@@ -128,16 +128,16 @@
     assert len(harness.attempts(again)) == 1
 
 
-def test_a_connection_that_its_server_has_closed_meanwhile_is_not_used() -> None:
+def test_idle_connection_expires_during_a_suspension() -> None:
     connections = ServerConnectionPool("10.0.0.1", 80, lambda _count: None)
-    rested = ServerConnection(connections.remove_idle)
+    idle = ServerConnection(connections.remove_idle)
     assert connections.reserve(1)
     connections.opened()
-    connections.release(rested, reusable_until=110.0)
+    connections.release(idle, reusable_until=110.0)
     assert connections.take_idle(100.0 + SUSPENDED_S, check=False) is None
 
 
-def test_a_deciders_share_and_a_watchers_report_hold_no_longer_than_they_said() -> None:
+def test_canary_share_and_watcher_report_expire_during_a_suspension() -> None:
     canary = Canary()
     order = OrderId("desk", 5, "v2")
     canary.receive(
@@ -145,8 +145,8 @@
     )
     assert canary.share(order, 101.0) > 0.0
     assert canary.share(order, 101.0 + SUSPENDED_S) == 0.0
-    terms = WatchTiming.within(3.0)
-    group = create_group("n9", terms, random.Random(1), 0.0)
+    timing = WatchTiming.within(3.0)
+    group = create_group("n9", timing, random.Random(1), 0.0)
     group.set_members([f"n{number}" for number in range(12)])
     for node in group.ranked[:2]:
         group.record_report(node, current=True, synchronised=True, now=100.0)
@@ -155,7 +155,7 @@
     assert watch_role(group, 100.0 + SUSPENDED_S) is not WatchRole.FOLLOWING
 
 
-def test_a_budget_counts_what_was_spent_before_a_suspension_only_in_its_window() -> None:
+def test_budget_window_advances_during_a_suspension() -> None:
     budget = ExtraAttemptBudget(BudgetLimits(0.2, 58.0, 10.0), 0.0)
     while budget.take(1, 100.0):
         pass
