--- a/src/yokesill/clock.py
+++ b/src/yokesill/clock.py
@@ -1,4 +1,4 @@
-"""The node's clock: used for all decisions, and counts the time that the machine is suspended.
+"""The node's single clock for all decisions, which also counts the time that the machine is suspended.
 
 A machine may be suspended for seconds. Its monotonic clock stops meanwhile: by that clock, a request whose
 caller has given up would still have time left, an ejected server would stay ejected, and reports that other
--- a/src/yokesill/membership/detector.py
+++ b/src/yokesill/membership/detector.py
@@ -133,7 +133,7 @@
             self._zone_reachable_at[zone] = now
 
     def reachable_since(self, moment: float, other_zone_only: bool) -> bool:
-        """Whether a peer was reachable at or after ``moment``; only peers of other zones if so asked."""
+        """Whether a peer, or only one of another zone, was reachable at or after ``moment``."""
         own_zone = self.table.own.zone
         zones = self._zone_reachable_at.items()
         return any(at >= moment and not (other_zone_only and zone == own_zone) for zone, at in zones)
--- a/src/yokesill/membership/table.py
+++ b/src/yokesill/membership/table.py
@@ -75,7 +75,7 @@
         self._store(replace(self.own, status=MemberStatus.LEAVING), now)
 
     def expire(self, now: float) -> None:
-        """Remove members that have been dead for longer than the retention time."""
+        """Remove members that have been dead for longer than ``DEAD_RETENTION_S``."""
         for record in self.dead():
             if now - self._changed_at.get(record.address, now) > DEAD_RETENTION_S:
                 self._digest ^= _record_hash(record)
--- a/src/yokesill/platform/documents.py
+++ b/src/yokesill/platform/documents.py
@@ -29,8 +29,8 @@
 )
 
 # The platform's defaults for routes without these fields.
-DEFAULT_ATTEMPTS = 1
-LOWEST_PRIORITY = 9
+DEFAULT_MAX_ATTEMPTS = 1
+DEFAULT_PRIORITY = 9  # the lowest
 
 
 def read_configuration(spec: Any) -> Configuration:
@@ -66,12 +66,12 @@
         name=route,
         host=name(take(item, "host", text, place).lower()),
         prefix=take(item, "pathPrefix", text, place),
-        # Despite its name not the kind of destination, but whether a request may run more than once.
+        # Not the kind of destination, despite its name: idempotent requests may run more than once.
         repeatable=take(item, "routeType", text, place) == "idempotent",
         timeout_s=timeout,
         objective_s=seconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
-        max_attempts=whole(item.get("maxAttempts", DEFAULT_ATTEMPTS)),
-        priority=whole(item.get("priority", LOWEST_PRIORITY)),
+        max_attempts=whole(item.get("maxAttempts", DEFAULT_MAX_ATTEMPTS)),
+        priority=whole(item.get("priority", DEFAULT_PRIORITY)),
         destination=_read_destination(item, place),
         regions=tuple(text(each) for each in items(item.get("allowedRegions") or [])),
     )
--- a/tests/platform/test_following_the_store.py
+++ b/tests/platform/test_following_the_store.py
@@ -42,7 +42,7 @@
 }
 
 
-def entry(service: str = "s1", state: str = "ready") -> dict[str, Any]:
+def server_entry(service: str = "s1", state: str = "ready") -> dict[str, Any]:
     return {"service": service, "address": "10.0.0.9:80", "zone": "z1", "capacity": 2, "state": state}
 
 
@@ -82,7 +82,7 @@
         standin = StoreStandin()
         standin.put("config", "main", CONFIG)
         for number in range(8):
-            standin.put("servers", f"i-{number}", entry())
+            standin.put("servers", f"i-{number}", server_entry())
         async with anyio.create_task_group() as tasks:
             observer = FeedObserver(tasks, standin)
             await anyio.sleep(1.0)
@@ -104,8 +104,8 @@
     """The last one in a list replaces the others at its address, but the store lists by name."""
 
     async def main(standin: StoreStandin, observer: FeedObserver) -> None:
-        standin.put("servers", "i-00", entry())
-        standin.put("servers", "i-5", entry(state="draining"))
+        standin.put("servers", "i-00", server_entry())
+        standin.put("servers", "i-5", server_entry(state="draining"))
         batch = await server_feed(observer.store).list()
         assert not isinstance(batch, Failure) and isinstance(batch.events[0], ev.ServersReplaced)
         listed = [record.instance for record in batch.events[0].records]
@@ -117,7 +117,7 @@
 def test_changes_arrive_within_the_coalescing_delay_and_idle_feeds_make_few_calls() -> None:
     async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         standin.put("config", "main", {**CONFIG, "configVersion": 9})
-        standin.put("servers", "i-0", entry(state="draining"))
+        standin.put("servers", "i-0", server_entry(state="draining"))
         standin.remove("servers", "i-1")
         await anyio.sleep(0.7)
         assert observer.versions() == [7, 9]
@@ -162,7 +162,7 @@
             standin.forget_history()
             await anyio.sleep(10.0)
             standin.mode = "up"
-            standin.put("servers", f"i-{mode}", entry())
+            standin.put("servers", f"i-{mode}", server_entry())
             await anyio.sleep(2.5)
             assert f"i-{mode}" in observer.servers()
         assert len(observer.servers()) == 10
@@ -188,7 +188,7 @@
         broken = {**CONFIG, "configVersion": 12, "routes": [{"name": "r1"}]}
         standin.put("config", "main", broken)
         standin.put("servers", "i-bad", {"service": "s1", "address": "nowhere"})
-        standin.put("servers", "i-9", entry())
+        standin.put("servers", "i-9", server_entry())
         await anyio.sleep(1.0)
         assert observer.versions() == [7]
         assert "i-bad" not in observer.servers()
@@ -201,14 +201,14 @@
     async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         await anyio.sleep(1.0)
         standin.put("config", "main", {**CONFIG, "configVersion": 8})
-        standin.put("servers", "i-2", entry())
+        standin.put("servers", "i-2", server_entry())
         await anyio.sleep(0.1)
         standin.mode = "silent"
         await anyio.sleep(2.0)
         standin.mode = "up"
         await anyio.sleep(1.0)
         standin.put("config", "main", {**CONFIG, "configVersion": 9})
-        standin.put("servers", "i-1", entry(state="draining"))
+        standin.put("servers", "i-1", server_entry(state="draining"))
         await anyio.sleep(3.5)
         assert observer.versions() == [7, 8, 9]
         assert {name for name, leaving in observer.servers().items() if leaving} == {"i-1"}
@@ -311,13 +311,13 @@
 def test_changes_after_a_reassigned_revision_are_not_applied() -> None:
     async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         older = standin.take_copy()
-        standin.put("servers", "i-lost", entry())
+        standin.put("servers", "i-lost", server_entry())
         await anyio.sleep(1.0)
         standin.mode = "busy"
         await anyio.sleep(1.0)
         standin.restore(older)
-        standin.put("servers", "i-hidden", entry())
-        standin.put("servers", "i-told", entry())
+        standin.put("servers", "i-hidden", server_entry())
+        standin.put("servers", "i-told", server_entry())
         before = len(observer.events)
         standin.mode = "up"
         await anyio.sleep(3.0)
@@ -336,7 +336,7 @@
         await anyio.sleep(5.0)
         assert {each.position.timeline for each in observer.followers if each.position} == {1}
         standin.timeline = 0
-        standin.put("servers", "i-9", entry())
+        standin.put("servers", "i-9", server_entry())
         await anyio.sleep(1.5)
         assert "i-9" in observer.servers()
         assert {each.position.timeline for each in observer.followers if each.position} == {1}
@@ -347,7 +347,7 @@
 def test_list_with_pages_from_before_and_after_a_restore_fails() -> None:
     async def main(standin: StoreStandin, observer: FeedObserver) -> None:
         older = standin.take_copy()
-        standin.put("servers", "i-late", entry())
+        standin.put("servers", "i-late", server_entry())
         standin.answer_s = 0.4
         listing: list[object] = []
 
--- a/tests/platform/test_reading.py
+++ b/tests/platform/test_reading.py
@@ -35,7 +35,7 @@
 """
 
 
-def changed(**changes: Any) -> dict[str, Any]:
+def config_with(**changes: Any) -> dict[str, Any]:
     spec = copy.deepcopy(CONFIG)
     spec["routes"][0].update(changes)
     return spec
@@ -46,10 +46,10 @@
     assert isinstance(single, Split)
     assert single.parts[0].service == "s1"
     weights = [{"service": "s1", "weight": 3}, {"service": "s2", "weight": 1}]
-    split = read_configuration(changed(backends=weights)).routes[0].destination
+    split = read_configuration(config_with(backends=weights)).routes[0].destination
     assert isinstance(split, Split)
     assert [(part.service, part.weight) for part in split.parts] == [("s1", 3), ("s2", 1)]
-    wide = changed(gather=["s1", "s2"], topK=5, minCoverage=0.75, targetLatencyMs=56, maxAttempts=2)
+    wide = config_with(gather=["s1", "s2"], topK=5, minCoverage=0.75, targetLatencyMs=56, maxAttempts=2)
     route = read_configuration(wide).routes[0]
     assert route.destination == Gather(("s1", "s2"), 5, 0.75)
     assert (route.objective_s, route.max_attempts, route.repeatable) == (0.056, 2, True)
@@ -66,7 +66,7 @@
 )
 def test_error_in_a_configuration_names_its_place(changes: dict[str, Any], place: str) -> None:
     with pytest.raises(ObjectError, match=place):
-        read_configuration(changed(**changes))
+        read_configuration(config_with(**changes))
 
 
 @pytest.mark.parametrize("spec", [None, [], {}, {"service": "s1"}, {"service": "s1", "address": "x"}])
@@ -112,7 +112,7 @@
 
 
 def test_regions_and_limits_of_cold_servers_are_read() -> None:
-    spec = changed(allowedRegions=["r1", "r2"])
+    spec = config_with(allowedRegions=["r1", "r2"])
     spec["services"][0] |= {"warmupS": 3.0, "warmupPerS": 4.0}
     read = read_configuration(spec)
     assert read.routes[0].regions == ("r1", "r2")
