--- a/src/yokesill/platform/documents.py
+++ b/src/yokesill/platform/documents.py
@@ -1,6 +1,6 @@
-"""Reads the platform's objects into the gateway's documents; raises ``ObjectError`` naming the place.
+"""Converts the platform's objects to the gateway's documents; raises ``ObjectError`` with the place.
 
-Here the platform's names end: a comment says what a field holds where its name misleads.
+The platform's field names are used only up to here. Comments explain fields with misleading names.
 """
 
 from typing import Any
@@ -17,101 +17,98 @@
 )
 from yokesill.serving.object_fields import (
     ObjectError,
-    parse_integer,
-    parse_list,
-    parse_milliseconds,
-    parse_name,
-    parse_number,
-    parse_table,
-    parse_text,
-    parse_version,
-    read_field,
+    items,
+    name,
+    number,
+    seconds,
+    table,
+    take,
+    text,
+    version,
+    whole,
 )
 
-# What the platform's rules say of routes without these fields.
-DEFAULT_ATTEMPTS = 1
-LOWEST_PRIORITY = 9
+# The platform's defaults for routes without these fields.
+DEFAULT_MAX_ATTEMPTS = 1
+DEFAULT_PRIORITY = 9  # the lowest
 
 
 def read_configuration(spec: Any) -> Configuration:
-    """Read the operator's configuration."""
-    limits = read_field(spec, "limits", parse_table, "config")
-    services = read_field(spec, "services", parse_list, "config")
+    """Parse the operator's configuration."""
+    limits = take(spec, "limits", table, "config")
+    services = take(spec, "services", items, "config")
     return Configuration(
-        version=read_field(spec, "configVersion", parse_integer, "config"),
-        routes=tuple(_read_route(item) for item in read_field(spec, "routes", parse_list, "config")),
+        version=take(spec, "configVersion", whole, "config"),
+        routes=tuple(_read_route(item) for item in take(spec, "routes", items, "config")),
         services={
-            read_field(item, "name", parse_name, "services"): ServiceLimits(
-                # Of all nodes together, to each server of the service.
-                read_field(item, "maxConnections", parse_integer, f"services.{item['name']}"),
-                # Requests a second to a cold server, of all nodes together; 0 is no limit.
-                parse_number(item.get("warmupPerS", 0.0)),
+            take(item, "name", name, "services"): ServiceLimits(
+                # The total of all nodes, for each server of the service.
+                take(item, "maxConnections", whole, f"services.{item['name']}"),
+                # Requests per second to a cold server, in total of all nodes; 0 means no limit.
+                number(item.get("warmupPerS", 0.0)),
             )
             for item in services
         },
         limits=RequestLimits(
-            header_bytes=read_field(limits, "maxHeaderBytes", parse_integer, "limits"),
-            body_bytes=read_field(limits, "maxBodyBytes", parse_integer, "limits"),
-            header_timeout_s=read_field(limits, "headerTimeoutMs", parse_milliseconds, "limits"),
-            idle_timeout_s=read_field(limits, "idleTimeoutMs", parse_milliseconds, "limits"),
+            header_bytes=take(limits, "maxHeaderBytes", whole, "limits"),
+            body_bytes=take(limits, "maxBodyBytes", whole, "limits"),
+            header_timeout_s=take(limits, "headerTimeoutMs", seconds, "limits"),
+            idle_timeout_s=take(limits, "idleTimeoutMs", seconds, "limits"),
         ),
     )
 
 
 def _read_route(item: Any) -> Route:
-    route = read_field(item, "name", parse_text, "routes")
+    route = take(item, "name", text, "routes")
     place = f"routes.{route}"
-    timeout = read_field(item, "timeoutMs", parse_milliseconds, place)
+    timeout = take(item, "timeoutMs", seconds, place)
     return Route(
         name=route,
-        host=parse_name(read_field(item, "host", parse_text, place).lower()),
-        prefix=read_field(item, "pathPrefix", parse_text, place),
-        # Not the kind of destination: whether a request may run more than once.
-        repeatable=read_field(item, "routeType", parse_text, place) == "idempotent",
+        host=name(take(item, "host", text, place).lower()),
+        prefix=take(item, "pathPrefix", text, place),
+        # Not the kind of destination, despite its name: idempotent requests may run more than once.
+        repeatable=take(item, "routeType", text, place) == "idempotent",
         timeout_s=timeout,
-        objective_s=parse_milliseconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
-        max_attempts=parse_integer(item.get("maxAttempts", DEFAULT_ATTEMPTS)),
-        priority=parse_integer(item.get("priority", LOWEST_PRIORITY)),
+        objective_s=seconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
+        max_attempts=whole(item.get("maxAttempts", DEFAULT_MAX_ATTEMPTS)),
+        priority=whole(item.get("priority", DEFAULT_PRIORITY)),
         destination=_read_destination(item, place),
-        regions=tuple(parse_text(each) for each in parse_list(item.get("allowedRegions") or [])),
+        regions=tuple(text(each) for each in items(item.get("allowedRegions") or [])),
     )
 
 
 def _read_destination(item: Any, place: str) -> Gather | Split:
     if item.get("gather"):
         return Gather(
-            services=tuple(parse_name(each) for each in item["gather"]),
-            greatest=read_field(item, "topK", parse_integer, place),
-            minimum_coverage=read_field(item, "minCoverage", parse_number, place),
+            services=tuple(name(each) for each in item["gather"]),
+            greatest=take(item, "topK", whole, place),
+            minimum_coverage=take(item, "minCoverage", number, place),
         )
     if item.get("backends"):
         parts = (
-            WeightedService(
-                read_field(each, "service", parse_name, place),
-                read_field(each, "weight", parse_number, place),
-            )
-            for each in parse_list(item["backends"])
+            WeightedService(take(each, "service", name, place), take(each, "weight", number, place))
+            for each in items(item["backends"])
         )
         return Split(tuple(parts))
-    return Split((WeightedService(read_field(item, "service", parse_name, place), 1.0),))
+    return Split((WeightedService(take(item, "service", name, place), 1.0),))
 
 
 def read_server(instance: str, spec: Any) -> ServerRecord:
-    """Read a server's entry."""
+    """Parse a server's entry."""
     place = f"servers.{instance}"
-    host, _, port = read_field(spec, "address", parse_text, place).rpartition(":")
+    host, _, port = take(spec, "address", text, place).rpartition(":")
     if not host or not port.isdigit():
         raise ObjectError(f"{place}.address: HOST:PORT is needed")
     return ServerRecord(
         instance=instance,
-        service=read_field(spec, "service", parse_name, place),
+        service=take(spec, "service", name, place),
         host=host,
         port=int(port),
-        zone=parse_name(spec.get("zone", "")),
-        # How many requests it runs at a time.
-        slots=parse_integer(spec.get("capacity", 1)),
+        zone=name(spec.get("zone", "")),
+        # The number of requests that it runs concurrently.
+        slots=whole(spec.get("capacity", 1)),
         leaving=spec.get("state") == "draining",
-        warmup_left_s=parse_milliseconds(spec.get("warmupLeftMs", 0)),
-        # Of the server's software; the gateway's configuration has a field of the same name.
-        version=parse_version(spec.get("configVersion", "")),
+        warmup_left_s=seconds(spec.get("warmupLeftMs", 0)),
+        # The version of the server's software; the gateway's configuration has a field of the same name.
+        version=version(spec.get("configVersion", "")),
     )
