--- a/src/yokesill/platform/documents.py
+++ b/src/yokesill/platform/documents.py
@@ -17,15 +17,15 @@
 )
 from yokesill.serving.object_fields import (
     ObjectError,
-    items,
-    name,
-    number,
-    seconds,
-    table,
-    take,
-    text,
-    version,
-    whole,
+    parse_integer,
+    parse_list,
+    parse_milliseconds,
+    parse_name,
+    parse_number,
+    parse_table,
+    parse_text,
+    parse_version,
+    read_field,
 )
 
 # The platform's defaults for routes without these fields.
@@ -35,80 +35,83 @@
 
 def read_configuration(spec: Any) -> Configuration:
     """Parse the operator's configuration."""
-    limits = take(spec, "limits", table, "config")
-    services = take(spec, "services", items, "config")
+    limits = read_field(spec, "limits", parse_table, "config")
+    services = read_field(spec, "services", parse_list, "config")
     return Configuration(
-        version=take(spec, "configVersion", whole, "config"),
-        routes=tuple(_read_route(item) for item in take(spec, "routes", items, "config")),
+        version=read_field(spec, "configVersion", parse_integer, "config"),
+        routes=tuple(_read_route(item) for item in read_field(spec, "routes", parse_list, "config")),
         services={
-            take(item, "name", name, "services"): ServiceLimits(
+            read_field(item, "name", parse_name, "services"): ServiceLimits(
                 # The total of all nodes, for each server of the service.
-                take(item, "maxConnections", whole, f"services.{item['name']}"),
+                read_field(item, "maxConnections", parse_integer, f"services.{item['name']}"),
                 # Requests per second to a cold server, in total of all nodes; 0 means no limit.
-                number(item.get("warmupPerS", 0.0)),
+                parse_number(item.get("warmupPerS", 0.0)),
             )
             for item in services
         },
         limits=RequestLimits(
-            header_bytes=take(limits, "maxHeaderBytes", whole, "limits"),
-            body_bytes=take(limits, "maxBodyBytes", whole, "limits"),
-            header_timeout_s=take(limits, "headerTimeoutMs", seconds, "limits"),
-            idle_timeout_s=take(limits, "idleTimeoutMs", seconds, "limits"),
+            header_bytes=read_field(limits, "maxHeaderBytes", parse_integer, "limits"),
+            body_bytes=read_field(limits, "maxBodyBytes", parse_integer, "limits"),
+            header_timeout_s=read_field(limits, "headerTimeoutMs", parse_milliseconds, "limits"),
+            idle_timeout_s=read_field(limits, "idleTimeoutMs", parse_milliseconds, "limits"),
         ),
     )
 
 
 def _read_route(item: Any) -> Route:
-    route = take(item, "name", text, "routes")
+    route = read_field(item, "name", parse_text, "routes")
     place = f"routes.{route}"
-    timeout = take(item, "timeoutMs", seconds, place)
+    timeout = read_field(item, "timeoutMs", parse_milliseconds, place)
     return Route(
         name=route,
-        host=name(take(item, "host", text, place).lower()),
-        prefix=take(item, "pathPrefix", text, place),
+        host=parse_name(read_field(item, "host", parse_text, place).lower()),
+        prefix=read_field(item, "pathPrefix", parse_text, place),
         # Not the kind of destination, despite its name: idempotent requests may run more than once.
-        repeatable=take(item, "routeType", text, place) == "idempotent",
+        repeatable=read_field(item, "routeType", parse_text, place) == "idempotent",
         timeout_s=timeout,
-        objective_s=seconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
-        max_attempts=whole(item.get("maxAttempts", DEFAULT_MAX_ATTEMPTS)),
-        priority=whole(item.get("priority", DEFAULT_PRIORITY)),
+        objective_s=parse_milliseconds(item["targetLatencyMs"]) if "targetLatencyMs" in item else timeout,
+        max_attempts=parse_integer(item.get("maxAttempts", DEFAULT_MAX_ATTEMPTS)),
+        priority=parse_integer(item.get("priority", DEFAULT_PRIORITY)),
         destination=_read_destination(item, place),
-        regions=tuple(text(each) for each in items(item.get("allowedRegions") or [])),
+        regions=tuple(parse_text(each) for each in parse_list(item.get("allowedRegions") or [])),
     )
 
 
 def _read_destination(item: Any, place: str) -> Gather | Split:
     if item.get("gather"):
         return Gather(
-            services=tuple(name(each) for each in item["gather"]),
-            greatest=take(item, "topK", whole, place),
-            minimum_coverage=take(item, "minCoverage", number, place),
+            services=tuple(parse_name(each) for each in item["gather"]),
+            greatest=read_field(item, "topK", parse_integer, place),
+            minimum_coverage=read_field(item, "minCoverage", parse_number, place),
         )
     if item.get("backends"):
         parts = (
-            WeightedService(take(each, "service", name, place), take(each, "weight", number, place))
-            for each in items(item["backends"])
+            WeightedService(
+                read_field(each, "service", parse_name, place),
+                read_field(each, "weight", parse_number, place),
+            )
+            for each in parse_list(item["backends"])
         )
         return Split(tuple(parts))
-    return Split((WeightedService(take(item, "service", name, place), 1.0),))
+    return Split((WeightedService(read_field(item, "service", parse_name, place), 1.0),))
 
 
 def read_server(instance: str, spec: Any) -> ServerRecord:
     """Parse a server's entry."""
     place = f"servers.{instance}"
-    host, _, port = take(spec, "address", text, place).rpartition(":")
+    host, _, port = read_field(spec, "address", parse_text, place).rpartition(":")
     if not host or not port.isdigit():
         raise ObjectError(f"{place}.address: HOST:PORT is needed")
     return ServerRecord(
         instance=instance,
-        service=take(spec, "service", name, place),
+        service=read_field(spec, "service", parse_name, place),
         host=host,
         port=int(port),
-        zone=name(spec.get("zone", "")),
+        zone=parse_name(spec.get("zone", "")),
         # The number of requests that it runs concurrently.
-        slots=whole(spec.get("capacity", 1)),
+        slots=parse_integer(spec.get("capacity", 1)),
         leaving=spec.get("state") == "draining",
-        warmup_left_s=seconds(spec.get("warmupLeftMs", 0)),
+        warmup_left_s=parse_milliseconds(spec.get("warmupLeftMs", 0)),
         # The version of the server's software; the gateway's configuration has a field of the same name.
-        version=version(spec.get("configVersion", "")),
+        version=parse_version(spec.get("configVersion", "")),
     )
--- a/src/yokesill/platform/rollouts.py
+++ b/src/yokesill/platform/rollouts.py
@@ -12,7 +12,7 @@
 from yokesill.platform.store import MetadataStore, StoredItem, StoreView, item_of, timeline_of
 from yokesill.registry.feeds import Batch, Feed, RolloutRecords
 from yokesill.rollouts.orders import RevisionConflict, RolloutOrder, RolloutState
-from yokesill.serving.object_fields import ObjectError, number, take, text, version
+from yokesill.serving.object_fields import ObjectError, parse_number, parse_text, parse_version, read_field
 from yokesill.verdict import Failure, Reason, Verdict
 
 IN_PROGRESS = "in_progress"
@@ -70,10 +70,10 @@
     target, duration_s, problem, numeric_target = "", 0.0, "", False
     place = f"{ROLLOUTS_KIND}.{item.name}"
     try:
-        target = take(item.spec, "targetVersion", version, place)
+        target = read_field(item.spec, "targetVersion", parse_version, place)
         numeric_target = type(item.spec["targetVersion"]) is int
-        duration_s = take(item.spec, "durationS", _duration_s, place)
-        if take(item.spec, "service", text, place) != item.name:
+        duration_s = read_field(item.spec, "durationS", _duration_s, place)
+        if read_field(item.spec, "service", parse_text, place) != item.name:
             raise ObjectError(f"{place}.service: is {item.spec['service']!r}, the object's name is another")
     except ObjectError as error:
         problem = str(error)
@@ -108,7 +108,7 @@
 
 
 def _duration_s(value: Any) -> float:
-    duration_s = number(value)
+    duration_s = parse_number(value)
     if not duration_s > 0.0:
         raise ObjectError("a time above 0 is needed")
     if duration_s > MAX_DURATION_S:
--- a/src/yokesill/platform/settings.py
+++ b/src/yokesill/platform/settings.py
@@ -34,7 +34,7 @@
         rollout_datagrams=rollout_datagrams,
         peers=reader.optional_address("listenAddrs.control"),
         seeds=reader.addresses("seedNodes"),
-        regions=reader.texts("zones"),
+        regions=reader.text_table("zones"),
         budget=BudgetLimits(
             ratio=reader.number("bounds.retryBudgetRatio", 0.1),
             allowance=reader.number("bounds.retrySlack", 10.0),  # attempts in addition to the ratio
@@ -62,12 +62,12 @@
     bound_ms = reader.number("bounds.evacuateMs", 0.0)
     if bound_ms:
         return bound_ms / 1000
-    return DEFAULT_EVACUATION_BOUND_S if EVACUATION_CONTRACT in reader.words("contracts") else None
+    return DEFAULT_EVACUATION_BOUND_S if EVACUATION_CONTRACT in reader.text_list("contracts") else None
 
 
 def _rollout_limits(reader: SettingsReader) -> RolloutLimits | None:
     """Return the limits of roll-outs; ``None`` if the contracts have no roll-outs."""
-    if ROLLOUT_CONTRACT not in reader.words("contracts"):
+    if ROLLOUT_CONTRACT not in reader.text_list("contracts"):
         return None
     defaults = RolloutLimits()
     return RolloutLimits(
@@ -79,7 +79,7 @@
 
 def _own_addresses(reader: SettingsReader) -> tuple[Address | None, ...]:
     """Return three addresses for communication between nodes; ``None`` for each that is missing."""
-    ports = reader.ports("portRange")
+    ports = reader.port_range("portRange")
     host = reader.text("ip") if ports else ""
     addresses = tuple(Address(host, port) for port in ports[:3])
     return (*addresses, None, None, None)[:3]
