--- a/src/yokesill/admin/objects.py
+++ b/src/yokesill/admin/objects.py
@@ -8,7 +8,7 @@
 from starlette.responses import JSONResponse, Response
 
 from yokesill.admin.replies import outcome_reply
-from yokesill.frontend.http import JsonError, read_json, require
+from yokesill.frontend.http import JsonError, read_json, require_grant
 from yokesill.node import Node
 from yokesill.policy.compiler import validate_service
 from yokesill.resources.documents import Role, Service
@@ -44,7 +44,7 @@
     async def get(self, request: Request) -> Response:
         """Return a document and its revision, as this node has it in force."""
         key = self._key(request)
-        require(self._node.access, request, key.namespace, Role.VIEWER)
+        require_grant(self._node.access, request, key.namespace, Role.VIEWER)
         stored = self._node.replica.state.get(key.text)
         if stored is None or stored.deleted:
             raise JsonError(404, "unknown_object", f"there is no {key.kind} at {key.text}")
@@ -53,7 +53,7 @@
     async def history(self, request: Request) -> Response:
         """Return the revisions that the store keeps of a document."""
         key = self._key(request)
-        require(self._node.access, request, key.namespace, Role.VIEWER)
+        require_grant(self._node.access, request, key.namespace, Role.VIEWER)
         revisions = await self._node.store.history(key.text)
         if isinstance(revisions, Failure):
             raise JsonError(503, "store_unavailable", revisions.detail, headers={"Retry-After": "1"})
@@ -99,7 +99,7 @@
 
     def _authorise_change(self, request: Request, key: ObjectKey) -> None:
         role = Role.EDITOR if key.kind in EDITORS_KINDS else Role.ADMIN
-        require(self._node.access, request, key.namespace, role)
+        require_grant(self._node.access, request, key.namespace, role)
 
     def _base_revision(self, request: Request, key: ObjectKey) -> int:
         """Return the revision that the change is made from."""
--- a/src/yokesill/admin/status.py
+++ b/src/yokesill/admin/status.py
@@ -6,7 +6,7 @@
 from starlette.requests import Request
 from starlette.responses import JSONResponse, Response
 
-from yokesill.frontend.http import JsonError, require
+from yokesill.frontend.http import JsonError, require_grant
 from yokesill.node import Node
 from yokesill.replication.messages import STATUS, StatusReply, decode_status
 from yokesill.resources.documents import Role
@@ -50,7 +50,7 @@
 
     async def stop(self, request: Request) -> Response:
         """Begin a planned stop of this node."""
-        require(self._node.access, request, "*", Role.ADMIN)
+        require_grant(self._node.access, request, "*", Role.ADMIN)
         self._node.stop()
         return JSONResponse({"state": "stopping"}, 202)
 
--- a/src/yokesill/backends/connections.py
+++ b/src/yokesill/backends/connections.py
@@ -11,7 +11,7 @@
 from yokesill.backends.httptools_connection import HttptoolsConnection
 
 
-class ConnectionSet:
+class ConnectionPool:
     """Idle and busy connections to one server, at most ``maximum`` in all."""
 
     def __init__(self, origin: httpcore.Origin, maximum: int) -> None:
@@ -22,7 +22,7 @@
         self._idle: list[httpcore.AsyncConnectionInterface] = []
         self._busy = 0
 
-    async def take(self) -> httpcore.AsyncConnectionInterface | None:
+    async def acquire(self) -> httpcore.AsyncConnectionInterface | None:
         """Return a connection that is still open or new; ``None`` when all are busy."""
         while self._idle:
             connection = self._idle.pop()
@@ -37,7 +37,7 @@
         self.opened += 1
         return HttptoolsConnection(self.origin)
 
-    async def give_back(self, connection: httpcore.AsyncConnectionInterface) -> None:
+    async def release(self, connection: httpcore.AsyncConnectionInterface) -> None:
         """Return a connection whose reply was read to its end."""
         if connection.is_closed() or not connection.is_available():
             await self.drop(connection)
--- a/src/yokesill/backends/http_backend.py
+++ b/src/yokesill/backends/http_backend.py
@@ -6,7 +6,7 @@
 import httpcore
 
 from yokesill.backends.base import BackendClient
-from yokesill.backends.connections import ConnectionSet
+from yokesill.backends.connections import ConnectionPool
 from yokesill.backends.wire import (
     HEALTH_PATH,
     HTTP_OK,
@@ -40,7 +40,7 @@
 
     def __init__(self, connections_a_server: int) -> None:
         self._maximum = connections_a_server
-        self._sets: dict[str, ConnectionSet] = {}
+        self._sets: dict[str, ConnectionPool] = {}
         self._table = transition_table("attempt")
 
     @property
@@ -54,7 +54,7 @@
         Reading has no time-out of its own: the router cancels the attempt at the query's deadline.
         """
         connections = self._set_of(attempt.address)
-        connection = await connections.take()
+        connection = await connections.acquire()
         if connection is None:
             return self._failure(attempt, "connecting", Reason.CONNECT_FAILED, "all connections are busy")
         body = encode_attempt(attempt, attempt.deadline_at_s - anyio.current_time())
@@ -74,13 +74,13 @@
         if _breaks_trust(outcome):
             await connections.drop(connection)
         else:
-            await connections.give_back(connection)
+            await connections.release(connection)
         return outcome
 
     async def check(self, address: str) -> ServerReport | None:
         """See ``BackendClient.check``."""
         connections = self._set_of(address)
-        connection = await connections.take()
+        connection = await connections.acquire()
         if connection is None:
             return None
         try:
@@ -92,7 +92,7 @@
         except BaseException:
             await connections.drop(connection)
             raise
-        await connections.give_back(connection)
+        await connections.release(connection)
         return decode_health(content) if status == HTTP_OK else None
 
     async def forget(self, addresses: set[str]) -> None:
@@ -100,12 +100,12 @@
         for address in set(self._sets) - addresses:
             await self._sets.pop(address).aclose()
 
-    def _set_of(self, address: str) -> ConnectionSet:
+    def _set_of(self, address: str) -> ConnectionPool:
         connections = self._sets.get(address)
         if connections is None:
             host, port = split_address(address)
             origin = httpcore.Origin(b"http", host.encode(), port)
-            connections = self._sets[address] = ConnectionSet(origin, self._maximum)
+            connections = self._sets[address] = ConnectionPool(origin, self._maximum)
         return connections
 
     def _failure(self, attempt: Attempt, state: str, reason: Reason, detail: str) -> AttemptFailed:
@@ -122,7 +122,7 @@
 
 async def exchange(
     connection: httpcore.AsyncConnectionInterface,
-    connections: ConnectionSet,
+    connections: ConnectionPool,
     method: bytes,
     path: str,
     body: bytes,
--- a/src/yokesill/frontend/http.py
+++ b/src/yokesill/frontend/http.py
@@ -71,7 +71,7 @@
         raise JsonError(400, "malformed_json", f"the body is not JSON: {error}") from error
 
 
-def require(access: Access, request: Request, namespace: str, role: Role) -> Grant:
+def require_grant(access: Access, request: Request, namespace: str, role: Role) -> Grant:
     """Return the request's grant, or end it with 401 or 403."""
     grant = access.grant_of(request.headers.get("authorization"))
     if grant is None:
--- a/src/yokesill/frontend/queries.py
+++ b/src/yokesill/frontend/queries.py
@@ -8,7 +8,7 @@
 from starlette.requests import Request
 from starlette.responses import JSONResponse, Response
 
-from yokesill.frontend.http import JsonError, read_json, require
+from yokesill.frontend.http import JsonError, read_json, require_grant
 from yokesill.node import Node
 from yokesill.query.calls import QueryCall
 from yokesill.query.driver import FinalAnswer
@@ -55,7 +55,7 @@
     async def post(self, request: Request) -> Response:
         """Read, authorise, run and answer one query."""
         service = ServiceName(request.path_params["namespace"], request.path_params["service"])
-        require(self._node.access, request, service.namespace, Role.CALLER)
+        require_grant(self._node.access, request, service.namespace, Role.CALLER)
         call = await self._read_call(request, service)
         final = await self._run(request, call)
         if final is None:
