--- a/src/yokesill/backends/__init__.py
+++ b/src/yokesill/backends/__init__.py
@@ -1,1 +1,1 @@
-"""Back ends: connection sets, the wire to them, and which of them this node uses."""
+"""Back ends: connection pools, the wire format, health checks and subsetting."""
--- a/src/yokesill/backends/base.py
+++ b/src/yokesill/backends/base.py
@@ -1,4 +1,4 @@
-"""What the query driver needs of the way to back ends."""
+"""The interface through which the query driver reaches back ends."""
 
 import abc
 
@@ -7,7 +7,7 @@
 
 
 class BackendClient(abc.ABC):
-    """Sends attempts to servers and asks after their health."""
+    """Sends attempts and health checks to servers."""
 
     @abc.abstractmethod
     async def call(self, attempt: Attempt) -> AttemptAnswered | AttemptFailed:
@@ -15,7 +15,7 @@
 
     @abc.abstractmethod
     async def check(self, address: str) -> ServerReport | None:
-        """Ask a server what it holds and how it is; ``None`` when it does not answer in time."""
+        """Request a report of a server's holdings and load; ``None`` when it does not answer in time."""
 
-    async def forget(self, addresses: set[str]) -> None:  # noqa: B027 (most clients keep nothing)
-        """Close what is kept for servers other than ``addresses``."""
+    async def forget(self, addresses: set[str]) -> None:  # noqa: B027 (most clients keep no connections)
+        """Close the connections of servers other than ``addresses``."""
--- a/src/yokesill/backends/connections.py
+++ b/src/yokesill/backends/connections.py
@@ -1,8 +1,8 @@
-"""A server's set of connections, each with httpcore's interface over httptools.
+"""A pool of connections to one server, each with httpcore's interface over httptools.
 
-httpcore's pool looks at every connection for every request; here the last one used is taken
-first and the rest are not looked at. A connection whose request was cancelled or whose reply was
-not read to its end is closed, never used again.
+httpcore's pool inspects all connections for every request. This pool takes the most recently used one and
+doesn't inspect the others. A connection is closed and never reused when its request was cancelled or its
+reply was not read to the end.
 """
 
 import anyio
@@ -12,7 +12,7 @@
 
 
 class ConnectionPool:
-    """Idle and busy connections to one server, at most ``maximum`` in all."""
+    """Idle and busy connections to one server; at most ``maximum`` are busy at once."""
 
     def __init__(self, origin: httpcore.Origin, maximum: int) -> None:
         self.origin = origin
@@ -23,10 +23,10 @@
         self._busy = 0
 
     async def acquire(self) -> httpcore.AsyncConnectionInterface | None:
-        """Return a connection that is still open or new; ``None`` when all are busy."""
+        """Return an idle connection that is still open, or a new one; ``None`` when all are busy."""
         while self._idle:
             connection = self._idle.pop()
-            # The server may have closed it meanwhile: notice before anything is written.
+            # The server may have closed the idle connection: check this before anything is written.
             if not connection.has_expired() and not connection.is_closed():
                 self._busy += 1
                 return connection
@@ -38,7 +38,7 @@
         return HttptoolsConnection(self.origin)
 
     async def release(self, connection: httpcore.AsyncConnectionInterface) -> None:
-        """Return a connection whose reply was read to its end."""
+        """Return a connection to the pool after its reply was read to the end."""
         if connection.is_closed() or not connection.is_available():
             await self.drop(connection)
             return
@@ -46,7 +46,7 @@
         self._idle.append(connection)
 
     async def drop(self, connection: httpcore.AsyncConnectionInterface) -> None:
-        """Close a connection whose reply was not read to its end, also when the caller is cancelled."""
+        """Close a connection that can't be reused, even if the calling task is cancelled."""
         self._busy -= 1
         with anyio.CancelScope(shield=True):
             await connection.aclose()
--- a/src/yokesill/backends/health.py
+++ b/src/yokesill/backends/health.py
@@ -1,6 +1,7 @@
-"""Health checks of servers that this node has received nothing from lately.
+"""Health checks of servers without a recent reply to this node.
 
-Replies carry the same report, so servers in use are not checked. The router knows when each last replied.
+Replies to attempts carry the same report, so servers in use are not checked. The router records when each
+server last replied.
 """
 
 import anyio
@@ -10,14 +11,14 @@
 from yokesill.routing.events import ServerObserved
 from yokesill.routing.router import Router
 
-# How often it is looked for servers that are due: short against the interval of 5 s.
+# How often servers that are due are looked up; short compared to the check interval of 5 s.
 CHECK_TICK_S = 0.1
-# Bounds connections and memory when a node starts with thousands of servers.
-MAXIMUM_CHECKS_AT_ONCE = 16
+# Limits connections and memory when a node starts with thousands of servers.
+MAXIMUM_CONCURRENT_CHECKS = 16
 
 
 class HealthChecker:
-    """Checks servers that were silent for ``interval`` seconds; new ones at once."""
+    """Checks servers that have not replied for ``interval`` seconds, and new ones at once."""
 
     def __init__(self, router: Router, backends: BackendClient, driver: QueryDriver, interval: float) -> None:
         self._router = router
@@ -25,7 +26,7 @@
         self._driver = driver
         self._interval = interval
         self._asked_at: dict[str, float] = {}
-        self._limiter = anyio.Semaphore(MAXIMUM_CHECKS_AT_ONCE)
+        self._limiter = anyio.Semaphore(MAXIMUM_CONCURRENT_CHECKS)
 
     async def run(self) -> None:
         """Check until cancelled."""
@@ -38,12 +39,12 @@
                 await anyio.sleep(CHECK_TICK_S)
 
     def _due(self, now: float) -> list[str]:
-        """Return the servers to ask: never heard of ones are asked ten times as often."""
+        """Return the servers to check; those without a report or holdings are checked ten times as often."""
         due = []
         for server in self._router.servers.all():
-            known = server.holdings and server.heard_at_s > float("-inf")
+            known = server.holdings and server.reported_at_s > float("-inf")
             interval = self._interval if known else self._interval / 10
-            last = max(server.heard_at_s, self._asked_at.get(server.address, float("-inf")))
+            last = max(server.reported_at_s, self._asked_at.get(server.address, float("-inf")))
             if now - last >= interval:
                 due.append(server.address)
         return due
--- a/src/yokesill/backends/http_backend.py
+++ b/src/yokesill/backends/http_backend.py
@@ -1,4 +1,4 @@
-"""The way to back ends over HTTP/1.1."""
+"""The client that reaches back ends over HTTP/1.1."""
 
 from collections.abc import Sequence
 
@@ -22,9 +22,9 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 TIMEOUTS = {"timeout": {"connect": 1.0}}
-# A server that takes longer to say how it is counts as failing.
+# A server that takes longer to answer a health check counts as failing.
 HEALTH_TIMEOUT_S = 1.0
-# A longer reply is malformed; bounds the memory of a reply.
+# Limits the memory of a reply; a longer one is an error.
 MAXIMUM_BODY_BYTES = 16 * 1024 * 1024
 VERDICT_OF_STATE = {
     "never_sent": Verdict.NOT_RUN,
@@ -36,24 +36,24 @@
 
 
 class HttpBackendClient(BackendClient):
-    """Sends attempts over per-server connection sets."""
+    """Sends attempts over a connection pool for each server."""
 
     def __init__(self, connections_a_server: int) -> None:
         self._maximum = connections_a_server
-        self._sets: dict[str, ConnectionPool] = {}
+        self._pools: dict[str, ConnectionPool] = {}
         self._table = transition_table("attempt")
 
     @property
     def connections_opened(self) -> int:
-        """How many connections were opened so far."""
-        return sum(each.opened for each in self._sets.values())
+        """The number of connections opened so far."""
+        return sum(each.opened for each in self._pools.values())
 
     async def call(self, attempt: Attempt) -> AttemptAnswered | AttemptFailed:
         """See ``BackendClient.call``.
 
-        Reading has no time-out of its own: the router cancels the attempt at the query's deadline.
+        Reading has no timeout of its own: the router cancels the attempt at the query's deadline.
         """
-        connections = self._set_of(attempt.address)
+        connections = self._pool_of(attempt.address)
         connection = await connections.acquire()
         if connection is None:
             return self._failure(attempt, "connecting", Reason.CONNECT_FAILED, "all connections are busy")
@@ -68,10 +68,10 @@
             await connections.drop(connection)
             return self._failure(attempt, "sent", Reason.CONNECTION_LOST, repr(error))
         except BaseException:
-            # Cancelled: a reply that comes late has no connection left to come on.
+            # Cancelled: with its connection closed, a late reply can't be received.
             await connections.drop(connection)
             raise
-        if _breaks_trust(outcome):
+        if _out_of_sync(outcome):
             await connections.drop(connection)
         else:
             await connections.release(connection)
@@ -79,7 +79,7 @@
 
     async def check(self, address: str) -> ServerReport | None:
         """See ``BackendClient.check``."""
-        connections = self._set_of(address)
+        connections = self._pool_of(address)
         connection = await connections.acquire()
         if connection is None:
             return None
@@ -97,15 +97,15 @@
 
     async def forget(self, addresses: set[str]) -> None:
         """See ``BackendClient.forget``."""
-        for address in set(self._sets) - addresses:
-            await self._sets.pop(address).aclose()
+        for address in set(self._pools) - addresses:
+            await self._pools.pop(address).aclose()
 
-    def _set_of(self, address: str) -> ConnectionPool:
-        connections = self._sets.get(address)
+    def _pool_of(self, address: str) -> ConnectionPool:
+        connections = self._pools.get(address)
         if connections is None:
             host, port = split_address(address)
             origin = httpcore.Origin(b"http", host.encode(), port)
-            connections = self._sets[address] = ConnectionPool(origin, self._maximum)
+            connections = self._pools[address] = ConnectionPool(origin, self._maximum)
         return connections
 
     def _failure(self, attempt: Attempt, state: str, reason: Reason, detail: str) -> AttemptFailed:
@@ -113,8 +113,8 @@
         return AttemptFailed(attempt.attempt_id, Failure(reason, verdict, detail))
 
 
-def _breaks_trust(outcome: AttemptAnswered | AttemptFailed) -> bool:
-    """Whether a reply shows that requests and replies on its connection may be out of step."""
+def _out_of_sync(outcome: AttemptAnswered | AttemptFailed) -> bool:
+    """Whether the requests and replies on the connection may be out of sync."""
     if isinstance(outcome, AttemptAnswered):
         return False
     return outcome.failure.reason in (Reason.FOREIGN_REPLY, Reason.MALFORMED_REPLY)
@@ -128,7 +128,7 @@
     body: bytes,
     more_headers: Sequence[tuple[bytes, bytes]] = (),
 ) -> tuple[int, bytes]:
-    """Send one request and read its reply to the end; only connecting is bounded in time."""
+    """Send one request and read its reply to the end; only connecting has a timeout."""
     origin = connections.origin
     headers = [connections.host_header, (b"Content-Length", str(len(body)).encode()), *more_headers]
     url = httpcore.URL(scheme=b"http", host=origin.host, port=origin.port, target=path.encode())
--- a/src/yokesill/backends/httptools_connection.py
+++ b/src/yokesill/backends/httptools_connection.py
@@ -1,8 +1,7 @@
-"""An HTTP/1.1 connection over httptools, uvicorn's parser: httpcore's interface at a fraction of h11's cost.
+"""An HTTP/1.1 connection with httpcore's interface over httptools, at a fraction of the cost of h11.
 
-A small adapter between two libraries; it parses nothing itself. It is stricter than h11 where that
-is safe: a reply must say where it ends (a length or chunks), and whatever follows a reply closes the
-connection.
+httptools is the parser of uvicorn; this adapter parses nothing itself. It is stricter than h11 where that is
+safe: a reply must be framed (by a length or chunks), and data after a reply closes the connection.
 """
 
 import contextlib
@@ -21,7 +20,7 @@
 
 
 class _Body:
-    """A body that was read already."""
+    """The stream of a reply body that was already read."""
 
     def __init__(self, content: bytes) -> None:
         self._content = content
@@ -30,11 +29,11 @@
         yield self._content
 
     async def aclose(self) -> None:
-        """Nothing is left open."""
+        """Do nothing: the stream holds no resource."""
 
 
 class HttptoolsConnection(httpcore.AsyncConnectionInterface):
-    """One connection to one origin; connects on first use, one request at a time."""
+    """A connection to one origin; connects on first use and carries one request at a time."""
 
     def __init__(self, origin: httpcore.Origin) -> None:
         self._origin = origin
@@ -75,7 +74,7 @@
 
     async def _write(self, stream: anyio.abc.SocketStream, data: bytes, timeout: float | None) -> None:
         try:
-            with _bound(timeout):
+            with _timeout_scope(timeout):
                 await stream.send(data)
         except TimeoutError as error:
             raise httpcore.WriteTimeout(str(error)) from error
@@ -85,7 +84,7 @@
     async def _read(self, stream: anyio.abc.SocketStream, timeout: float | None) -> httpcore.Response:
         reader = HttpReplyReader()
         try:
-            with _bound(timeout):
+            with _timeout_scope(timeout):
                 while not reader.complete:
                     reader.feed(await stream.receive(READ_BYTES))
         except TimeoutError as error:
@@ -108,7 +107,7 @@
             await anyio.aclose_forcefully(self._stream)
 
     def info(self) -> str:
-        """Return a short description."""
+        """Return a short description of the connection and its state."""
         state = "closed" if self._closed else "busy" if self._busy else "idle"
         return f"{self._origin.host.decode()}:{self._origin.port}, httptools, {state}"
 
@@ -117,29 +116,29 @@
         return bool(origin == self._origin)
 
     def is_available(self) -> bool:
-        """Whether it can take a request now."""
+        """Whether the connection can take a request now."""
         return not self._busy and not self._closed
 
     def has_expired(self) -> bool:
-        """Whether the server has closed it, or sent what nobody asked for, while it was idle."""
+        """Whether the server closed the connection, or sent unsolicited data, while it was idle."""
         return self._poll is not None and bool(self._poll.poll(0))
 
     def is_idle(self) -> bool:
-        """Whether no request is under way."""
+        """Whether no request is in progress."""
         return not self._busy
 
     def is_closed(self) -> bool:
-        """Whether it is closed or must not be used again."""
+        """Whether the connection is closed or must not be used again."""
         return self._closed
 
 
-def _bound(timeout: float | None) -> contextlib.AbstractContextManager[Any]:
-    """Bound a step in time; a scope costs as much as a parse, so there is none without a bound."""
+def _timeout_scope(timeout: float | None) -> contextlib.AbstractContextManager[Any]:
+    """Return a scope with ``timeout``; without one, no cancel scope, which costs as much as parsing."""
     return contextlib.nullcontext() if timeout is None else anyio.fail_after(timeout)
 
 
 async def _encode(request: httpcore.Request) -> bytes:
-    """Return a request's bytes; names and values come from this package, never from callers."""
+    """Return the bytes of a request; header names and values never come from callers."""
     lines = [request.method + b" " + request.url.target + b" HTTP/1.1"]
     lines.extend(name + b": " + value for name, value in request.headers)
     stream: Any = request.stream
--- a/src/yokesill/backends/subsetting.py
+++ b/src/yokesill/backends/subsetting.py
@@ -1,9 +1,9 @@
-"""Deterministic subsetting: which replicas of a shard this node holds connections to.
+"""Deterministic subsetting: chooses the replicas of a shard to which this node holds connections.
 
-With few nodes every node uses every replica. As soon as the nodes would take more than half of a
-server's connections, each node uses ``size`` replicas of each shard: rendezvous hashing with a
-bounded load. Every node computes the same assignment from the same members, each server gets a
-near-equal number of nodes, and when a node comes or goes few others move.
+With few nodes, every node uses every replica. Once the nodes would take more than half of a server's
+connections, each node uses ``size`` replicas of each shard, chosen by rendezvous hashing with bounded load.
+All nodes compute the same assignment from the same members, each server gets a nearly equal number of nodes,
+and few assignments change when a node joins or leaves.
 """
 
 from dataclasses import dataclass, replace
@@ -24,9 +24,9 @@
 
 
 def assign(nodes: list[str], servers: list[str], size: int) -> dict[str, tuple[str, ...]]:
-    """Assign ``size`` of ``servers`` to each of ``nodes``, none to more than the bound's share.
+    """Assign ``size`` of ``servers`` to each of ``nodes``, with a bounded number of nodes for each server.
 
-    The result depends on the names alone, not on their order.
+    The result depends only on the names, not on their order.
     """
     if not nodes or not servers:
         return {node: () for node in nodes}
@@ -36,7 +36,7 @@
     preference = np.argsort(_weights(nodes, servers), axis=1)
     load = [0] * len(servers)
     chosen: dict[str, tuple[str, ...]] = {}
-    # Nodes choose in the order of their hashes, which does not depend on who else is there.
+    # Nodes choose in the order of their hashes, which doesn't depend on the other nodes.
     for row in sorted(range(len(nodes)), key=lambda index: _hash(nodes[index])):
         picks: list[int] = []
         for column in preference[row].tolist():
@@ -46,7 +46,7 @@
                 if len(picks) == size:
                     break
         while len(picks) < size:
-            # The last nodes may find too few servers below the bound: a full subset goes first.
+            # The last nodes may find too few servers below the bound; a full subset matters more.
             picks.append(_least_loaded(load, preference[row].tolist(), picks))
             load[picks[-1]] += 1
         chosen[nodes[row]] = tuple(servers[column] for column in picks)
@@ -58,7 +58,7 @@
 
 
 def _weights(nodes: list[str], servers: list[str]) -> npt.NDArray[np.uint64]:
-    """Return a rendezvous weight for each pair, mixed from the names' hashes (splitmix64's finish)."""
+    """Return a rendezvous weight for each pair: the name hashes, mixed with the splitmix64 finalizer."""
     node_hashes = np.array([_hash(each) for each in nodes], dtype=np.uint64)
     server_hashes = np.array([_hash(each) for each in servers], dtype=np.uint64)
     mixed = node_hashes[:, None] ^ server_hashes[None, :]
@@ -79,7 +79,7 @@
 
 
 class SubsetPlanner:
-    """Keeps this node's choice for each replica set, planned again when members come or go."""
+    """Keeps this node's choice for each replica set and updates it when members join or leave."""
 
     def __init__(self, table: MemberTable) -> None:
         self._table = table
@@ -96,7 +96,7 @@
         return chosen
 
     async def replan(self, state: ReplicatedState) -> bool:
-        """Follow the members, a shard at a time; return whether any choice may have changed."""
+        """Update the choices to the current members, one shard at a time; return whether any changed."""
         nodes = self._members()
         if nodes == self._nodes:
             return False
@@ -107,19 +107,19 @@
             if stored is None or stored.deleted:
                 continue
             self._chosen[key] = replace(choice, chosen=self._plan(choice.replicas, choice.size))
-            # Planning a shard takes milliseconds: let requests pass in between.
+            # Planning a shard takes milliseconds, so other tasks run in between.
             await anyio.lowlevel.checkpoint()
         return any(self._chosen.get(key) != entry for key, entry in before.items())
 
     def _plan(self, replicas: tuple[Replica, ...], size: int) -> tuple[Replica, ...]:
-        if not self._needed(replicas):
+        if not self._subsetting_needed(replicas):
             return replicas
         own = self._table.own
         assigned = assign(self._nodes, [each.address for each in replicas], size)
         addresses = assigned.get(own.address, ())
         return tuple(each for each in replicas if each.address in addresses)
 
-    def _needed(self, replicas: tuple[Replica, ...]) -> bool:
+    def _subsetting_needed(self, replicas: tuple[Replica, ...]) -> bool:
         share = min((each.connections for each in replicas), default=0) * CONNECTION_SHARE
         return len(self._nodes) > share
 
--- a/src/yokesill/backends/wire.py
+++ b/src/yokesill/backends/wire.py
@@ -1,8 +1,8 @@
-"""The back ends' wire: JSON mapped to typed messages. Another wire is this file's work.
+"""The wire format of back ends: JSON, mapped to typed messages. Another format only changes this module.
 
-``POST /query`` takes an attempt. 200 is a partial answer; 409 says that the snapshot is not held
-and 503 that the server sheds or leaves: in both the request has not run. Every reply names the
-server's incarnation, what it holds, its load and whether it is leaving.
+``POST /query`` takes an attempt. Status 200 is a partial answer, 409 says that the server doesn't hold the
+snapshot, and 503 that it sheds the request or is leaving; with 409 and 503 the request has not run. Every
+reply contains the server's incarnation, its holdings, its load and whether it is leaving.
 """
 
 import json
@@ -27,7 +27,7 @@
 
 
 def encode_attempt(attempt: Attempt, remaining: float) -> bytes:
-    """Return the body of an attempt's request; ``remaining`` seconds are left to its deadline."""
+    """Return the request body of an attempt; ``remaining`` is the time to its deadline in seconds."""
     return json.dumps(
         {
             "attempt_id": attempt.attempt_id,
@@ -45,7 +45,7 @@
 
 
 def decode_reply(attempt: Attempt, status: int, body: bytes) -> AttemptAnswered | AttemptFailed:
-    """Read a reply to ``attempt``; anything unexpected is a failure that may have run."""
+    """Decode a reply to ``attempt``; an unexpected reply is a failure that may have run."""
     try:
         reply = json.loads(body)
         report = _report(reply)
@@ -59,7 +59,7 @@
 
 
 def decode_health(body: bytes) -> ServerReport | None:
-    """Read a health reply; ``None`` when it is malformed."""
+    """Decode the reply to a health check; ``None`` when it is malformed."""
     try:
         return _report(json.loads(body))
     except (ValueError, KeyError, TypeError):
--- a/src/yokesill/frontend/__init__.py
+++ b/src/yokesill/frontend/__init__.py
@@ -1,1 +1,1 @@
-"""The callers' HTTP API, and the server that carries all of a node's HTTP."""
+"""The HTTP API for callers, and the HTTP server of a node."""
--- a/src/yokesill/frontend/app.py
+++ b/src/yokesill/frontend/app.py
@@ -1,4 +1,4 @@
-"""All of a node's HTTP in one application: callers, operators, peers, probes and metrics."""
+"""The HTTP application of a node: callers, operators, peers, probes and metrics."""
 
 from starlette.applications import Starlette
 from starlette.requests import Request
@@ -45,34 +45,34 @@
 
 
 class ProbeController:
-    """Health, readiness and metrics, without a token."""
+    """Health, readiness and metrics; no token is needed."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def healthy(self, _request: Request) -> Response:
-        """The process answers."""
+        """Answer the liveness probe."""
         return PlainTextResponse("ok\n")
 
     async def ready(self, _request: Request) -> Response:
-        """Whether callers should be sent here."""
+        """Answer the readiness probe: 200 if the node accepts queries, else 503."""
         ready = self._node.ready
         return PlainTextResponse(f"{self._node.lifecycle.state}\n", 200 if ready else 503)
 
     async def metrics(self, _request: Request) -> Response:
-        """The node's figures."""
+        """Return the node's metrics."""
         update_gauges(self._node)
         return Response(self._node.metrics.render(), media_type="text/plain; version=0.0.4")
 
 
 class PeerController:
-    """Requests of other nodes: sealed frames in and out."""
+    """Requests of other nodes, in sealed frames."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def post(self, request: Request) -> Response:
-        """Hand a frame to the transport and return its answer."""
+        """Pass a frame to the transport and return its answer."""
         body = await read_body(request, MAXIMUM_BODY_BYTES)
         answer = await self._node.transport.requested(request.path_params["kind"], body)
         if isinstance(answer, bytes):
--- a/src/yokesill/frontend/figures.py
+++ b/src/yokesill/frontend/figures.py
@@ -1,10 +1,10 @@
-"""Brings a node's gauges up to date for ``/metrics``."""
+"""Updates the gauges of a node for ``/metrics``."""
 
 from yokesill.node import Node
 
 
 def update_gauges(node: Node) -> None:
-    """Set every gauge from the node's parts."""
+    """Set every gauge from the state of the node."""
     gauge = node.metrics.gauge
     services = node.router.services()
     gauge("yokesill_members_serving", "Members that take part", len(node.table.serving()))
--- a/src/yokesill/frontend/http.py
+++ b/src/yokesill/frontend/http.py
@@ -1,4 +1,4 @@
-"""What the HTTP controllers share: reading bodies within bounds, and error replies."""
+"""Helpers of the HTTP controllers: bounded reading of bodies, authorisation and error replies."""
 
 import json
 from typing import Any
@@ -31,7 +31,7 @@
         self.headers = headers
 
     def reply(self) -> JSONResponse:
-        """Return the reply; what failed before anything was done has not run."""
+        """Return the error reply; its verdict is "not run", since nothing was done before the error."""
         body: dict[str, Any] = {
             "verdict": Verdict.NOT_RUN.label,
             "reason": self.reason,
@@ -72,7 +72,7 @@
 
 
 def require_grant(access: Access, request: Request, namespace: str, role: Role) -> Grant:
-    """Return the request's grant, or end it with 401 or 403."""
+    """Return the grant of the request's token; raise a ``JsonError`` with 401 or 403 if it lacks ``role``."""
     grant = access.grant_of(request.headers.get("authorization"))
     if grant is None:
         headers = {"WWW-Authenticate": "Bearer"}
--- a/src/yokesill/frontend/queries.py
+++ b/src/yokesill/frontend/queries.py
@@ -1,4 +1,4 @@
-"""The queries resource: ``POST /v1/namespaces/{ns}/services/{svc}/query``."""
+"""The query resource: ``POST /v1/namespaces/{ns}/services/{svc}/query``."""
 
 import math
 from typing import Any
@@ -19,7 +19,7 @@
 from yokesill.routing.messages import Coverage
 from yokesill.verdict import Reason, Verdict
 
-IDEMPOTENCY_KEY_LENGTH = 200
+MAXIMUM_IDEMPOTENCY_KEY_LENGTH = 200
 STATUS_OF_REASON = {
     Reason.UNKNOWN_SERVICE: 404,
     Reason.UNKNOWN_CLASS: 404,
@@ -30,11 +30,11 @@
     Reason.DEADLINE_EXCEEDED: 504,
     Reason.TIMED_OUT: 504,
 }
-OTHER_STATUS = 503
+DEFAULT_STATUS = 503
 
 
 class QueryBody(BaseModel):
-    """A query's body."""
+    """The JSON body of a query request."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -53,7 +53,7 @@
         self._node = node
 
     async def post(self, request: Request) -> Response:
-        """Read, authorise, run and answer one query."""
+        """Authorise, read, run and answer one query."""
         service = ServiceName(request.path_params["namespace"], request.path_params["service"])
         require_grant(self._node.access, request, service.namespace, Role.CALLER)
         call = await self._read_call(request, service)
@@ -77,8 +77,8 @@
             ]
             raise JsonError(400, "invalid_request", "the body has errors", errors) from error
         idempotency_key = request.headers.get("idempotency-key")
-        if idempotency_key is not None and not 0 < len(idempotency_key) <= IDEMPOTENCY_KEY_LENGTH:
-            detail = f"Idempotency-Key must have 1 to {IDEMPOTENCY_KEY_LENGTH} characters"
+        if idempotency_key is not None and not 0 < len(idempotency_key) <= MAXIMUM_IDEMPOTENCY_KEY_LENGTH:
+            detail = f"Idempotency-Key must have 1 to {MAXIMUM_IDEMPOTENCY_KEY_LENGTH} characters"
             raise JsonError(400, "invalid_request", detail)
         return QueryCall(
             service=service,
@@ -93,7 +93,7 @@
         )
 
     async def _run(self, request: Request, call: QueryCall) -> FinalAnswer | None:
-        """Run the query; ``None`` when the caller left, which cancels it."""
+        """Run the query; cancel it and return ``None`` when the caller disconnects."""
         final: FinalAnswer | None = None
 
         async def watch_caller() -> None:
@@ -109,7 +109,7 @@
 
 
 def answer_response(answer: Answer) -> JSONResponse:
-    """Return the reply that carries an answer."""
+    """Return the HTTP response of an answer."""
     return JSONResponse(
         {
             "request_id": answer.query_id,
@@ -122,7 +122,7 @@
 
 
 def refusal_response(refuse: Refuse) -> JSONResponse:
-    """Return the reply that carries a refusal, with when to come back."""
+    """Return the HTTP response of a refusal, with its Retry-After."""
     failure = refuse.failure
     body: dict[str, Any] = {
         "request_id": refuse.query_id,
@@ -133,7 +133,7 @@
     }
     if refuse.coverage is not None:
         body["coverage"] = _coverage(refuse.coverage)
-    status = STATUS_OF_REASON.get(failure.reason, OTHER_STATUS)
+    status = STATUS_OF_REASON.get(failure.reason, DEFAULT_STATUS)
     headers = {"Retry-After": str(math.ceil(failure.retry_after_ms / 1000))}
     return JSONResponse(body, status, headers)
 
--- a/src/yokesill/frontend/server.py
+++ b/src/yokesill/frontend/server.py
@@ -1,4 +1,4 @@
-"""Serves an application by uvicorn within the caller's event loop, without its signal handling."""
+"""Serves an application with uvicorn in the running event loop, without uvicorn's signal handling."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 import uvicorn
 
 POLL_S = 0.01
-# The same for every listener of the package: one event loop, no logs but our own, no headers nobody reads.
+# Options of every listener of this package: asyncio's event loop, no uvicorn logs, no unneeded headers.
 UVICORN_OPTIONS: dict[str, Any] = {
     "loop": "asyncio",
     "ws": "none",
@@ -23,18 +23,18 @@
 
 
 class EmbeddedServer(uvicorn.Server):
-    """A uvicorn server that leaves signals to the process's own handling."""
+    """A uvicorn server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Capture nothing."""
+        """Do nothing: the process handles its signals itself."""
         yield
 
     async def close_listener(self) -> None:
-        """Take no new connections; those that are open, or wait to be accepted, go on.
+        """Stop listening; open connections and those waiting to be accepted are still served.
 
-        Closing a listening socket resets what waits in its queue, so a duplicate outlives the
-        close, and whatever had connected by then is accepted from it and served.
+        Closing a listening socket resets the connections in its accept queue. So a duplicate of the socket
+        outlives the close, and the waiting connections are accepted from it and served.
         """
         duplicates = [each.dup() for server in self.servers for each in server.sockets]
         for server in self.servers:
@@ -44,7 +44,7 @@
                 await asyncio.get_running_loop().connect_accepted_socket(self._protocol, connection)
 
     def _protocol(self) -> asyncio.Protocol:
-        """Return a protocol as uvicorn makes it for a connection of its own."""
+        """Return a protocol instance, created as uvicorn does for its own connections."""
         protocol_class: Any = self.config.http_protocol_class
         protocol: asyncio.Protocol = protocol_class(
             config=self.config, server_state=self.server_state, app_state={}
@@ -52,10 +52,10 @@
         return protocol
 
     async def finish_connections(self, grace: float) -> None:
-        """Let each open connection have its last request answered; idle ones get ``grace`` seconds.
+        """Wait up to ``grace`` seconds for connections to close, then until running requests are answered.
 
-        A caller may have connected, or sent its request, just before the listener closed. Closing
-        its connection at once would cut that request off.
+        A caller may have connected, or sent its request, just before the listener closed. Closing its
+        connection at once would abort that request.
         """
         with anyio.move_on_after(grace):
             while self.server_state.connections:
@@ -65,7 +65,7 @@
 
 
 def _accept_waiting(listener: socket.socket) -> list[socket.socket]:
-    """Accept all that wait on ``listener`` and close it right after the last one."""
+    """Accept all waiting connections of ``listener``, then close it."""
     listener.setblocking(False)
     accepted = []
     with listener:
@@ -80,7 +80,7 @@
 
 
 def create_server(app: Any, host: str, port: int) -> EmbeddedServer:
-    """Return a server for ``app``; run it with ``serve()``, stop it with ``should_exit``."""
+    """Return a server for ``app``; ``serve()`` runs it and ``should_exit`` stops it."""
     config = uvicorn.Config(
         app,
         host=host,
--- a/src/yokesill/policy/compiler.py
+++ b/src/yokesill/policy/compiler.py
@@ -1,7 +1,7 @@
-"""Compiles a class's rules to CEL programs and evaluates them.
+"""Compiles the rules of a request class to CEL programs and evaluates them.
 
-Validation reports every error at once, each with its place: syntax, unknown names, conditions
-that are not true or false, rules that can never answer, and classes in which no rule may answer.
+Validation reports all errors at once, each with its place: syntax errors, unknown names, conditions that
+don't evaluate to a boolean, unreachable rules, and classes whose last rule doesn't always answer.
 """
 
 import itertools
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledRule:
-    """A rule with its program; ``program`` is ``None`` for a rule that always answers."""
+    """A rule with its compiled condition; ``program`` is ``None`` for a rule that always answers."""
 
     program: cel.Program | None
     outcome: Outcome
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Decision:
-    """What a policy said, and by which rule (``None`` when none answered)."""
+    """The outcome of a policy and the index of the rule that gave it (``None`` when no rule matched)."""
 
     outcome: Outcome
     rule_index: int | None
@@ -57,7 +57,7 @@
 
 
 def compile_class(request_class: RequestClass) -> CompiledPolicy:
-    """Compile a class that ``validate_service`` has passed."""
+    """Compile a class that has passed ``validate_service``."""
     rules = tuple(CompiledRule(_program(rule.when), rule.then) for rule in request_class.rules)
     return CompiledPolicy(request_class.priority, rules)
 
--- a/src/yokesill/policy/facts.py
+++ b/src/yokesill/policy/facts.py
@@ -1,4 +1,4 @@
-"""The facts that a policy's conditions may use."""
+"""The variables that the conditions of a policy may use."""
 
 import enum
 from dataclasses import asdict, dataclass
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Facts:
-    """Request facts and live facts.
+    """Properties of the request and live values.
 
-    ``request_class``, ``namespace``, ``keyed`` (whether one shard is asked), ``size`` (bytes of
-    the query), ``deadline_ms``, ``priority`` and ``repeatable`` are the request's own.
-    ``queue_delay_ms``, ``shed_rate`` (share of recent attempts that back ends shed),
-    ``covered`` (fraction), ``elapsed_ms`` and ``stage`` change while it is served.
+    ``request_class``, ``namespace``, ``keyed`` (whether the query goes to one shard only), ``size`` (bytes of
+    the query), ``deadline_ms``, ``priority`` and ``repeatable`` are properties of the request.
+    ``queue_delay_ms``, ``shed_rate`` (share of recent attempts that back ends shed), ``covered`` (fraction),
+    ``elapsed_ms`` and ``stage`` change while it is served.
     """
 
     request_class: str = "default"
--- a/src/yokesill/query/__init__.py
+++ b/src/yokesill/query/__init__.py
@@ -1,1 +1,1 @@
-"""Drives ``routing`` over real I/O: attempts, timers, answers, idempotent repeats."""
+"""Runs queries: carries out the actions of ``routing`` and handles idempotency keys."""
--- a/src/yokesill/query/calls.py
+++ b/src/yokesill/query/calls.py
@@ -1,4 +1,4 @@
-"""A caller's request and its final answer, as messages between nodes (CBOR; forms pinned by tests/forms)."""
+"""Messages between nodes for a caller's request and its final answer, in CBOR (pinned by tests/forms)."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryCall:
-    """A caller's request; ``deadline_ms`` counts from its arrival."""
+    """A caller's request; ``deadline_ms`` is relative to its arrival."""
 
     service: ServiceName
     request_class: str
@@ -27,12 +27,12 @@
     idempotency_key: str | None = None
 
     def fingerprint(self) -> bytes:
-        """Return what must be equal in a repeat under the same idempotency key."""
+        """Return the bytes that must be equal in a repeat with the same idempotency key."""
         return cbor2.dumps([str(self.service), self.request_class, self.payload, self.key, self.repeatable])
 
 
 def decode_message(data: bytes) -> Any:
-    """Decode what a peer sent; raises ``ValueError`` when it is no CBOR."""
+    """Decode a message of a peer; raises ``ValueError`` when it is not valid CBOR."""
     try:
         return cbor2.loads(data)
     except (cbor2.CBORDecodeError, RecursionError) as error:
@@ -40,7 +40,7 @@
 
 
 def encode_call(call: QueryCall) -> bytes:
-    """Return the call's bytes."""
+    """Encode a call."""
     return cbor2.dumps(
         [
             call.service.namespace,
@@ -58,13 +58,13 @@
 
 
 def decode_call(data: bytes) -> QueryCall:
-    """Read a call; raises ``ValueError`` or ``TypeError`` when it is malformed."""
+    """Decode a call; raises ``ValueError`` or ``TypeError`` when it is malformed."""
     namespace, service, *rest = decode_message(data)
     return QueryCall(ServiceName(namespace, service), *rest)
 
 
 def encode_final(final: Answer | Refuse) -> bytes:
-    """Return a final answer's bytes."""
+    """Encode a final answer."""
     coverage = _coverage_to_wire(final.coverage)
     if isinstance(final, Answer):
         snapshot = [final.snapshot.epoch, final.snapshot.version]
@@ -75,7 +75,7 @@
 
 
 def decode_final(data: bytes) -> Answer | Refuse:
-    """Read a final answer; raises ``ValueError`` or ``TypeError`` when it is malformed."""
+    """Decode a final answer; raises ``ValueError`` or ``TypeError`` when it is malformed."""
     tag, query_id, *rest = decode_message(data)
     if tag == "a":
         snapshot, coverage, results = rest
--- a/src/yokesill/query/driver.py
+++ b/src/yokesill/query/driver.py
@@ -1,6 +1,6 @@
-"""Feeds the router of ``yokesill serve`` and carries its actions out: attempts, timers, final answers.
+"""Feeds events to the router of ``yokesill serve`` and carries out its actions.
 
-Each attempt is a task with a cancel scope; the caller of ``execute`` waits for the query's final answer.
+Each attempt is a task with a cancel scope. The caller of ``execute`` waits for the final answer of its query.
 """
 
 from collections.abc import Callable
@@ -35,7 +35,7 @@
         self._announce_leaving = announce_leaving
         self._timers = Timers(self.feed, self._supervisor)
         self._scopes: dict[str, anyio.CancelScope] = {}
-        self._waiting: dict[str, anyio.Event] = {}
+        self._done_events: dict[str, anyio.Event] = {}
         self._finals: dict[str, FinalAnswer] = {}
         self._task_group: anyio.abc.TaskGroup | None = None
 
@@ -45,9 +45,9 @@
             self._task_group.start_soon(self._timers.run)
 
     async def execute(self, query: QueryRequest) -> FinalAnswer:
-        """Run a query to its final answer; cancelling the call tells the router that the caller left."""
+        """Run a query to its final answer; when cancelled, report to the router that the caller left."""
         done = anyio.Event()
-        self._waiting[query.query_id] = done
+        self._done_events[query.query_id] = done
         try:
             self.feed(ev.QueryArrived(query))
             await done.wait()
@@ -56,11 +56,11 @@
             self.feed(ev.CallerLeft(query.query_id))
             raise
         finally:
-            self._waiting.pop(query.query_id, None)
+            self._done_events.pop(query.query_id, None)
             self._finals.pop(query.query_id, None)
 
     def feed(self, event: ev.Event) -> None:
-        """Give the router one event and carry out what it says."""
+        """Pass one event to the router and carry out the actions it returns."""
         for action in self._router.on_event(event, anyio.current_time()):
             self._act(action)
 
@@ -80,14 +80,14 @@
                 self._announce_leaving(action)
 
     def _finish(self, query_id: str, final: FinalAnswer) -> None:
-        done = self._waiting.get(query_id)
+        done = self._done_events.get(query_id)
         if done is not None:
             self._finals[query_id] = final
             done.set()
 
     def _start_attempt(self, attempt: Attempt) -> None:
         if self._task_group is None:
-            raise RuntimeError("the driver does not run")
+            raise RuntimeError("the query driver is not running")
         scope = anyio.CancelScope()
         self._scopes[attempt.attempt_id] = scope
         self._task_group.start_soon(self._run_attempt, attempt, scope)
@@ -99,7 +99,7 @@
             self._supervisor.call("attempts", self.feed, outcome)
 
     async def _outcome(self, attempt: Attempt) -> ev.AttemptAnswered | ev.AttemptFailed:
-        """Return how an attempt ended; a bug on its way fails it, and no other one."""
+        """Return the outcome of an attempt; an unexpected exception fails only this attempt."""
         try:
             return await self._backends.call(attempt)
         except Exception as error:
--- a/src/yokesill/query/idempotency.py
+++ b/src/yokesill/query/idempotency.py
@@ -1,9 +1,9 @@
 """Records of requests with an idempotency key, kept in memory by two nodes.
 
-The first two members by rendezvous rank of a key keep its record: the owner, which runs the request, and the
-backup, where the owner reserves the key before anything is sent. Whichever one member is lost, restarted or
-joins between a request and its repeat, the other one has the record. Two such changes within ``RETENTION_S``
-lose it (docs/PROMISES.md).
+The two members of highest rendezvous rank for a key keep its record: the owner, which runs the request, and
+the backup, where the owner reserves the key before anything is sent. If one member is lost, restarts or joins
+between a request and its repeat, the other one still has the record. Two such changes within ``RETENTION_S``
+lose the record (docs/PROMISES.md).
 """
 
 from collections import OrderedDict
@@ -13,9 +13,9 @@
 
 from yokesill.routing.events import Answer, Refuse
 
-# How long a repeat is recognised: well beyond the longest deadline of a request.
+# How long a repeat is recognised; much longer than the longest deadline of a request.
 RETENTION_S = 600.0
-# Bounds the memory; beyond it keyed requests are refused as overloaded.
+# Limits the memory; when the table is full, new keyed requests are refused as overloaded.
 MAXIMUM_RECORDS = 100_000
 
 RecordKey = tuple[str, str, str]
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Record:
-    """One key's request: running until ``final`` is set."""
+    """The request of one key, which is running until ``final`` is set."""
 
     fingerprint: bytes
     created_at: float
@@ -32,13 +32,13 @@
     done: anyio.Event = field(default_factory=anyio.Event)
 
     def settle(self, final: Answer | Refuse) -> None:
-        """Set the outcome, for this and every later repeat."""
+        """Set the outcome, which all later repeats get too."""
         self.final = final
         self.done.set()
 
 
 class IdempotencyTable:
-    """The records that this node keeps, the oldest first."""
+    """The records kept at this node, oldest first."""
 
     def __init__(self) -> None:
         self._records: OrderedDict[RecordKey, Record] = OrderedDict()
@@ -47,12 +47,12 @@
         return len(self._records)
 
     def get(self, key: RecordKey, now: float) -> Record | None:
-        """Return a record that has not expired."""
+        """Return the record of ``key`` unless it has expired."""
         self._expire(now)
         return self._records.get(key)
 
     def create(self, key: RecordKey, fingerprint: bytes, nonce: str, now: float) -> Record | None:
-        """Add a running record; ``None`` when the table is full of records that are still needed."""
+        """Add a record of a running request; ``None`` when the table is full of unexpired records."""
         self._expire(now)
         if len(self._records) >= MAXIMUM_RECORDS:
             return None
@@ -60,7 +60,7 @@
         return record
 
     def release(self, key: RecordKey, nonce: str) -> None:
-        """Drop the record of a request that has not run, so that a repeat may run."""
+        """Remove the record that ``nonce`` created, so that a repeat may run."""
         record = self._records.get(key)
         if record is not None and record.nonce == nonce:
             del self._records[key]
--- a/src/yokesill/query/owned.py
+++ b/src/yokesill/query/owned.py
@@ -1,8 +1,8 @@
 """Requests with an idempotency key: forwarded to the key's owner, reserved at its backup, run once.
 
-Relies on the members' ranks, which both sides of a cut compute alike, and on the records of ``idempotency``.
-Verdicts are exact: a request whose owner can't be reached says whether it may have run there. The protocol is
-modelled in ``spec/keys.pml``.
+The owner and backup follow from the members' ranks, which both sides of a network partition compute alike;
+their records are kept by ``idempotency``. If the owner can't be reached, the verdict of the refusal says
+whether the request may have run there. The protocol is modelled in ``spec/keys.pml``.
 """
 
 from collections.abc import Awaitable, Callable
@@ -28,23 +28,23 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 OWNED_QUERY, RESERVE, SETTLE = "owned-query", "reserve", "settle"
-# How long a backup may take to reserve or settle a key: many round trips, yet short against a request's
-# deadline.
+# The time a backup may take to reserve or settle a key: many round trips, but short compared to the deadline
+# of a request.
 RESERVE_TIMEOUT_S = 0.5
-# A caller's node waits so much longer than the request's deadline: the owner refuses by then, with a truer
-# verdict than a timeout; above ``JOIN_MARGIN_S``.
+# The time that the forwarding node waits beyond the request's deadline. The owner refuses within it, with a
+# more precise verdict than a timeout would give. Must exceed ``JOIN_MARGIN_S``.
 FORWARD_MARGIN_S = 1.0
-# A repeat waits so much longer than its deadline for the first request, which may spend RESERVE_TIMEOUT_S
-# more.
+# The time that a repeat waits beyond its deadline for the first request, which may take RESERVE_TIMEOUT_S
+# longer.
 JOIN_MARGIN_S = 0.6
-# When a caller may repeat a refused keyed request: members' changes are noticed within seconds.
+# Retry-After of a refused keyed request; changes of the members are detected within seconds.
 RETRY_AFTER_MS = 1000
 
 Execute = Callable[[QueryCall, str], Awaitable[Answer | Refuse]]
 
 
 class OwnedQueries:
-    """Runs keyed requests at most once; ``execute`` runs one that is new."""
+    """Runs keyed requests at most once; ``execute`` runs a new request."""
 
     def __init__(
         self,
@@ -63,30 +63,30 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self) -> None:
-        """Run keyed requests until cancelled; they go on when their callers leave."""
+        """Run keyed requests until cancelled; a request continues when its caller disconnects."""
         async with anyio.create_task_group() as self._tasks:
             await anyio.sleep_forever()
 
     async def handle(self, call: QueryCall, query_id: str) -> Answer | Refuse:
-        """Answer a caller's keyed request, here or at its owner."""
+        """Answer a caller's keyed request, here or at the owner of its key."""
         owner, backup = self._owners(call)
         if owner != self._members.own.address:
             return await self._forward(call, query_id, owner)
         return await self._run_as_owner(call, query_id, backup)
 
     async def answer(self, kind: str, body: bytes) -> bytes | None:
-        """Answer a peer's opened request; ``None`` when the kind is not this part's."""
+        """Answer a peer's decrypted request; ``None`` for a kind that is not handled here."""
         if kind == OWNED_QUERY:
             query_id, encoded = decode_message(body)
             return encode_final(await self._run_for_peer(decode_call(encoded), query_id))
         if kind == RESERVE:
-            return self._reserved(body)
+            return self._handle_reserve(body)
         if kind == SETTLE:
-            self._settled(body)
+            self._handle_settle(body)
             return b"\x80"
         return None
 
-    # --- the caller's node ---
+    # --- at the caller's node ---
 
     async def _forward(self, call: QueryCall, query_id: str, owner: str) -> Answer | Refuse:
         body = cbor2.dumps([query_id, encode_call(call)])
@@ -101,19 +101,22 @@
         return decode_final(opened)
 
     def _owners(self, call: QueryCall) -> tuple[str, str | None]:
-        """Return the key's owner and backup: the same on both sides of a cut, so both can't run it."""
+        """Return the key's owner and backup.
+
+        Both sides of a network partition get the same pair, so they can't both run the request.
+        """
         ranked = self._members.rank("/".join(_record_key(call)), self._members.serving())
         addresses = [each.address for each in ranked]
         if not addresses:
             return self._members.own.address, None
         return addresses[0], addresses[1] if len(addresses) > 1 else None
 
-    # --- the owner ---
+    # --- at the owner ---
 
     async def _run_for_peer(self, call: QueryCall, query_id: str) -> Answer | Refuse:
-        """Run what a peer forwarded; its view of the members may differ from this node's.
+        """Run a request that a peer forwarded; its view of the members may differ from this node's.
 
-        Either of the key's two members may run it as long as it reserves at the other one.
+        Either of the key's two members may run the request, if it reserves the key at the other one.
         """
         own, pair = self._members.own.address, self._owners(call)
         if own not in pair:
@@ -132,8 +135,9 @@
         if record is None:
             return _refusal(query_id, Reason.OVERLOADED, Verdict.NOT_RUN, "too many idempotency keys")
         if self._tasks is None:
-            raise RuntimeError("the keyed queries' part does not run")
-        # Not in the caller's task: it may leave and ask again, and what was sent can't be taken back.
+            raise RuntimeError("the task group of keyed queries is not running")
+        # Not in the caller's task: the caller may disconnect and repeat the request, and sent attempts can't
+        # be undone.
         arguments = (call, query_id, key, record, backup)
         self._tasks.start_soon(self._supervisor.run_once, "keyed_queries", self._run_new, *arguments)
         return await self._join(call, record, query_id)
@@ -141,21 +145,21 @@
     async def _run_new(
         self, call: QueryCall, query_id: str, key: RecordKey, record: Record, backup: str | None
     ) -> None:
-        """Reserve and run a request that is new, and keep its outcome for every repeat."""
+        """Reserve the key of a new request, run it and keep its outcome for repeats."""
         final = await self._reserve_at(backup, key, record.fingerprint, query_id)
         if final is None:
             final = await self._execute(call, query_id)
         record.settle(final)
-        frees_key = _frees_key(call, final)
-        if frees_key:
+        releases_key = _releases_key(call, final)
+        if releases_key:
             self.records.release(key, query_id)
         if backup is not None:
-            outcome = None if frees_key else encode_final(final)
+            outcome = None if releases_key else encode_final(final)
             body = cbor2.dumps([list(key), query_id, outcome])
             await self._transport.request(backup, SETTLE, self._sealer.seal(body), RESERVE_TIMEOUT_S)
 
     async def _join(self, call: QueryCall, record: Record, query_id: str) -> Answer | Refuse:
-        """Give a repeat the first request's outcome."""
+        """Return the first request's outcome to a repeat."""
         if record.fingerprint != call.fingerprint():
             detail = "the idempotency key was used for another request"
             return _refusal(query_id, Reason.KEY_REUSED, Verdict.NOT_RUN, detail)
@@ -168,7 +172,7 @@
     async def _reserve_at(
         self, backup: str | None, key: RecordKey, fingerprint: bytes, nonce: str
     ) -> Answer | Refuse | None:
-        """Reserve the key at its backup; return what ends the request, or ``None`` to run it."""
+        """Reserve the key at its backup; return the final answer, or ``None`` if the request may run."""
         if backup is None:
             return None
         body = cbor2.dumps([list(key), fingerprint, nonce])
@@ -187,9 +191,9 @@
             return _refusal(nonce, Reason.DUPLICATE_IN_DOUBT, Verdict.MAY_HAVE_RUN, detail)
         return None
 
-    # --- the backup ---
+    # --- at the backup ---
 
-    def _reserved(self, body: bytes) -> bytes:
+    def _handle_reserve(self, body: bytes) -> bytes:
         key, fingerprint, nonce = decode_message(body)
         record_key: RecordKey = (key[0], key[1], key[2])
         now = anyio.current_time()
@@ -203,7 +207,7 @@
             return cbor2.dumps(["done", encode_final(record.final)])
         return cbor2.dumps(["running", b""])
 
-    def _settled(self, body: bytes) -> None:
+    def _handle_settle(self, body: bytes) -> None:
         key, nonce, encoded = decode_message(body)
         record_key: RecordKey = (key[0], key[1], key[2])
         record = self.records.get(record_key, anyio.current_time())
@@ -219,8 +223,8 @@
     return (call.service.namespace, call.service.service, call.idempotency_key or "")
 
 
-def _frees_key(call: QueryCall, final: Answer | Refuse) -> bool:
-    """Whether a repeat may run: the request surely did not, or does no harm twice, or is kept elsewhere."""
+def _releases_key(call: QueryCall, final: Answer | Refuse) -> bool:
+    """Whether the key is released: the request has not run, is repeatable, or has its record elsewhere."""
     if not isinstance(final, Refuse):
         return False
     failure = final.failure
--- a/src/yokesill/query/service.py
+++ b/src/yokesill/query/service.py
@@ -1,7 +1,7 @@
-"""Every query of a node passes here: callers' requests, and peers' requests about keyed ones.
+"""The entry point of all queries of a node: requests of callers, and requests of peers about keyed queries.
 
-Refuses while the node is not ready or can't confirm its configuration, runs the rest by the driver or, with
-an idempotency key, by ``owned``, and counts how each ends.
+Requests are refused while the node is not ready or can't confirm its configuration. Others are run by the
+driver or, with an idempotency key, by ``owned``. The outcome of each caller's request is counted.
 """
 
 import itertools
@@ -27,10 +27,10 @@
 
 
 class QueryService:
-    """Every query of a node passes here; ``in_flight`` is what a planned stop waits for.
+    """Answers all queries of a node; a planned stop waits until ``in_flight`` is zero.
 
-    ``not_accepting`` says why new requests are refused now (``None``: they are accepted);
-    ``isolated`` whether no other node or store confirms that the configuration is fresh.
+    ``not_accepting`` returns why new requests are refused now, or ``None`` if they are accepted. ``isolated``
+    returns whether no other node or store confirms that the configuration is fresh.
     """
 
     def __init__(
@@ -56,7 +56,7 @@
         self._prefix = f"{members.own.address}-{members.own.incarnation:x}"
 
     async def answer(self, call: QueryCall) -> FinalAnswer:
-        """Answer a caller's request, or refuse it at once."""
+        """Answer or refuse a caller's request."""
         query_id = f"{self._prefix}-{next(self._numbers)}"
         refusal = self._not_accepting()
         if refusal is not None:
@@ -74,7 +74,7 @@
         return final
 
     async def answer_peer(self, kind: str, body: bytes) -> bytes | Failure:
-        """Answer a peer's opened request about a keyed query."""
+        """Answer a peer's decrypted request about a keyed query."""
         refusal = self._not_accepting()
         if refusal is not None:
             return Failure(Reason.NOT_READY, Verdict.NOT_RUN, refusal)
@@ -108,7 +108,7 @@
         return await self._driver.execute(query)
 
     def _count(self, call: QueryCall, final: FinalAnswer, seconds: float) -> None:
-        # Unknown names come from callers: they get no time series of their own.
+        # Unknown names come from callers and must not create time series of their own.
         known = self._catalog.services.get(call.service)
         request_class = call.request_class if known and call.request_class in known.policies else "unknown"
         service = call.service if known else ServiceName("unknown", "unknown")
--- a/src/yokesill/routing/admission.py
+++ b/src/yokesill/routing/admission.py
@@ -1,9 +1,10 @@
-"""Whether a query is admitted or refused on arrival, because it would wait too long.
+"""Admission control: a query that would wait too long is refused on arrival.
 
-Inputs: the query's deadline and priority, the expected wait of its slowest shard, the 0.9 quantile of its
-class's latency (seconds) and the longest of its queues. A refusal is ``NOT_RUN``; its Retry-After is the
-expected wait, after which the present queue has been served. Shares and bounds are ``RoutingOptions``;
-what admission buys at 1.5 times the capacity: docs/design/limits.md.
+The decision depends on the query's deadline and priority, the expected wait of its slowest shard, the 0.9
+quantile of its class's latency (in seconds) and the length of its longest queue. A refusal is ``NOT_RUN``;
+its Retry-After is the expected wait, after which the current queue has been served. Shares and bounds are set
+in ``RoutingOptions``. The effect of admission at 1.5 times the capacity is described in
+docs/design/limits.md.
 """
 
 from yokesill.routing.messages import QueryRequest
@@ -11,9 +12,9 @@
 from yokesill.routing.waiting import ShardKey, WaitingQueue
 from yokesill.verdict import Failure, Reason, Verdict
 
-# The range of priorities in a policy is 0 to 9 (``resources.documents``).
+# Priorities in a policy range from 0 to 9 (``resources.documents``).
 HIGHEST_PRIORITY = 9
-# Below this a caller is back before a slot is free.
+# With a shorter delay, callers would retry before a slot is free.
 MINIMUM_RETRY_AFTER_MS = 50
 
 
@@ -32,11 +33,11 @@
     options: RoutingOptions,
     now: float,
 ) -> Failure | None:
-    """Return why the query is refused, or ``None`` to admit it.
+    """Return the failure that refuses the query, or ``None`` to admit it.
 
-    Waiting may use only a share of the remaining time: a query that waited long is likely to be given up
-    later, after servers worked for it. The lower the priority, the smaller the share and the shorter the
-    queue, so the least urgent queries are refused first.
+    Waiting may use only a share of the remaining time: a query that has waited for long is likely to be given
+    up later, after servers have worked on it. The lower the priority, the smaller the share and the shorter
+    the queue, so the least urgent queries are refused first.
     """
     if query.deadline_at_s <= now:
         return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "the deadline had passed on arrival")
--- a/src/yokesill/routing/budget.py
+++ b/src/yokesill/routing/budget.py
@@ -1,7 +1,7 @@
-"""The budget of extra attempts (hedges and retries), one for each service.
+"""The budget of extra attempts (hedges and retries) of a service.
 
-First attempts earn a share of an extra attempt each, up to a burst, so extra attempts stay a bounded share of
-the load also when servers fail. Retries that put no load on any server are free (``query``).
+Each first attempt earns a fraction of an extra attempt, up to a burst, so extra attempts stay a bounded share
+of the load even when servers fail. Retries that put no load on any server are free (see ``query``).
 """
 
 
@@ -18,7 +18,7 @@
         self._tokens = min(self._burst, self._tokens + self.ratio)
 
     def take(self) -> bool:
-        """Spend one extra attempt; ``False`` when the budget does not allow it."""
+        """Spend one extra attempt; return ``False`` when the budget is exhausted."""
         if self._tokens < 1.0:
             return False
         self._tokens -= 1.0
--- a/src/yokesill/routing/compiled.py
+++ b/src/yokesill/routing/compiled.py
@@ -1,4 +1,4 @@
-"""A service's configuration as the router uses it: compiled whole, swapped whole."""
+"""A service's configuration as the router uses it: compiled and replaced as a whole."""
 
 from dataclasses import dataclass
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledShard:
-    """A shard and the replicas of it that this node may ask."""
+    """A shard and those of its replicas that this node may send to."""
 
     id: str
     range: HashRange
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledMap:
-    """One epoch's shards, in the order of their ranges."""
+    """The shards of one epoch, in the order of their hash ranges."""
 
     epoch: int
     shards: tuple[CompiledShard, ...]
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CompiledService:
-    """Everything that routing a service's queries needs."""
+    """Everything needed to route the queries of a service."""
 
     name: ServiceName
     revision: int
--- a/src/yokesill/routing/context.py
+++ b/src/yokesill/routing/context.py
@@ -1,4 +1,4 @@
-"""What the queries of one node share."""
+"""State shared by all queries of a node."""
 
 import random
 from dataclasses import dataclass, field
@@ -13,9 +13,9 @@
 
 @dataclass(slots=True)
 class RoutingContext(Generic[Owner]):
-    """Servers, waiters and live attempts; ``freed`` are servers whose slots were given back.
+    """Servers, waiters and live attempts; ``freed`` are servers with released slots.
 
-    ``attempt_owners`` are the queries that live attempts belong to; nothing here asks what they are.
+    ``attempt_owners`` maps live attempts to their queries; this class doesn't depend on the queries' type.
     """
 
     options: RoutingOptions
@@ -26,7 +26,7 @@
     freed: list[ServerState] = field(default_factory=list)
 
     def release(self, attempt_id: str, server: ServerState) -> None:
-        """Give an ended attempt's slot back; once only, however often it is called."""
+        """Release the slot of an ended attempt; further calls for the same attempt have no effect."""
         if self.attempt_owners.pop(attempt_id, None) is not None:
             server.in_flight -= 1
             self.freed.append(server)
--- a/src/yokesill/routing/coverage.py
+++ b/src/yokesill/routing/coverage.py
@@ -1,4 +1,4 @@
-"""Coverage from the hash ranges that contributed, never from counts of replies."""
+"""Computes coverage from the hash ranges that contributed, never from the number of replies."""
 
 from collections.abc import Sequence
 
@@ -7,9 +7,9 @@
 
 
 def coverage_of(asked: Sequence[HashRange], contributed: Sequence[HashRange]) -> Coverage:
-    """Return what part of ``asked`` the ranges in ``contributed`` make up.
+    """Return the part of ``asked`` that the ranges in ``contributed`` cover.
 
-    Both come from one shard map, so that ranges are either equal or disjoint.
+    Both come from the same shard map, so two ranges are either equal or disjoint.
     """
     have = set(contributed)
     missing = tuple(each for each in asked if each not in have)
--- a/src/yokesill/routing/events.py
+++ b/src/yokesill/routing/events.py
@@ -1,4 +1,4 @@
-"""Typed events into the router and typed actions out of it."""
+"""The events that the router takes and the actions that it returns."""
 
 import enum
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class TimerKind(enum.IntEnum):
-    """The decision points of a query."""
+    """The kinds of timers of a query, one for each decision point."""
 
     HEDGE = 1
     RETRY = 2
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryArrived:
-    """A caller's query was read."""
+    """A caller's query was received."""
 
     query: QueryRequest
 
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """A timer that the router set for a query is due."""
+    """A timer that the router set for a query has fired."""
 
     query_id: str
     kind: TimerKind
@@ -57,14 +57,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLeft:
-    """The caller of a query went away."""
+    """The caller of a query disconnected."""
 
     query_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class ServerObserved:
-    """A health check, sent at ``asked_at`` (s), ended; ``report`` is ``None`` without an answer."""
+    """A health check ended, sent at ``asked_at`` (s); ``report`` is ``None`` if the server did not answer."""
 
     address: str
     report: ServerReport | None
@@ -73,9 +73,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerLeaving:
-    """A server was learnt to be leaving, from the machine list or from a peer.
+    """The machine list or a peer reported that a server is leaving.
 
-    An empty ``incarnation`` stands for whichever incarnation the server has now.
+    An empty ``incarnation`` stands for the server's current incarnation.
     """
 
     address: str
@@ -84,7 +84,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceInstalled:
-    """A service's configuration is new or has changed; takes hold as a whole."""
+    """A service's configuration is new or has changed; it is applied as a whole."""
 
     service: CompiledService
 
@@ -121,14 +121,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel a sub-request; whatever it still brings is dropped."""
+    """Cancel a sub-request; an answer that still arrives is dropped."""
 
     attempt_id: str
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Feed ``TimerFired`` back at ``at_s`` (seconds); late timers of ended queries are ignored."""
+    """Send ``TimerFired`` to the router at ``at_s`` (seconds); timers of ended queries are ignored."""
 
     query_id: str
     kind: TimerKind
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The final answer of a query, drawn from ``snapshot`` alone."""
+    """The final answer of a query; all of its results come from ``snapshot``."""
 
     query_id: str
     snapshot: Snapshot
@@ -156,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnnounceLeaving:
-    """A server's own reply said that it is leaving: tell the other nodes at once."""
+    """Tell the other nodes at once that a server is leaving, as its own reply said."""
 
     address: str
     incarnation: str
--- a/src/yokesill/routing/fanout.py
+++ b/src/yokesill/routing/fanout.py
@@ -1,7 +1,7 @@
 """The shards of one query under one pinned snapshot: attempts, waiters, coverage and verdict.
 
-Here stands which server an attempt of a shard goes to, and when it waits or is given up (``dispatch``). A
-re-plan starts another fan-out.
+``dispatch`` decides which server an attempt goes to, and when a shard waits or is given up. A re-plan starts
+a new fan-out.
 """
 
 import itertools
@@ -13,7 +13,7 @@
 from yokesill.routing.events import Action, CancelAttempt, SendAttempt
 from yokesill.routing.messages import Attempt, Coverage, Partial, QueryRequest, Snapshot
 from yokesill.routing.progress import LiveAttempt, ShardProgress
-from yokesill.routing.selection import any_left, choose_server
+from yokesill.routing.selection import choose_server, has_candidate
 from yokesill.routing.servers import ServerState
 from yokesill.routing.service import ServiceState
 from yokesill.routing.waiting import ShardKey
@@ -21,7 +21,7 @@
 
 
 class FanoutOwner(Protocol):
-    """What a fan-out must know of the query that it belongs to; ``deadline_at_s`` in seconds."""
+    """What a fan-out needs of its query; ``deadline_at_s`` is in seconds."""
 
     query: QueryRequest
     service: ServiceState
@@ -31,7 +31,7 @@
 
 
 class Fanout:
-    """One query's sub-requests; a re-plan starts another fan-out and closes this one."""
+    """The sub-requests of one query; a re-plan closes this fan-out and starts a new one."""
 
     def __init__(
         self,
@@ -60,18 +60,18 @@
     def _service(self) -> ServiceState:
         return self._owner.service
 
-    # --- what it adds up to ---
+    # --- progress and result ---
 
     def shards(self) -> Iterable[ShardProgress]:
-        """Return every shard's progress, in the order of their ranges."""
+        """Return the progress of all shards, in the order of their hash ranges."""
         return self._shards.values()
 
     def shard(self, shard_id: str) -> ShardProgress:
-        """Return one shard's progress."""
+        """Return the progress of one shard."""
         return self._shards[shard_id]
 
     def has_attempt(self, attempt_id: str) -> bool:
-        """Whether the attempt is live and of this fan-out."""
+        """Whether the attempt is live and belongs to this fan-out."""
         return attempt_id in self._shard_of_attempt
 
     def shard_of(self, attempt_id: str) -> ShardProgress:
@@ -89,27 +89,27 @@
         return self._exhausted > 0
 
     def merge(self, progress: ShardProgress, partial: Partial) -> None:
-        """Keep a shard reply without defect; its shard is done."""
+        """Store a valid shard reply and close its shard."""
         progress.partial = partial
         self._open -= 1
 
     def give_up(self, progress: ShardProgress, reason: Reason) -> None:
-        """Give an open shard up; the reason of an earlier failure stays."""
+        """Give up an open shard; the reason of an earlier failure is kept."""
         progress.exhausted = True
         progress.last_reason = progress.last_reason or reason
         self._open -= 1
         self._exhausted += 1
 
     def coverage(self) -> Coverage:
-        """Return what contributed so far."""
+        """Return the coverage reached so far."""
         return self._coverage_of(each for each in self.shards() if each.partial is not None)
 
     def possible_coverage(self) -> Coverage:
-        """Return what can still come to contribute."""
+        """Return the coverage that can still be reached."""
         return self._coverage_of(each for each in self.shards() if not each.exhausted)
 
     def verdict(self) -> Verdict:
-        """Return the join over all attempts."""
+        """Return the joined verdict of all attempts."""
         return join(each.verdict_now() for each in self.shards())
 
     def entries(self) -> list[object]:
@@ -118,12 +118,12 @@
         return [entry for part in parts for entry in part.entries]
 
     def give_up_reason(self) -> Reason:
-        """Return the one reason why shards were given up, or that coverage is too low."""
+        """Return the reason shared by all shards that were given up, else ``COVERAGE_TOO_LOW``."""
         reasons = {each.last_reason for each in self.shards() if each.exhausted and each.last_reason}
         return next(iter(reasons)) if len(reasons) == 1 else Reason.COVERAGE_TOO_LOW
 
     def defect(self, partial: Partial) -> Reason | None:
-        """Return why a shard reply must not be merged, or ``None`` if it answers its attempt."""
+        """Return why a shard reply must not be merged, or ``None`` if it is valid."""
         if partial.truncated:
             return Reason.MALFORMED_REPLY
         progress = self.shard_of(partial.attempt_id)
@@ -134,71 +134,71 @@
     # --- attempts ---
 
     def dispatch(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
-        """Send an attempt, or wait for a slot, or give the shard up."""
+        """Send an attempt, wait for a slot, or give up the shard."""
         live = [each.server.address for each in progress.live.values()]
         skipped = progress.tried if self.any_untried(progress) else live
         server = self._choose(progress, skipped, now)
         if server is not None:
             self._send(progress, server, now, actions)
-        elif any_left(progress.servers, self.snapshot, live) and self._may_wait(now):
+        elif has_candidate(progress.servers, self.snapshot, live) and self._may_wait(now):
             self._wait(progress, now)
         elif not progress.live:
             self.give_up(progress, Reason.NO_REPLICA)
 
     def hedge(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
-        """Send one more attempt, to another server than the late one."""
+        """Send one more attempt, to a server that was not tried yet."""
         server = self._choose(progress, progress.tried, now)
         if server is not None:
             self._send(progress, server, now, actions)
 
-    def ask_doubtful(self, progress: ShardProgress, now: float, actions: list[Action]) -> bool:
-        """Send to a server that is not known to hold the snapshot: it declines, or holds it after all.
+    def send_unconfirmed(self, progress: ShardProgress, now: float, actions: list[Action]) -> bool:
+        """Send to an untried server that is not known to hold the snapshot; it declines if it doesn't.
 
-        Returns whether there was one that was not tried yet.
+        Returns ``False`` when there is no untried server that can accept a request.
         """
         untried = [each for each in progress.servers if each.address not in progress.tried]
-        ready = [each for each in untried if each.may_take(now)]
+        ready = [each for each in untried if each.can_accept(now)]
         if not ready:
             return False
-        self._send(progress, min(ready, key=lambda each: each.heard_at_s), now, actions)
+        self._send(progress, min(ready, key=lambda each: each.reported_at_s), now, actions)
         return True
 
     def can_hedge(self, progress: ShardProgress, now: float) -> bool:
-        """Whether some untried server may take one more request."""
+        """Whether some untried server holds the snapshot and can accept one more request."""
         return any(
-            each.may_take(now) and each.address not in progress.tried and self.snapshot in each.holdings
+            each.can_accept(now) and each.address not in progress.tried and self.snapshot in each.holdings
             for each in progress.servers
         )
 
     def any_untried(self, progress: ShardProgress) -> bool:
-        """Whether some server of the shard was not asked yet."""
-        return any_left(progress.servers, self.snapshot, progress.tried)
+        """Whether some server of the shard that holds the snapshot was not tried yet."""
+        return has_candidate(progress.servers, self.snapshot, progress.tried)
 
     def dropped_by_all(self, progress: ShardProgress) -> bool:
-        """Whether no server of the shard holds the snapshot any more, but some hold another."""
-        if any_left(progress.servers, self.snapshot, ()):
+        """Whether no server of the shard holds the snapshot any more, while some server holds another one."""
+        if has_candidate(progress.servers, self.snapshot, ()):
             return False
         return any(each.usable and each.holdings for each in progress.servers)
 
     def end_attempt(self, attempt_id: str) -> tuple[ShardProgress, LiveAttempt]:
-        """Forget an attempt; the router frees its server's slot."""
+        """Remove and return an attempt; the router releases its server's slot."""
         progress = self._shard_of_attempt.pop(attempt_id)
         return progress, progress.live.pop(attempt_id)
 
     def cancel_live(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
-        """Cancel a shard's live attempts and free their slots."""
+        """Cancel the live attempts of a shard and release their slots."""
         for attempt in list(progress.live.values()):
             self.end_attempt(attempt.attempt_id)
-            attempt.server.outrun(now - attempt.sent_at_s)
+            attempt.server.record_cancelled(now - attempt.sent_at_s)
             self._context.release(attempt.attempt_id, attempt.server)
             actions.append(CancelAttempt(attempt.attempt_id))
 
     def close(self, now: float, actions: list[Action]) -> None:
-        """Cancel everything that is live or waits."""
+        """Cancel all live attempts and remove all waiters."""
         for progress in self.shards():
             self.cancel_live(progress, now, actions)
             if progress.waiter is not None:
-                self._context.waiting.leave(self._key(progress), progress.waiter)
+                self._context.waiting.remove(self._key(progress), progress.waiter)
                 progress.waiter = None
 
     def _coverage_of(self, contributing: Iterable[ShardProgress]) -> Coverage:
@@ -224,7 +224,7 @@
         self._shard_of_attempt[attempt_id] = progress
         server.in_flight += 1
         self._context.attempt_owners[attempt_id] = self._owner
-        self._context.waiting.count_served(self._query.service, self._service.compiled.share)
+        self._context.waiting.charge_namespace(self._query.service, self._service.compiled.share)
         actions.append(SendAttempt(self._attempt(attempt_id, progress, server)))
 
     def _attempt(self, attempt_id: str, progress: ShardProgress, server: ServerState) -> Attempt:
@@ -248,7 +248,7 @@
 
     def _wait(self, progress: ShardProgress, now: float) -> None:
         owner = self._owner
-        progress.waiter = self._context.waiting.enter(
+        progress.waiter = self._context.waiting.add(
             self._key(progress), self._query.query_id, owner.priority, owner.deadline_at_s, now
         )
 
--- a/src/yokesill/routing/hedging.py
+++ b/src/yokesill/routing/hedging.py
@@ -1,10 +1,10 @@
-"""When a hedge is sent: a second attempt at a shard whose first one is late.
+"""Hedging: a second attempt for a shard whose first attempt is late.
 
-An attempt is late after a quantile of its class's recent latency, and after ``minimum_delay_ms`` at least;
-the policy names both. A hedge is sent if the query is repeatable, the policy and the node allow hedges, the
-shard has exactly one live attempt, an untried server can take one more, and the service's budget has one
-left. At the 0.95 quantile hedges used the whole extra load of 5% without a failure, at 0.97 they use 3% with
-the same p99 (docs/design/limits.md).
+An attempt is late once it has taken longer than a quantile of its class's recent latency and at least
+``minimum_delay_ms``; the policy sets both. A hedge is sent if the query is repeatable, the policy and the
+node allow hedges, the shard has exactly one live attempt, an untried server can accept a request, and the
+service's budget has an extra attempt left. At the 0.95 quantile hedges used the whole extra load of 5%
+without a failure, at 0.97 they use 3% with the same p99 (docs/design/limits.md).
 """
 
 from typing import Any
@@ -16,12 +16,12 @@
 from yokesill.routing.messages import QueryRequest
 from yokesill.routing.service import ServiceState
 
-# A timer that fires this much early counts as due: sums of floats differ in the last digits.
+# A timer that fires early by this much counts as due, because of floating-point rounding.
 TIMER_SLACK_S = 1e-6
 
 
 class Hedging:
-    """One query's hedges, as its policy allows them; ``deadline_at_s`` in seconds of the node's clock."""
+    """The hedges of one query under its policy; ``deadline_at_s`` is in seconds of the node's clock."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._deadline_at_s = deadline_at_s
 
     def arm(self, now: float, actions: list[Action]) -> None:
-        """Set the timer for attempts that are sent now."""
+        """Set the hedge timer for attempts that are sent now."""
         delay = self._delay(now)
         if delay is not None and now + delay < self._deadline_at_s:
             actions.append(SetTimer(self._query.query_id, TimerKind.HEDGE, now + delay))
@@ -62,7 +62,7 @@
             actions.append(SetTimer(self._query.query_id, TimerKind.HEDGE, next_due))
 
     def _delay(self, now: float) -> float | None:
-        """Return after how long an attempt is late (s); ``None`` when nothing may be hedged."""
+        """Return the time (s) after which an attempt is late; ``None`` when hedging is not possible."""
         if self._policy is None or not self._query.repeatable or not self._context.options.hedging:
             return None
         observed = self._service.latency_of(self._query.request_class).quantile(self._policy.quantile, now)
--- a/src/yokesill/routing/latency.py
+++ b/src/yokesill/routing/latency.py
@@ -1,20 +1,20 @@
-"""Recent latency of sub-requests of one request class, as quantiles over two rotating histograms.
+"""Quantiles of the recent sub-request latency of a request class, over two rotating histograms.
 
-Hedging and admission read it. Samples are kept for one to two windows.
+Used by hedging and admission. Samples are kept for one to two windows.
 """
 
 from hdrh.histogram import HdrHistogram
 
-# The histogram's range: 1 us to ten times the longest deadline allowed by default (60 s).
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 600_000_000
-# Errors of 1% in a hedge's delay don't matter; a third digit would cost ten times the memory.
+# The range of the histogram: 1 us to ten times the longest deadline allowed by default (60 s).
+MINIMUM_LATENCY_US = 1
+MAXIMUM_LATENCY_US = 600_000_000
+# An error of 1% in the delay of a hedge doesn't matter; a third digit would take ten times the memory.
 SIGNIFICANT_DIGITS = 2
-# Long enough for the quantiles of a class with a few queries a second.
+# Long enough to collect the samples for quantiles of a class with a few queries a second.
 WINDOW_S = 10.0
-# A quantile is computed at most this often: adding two histograms is dear next to a query.
+# A quantile is computed at most this often, since merging two histograms is expensive compared to a query.
 REFRESH_S = 0.25
-# With fewer samples nothing is known of a 0.95 quantile: one in twenty lies above it.
+# One sample in twenty lies above the 0.95 quantile, so fewer samples can't determine it.
 MINIMUM_SAMPLES = 20
 
 
@@ -28,11 +28,11 @@
         self._cache: dict[float, tuple[float, float]] = {}
 
     def record(self, latency: float, now: float) -> None:
-        """Count one latency, in seconds."""
+        """Add one latency sample, in seconds."""
         if now - self._rotated_at > WINDOW_S:
             self._previous, self._current = self._current, _histogram()
             self._rotated_at = now
-        self._current.record_value(max(LOWEST_MICROSECONDS, int(latency * 1e6)))
+        self._current.record_value(max(MINIMUM_LATENCY_US, int(latency * 1e6)))
 
     def quantile(self, quantile: float, now: float) -> float | None:
         """Return the latency at ``quantile`` in seconds; ``None`` with too few samples."""
@@ -50,4 +50,4 @@
 
 
 def _histogram() -> HdrHistogram:
-    return HdrHistogram(LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS)
+    return HdrHistogram(MINIMUM_LATENCY_US, MAXIMUM_LATENCY_US, SIGNIFICANT_DIGITS)
--- a/src/yokesill/routing/messages.py
+++ b/src/yokesill/routing/messages.py
@@ -1,4 +1,4 @@
-"""What a query, an attempt and a partial answer are."""
+"""Queries, attempts, server reports, partial answers and their coverage."""
 
 from dataclasses import dataclass
 from typing import Any
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Snapshot:
-    """One state of a service's index: a shard map's epoch and an index version of it."""
+    """One state of a service's index: the epoch of its shard map and an index version within it."""
 
     epoch: int
     version: int
@@ -19,8 +19,8 @@
 class QueryRequest:
     """A caller's request as the router sees it.
 
-    ``deadline_at_s`` is absolute, in seconds of the node's clock. ``key_hash`` is ``None`` when all
-    shards are asked. ``payload`` is opaque and goes to the back ends as it is.
+    ``deadline_at_s`` is absolute, in seconds of the node's clock. ``key_hash`` is ``None`` when the query
+    goes to all shards. ``payload`` is opaque and passed to the back ends unchanged.
     """
 
     query_id: str
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What a server says of its load; it may lag or mislead."""
+    """The load that a server reports about itself; it may be stale or wrong."""
 
     slots: int
     active: int
@@ -62,7 +62,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerReport:
-    """What a reply or a health check tells of a server besides the answer."""
+    """What a reply or a health check reports about its server, besides the answer."""
 
     incarnation: str
     holdings: frozenset[Snapshot] | None = None
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Partial:
-    """One shard's part of an answer, as the server labelled it."""
+    """One shard's part of an answer, with the snapshot and range that the server named."""
 
     attempt_id: str
     snapshot: Snapshot
@@ -83,7 +83,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """What part of the asked key space contributed; ``missing`` are the ranges that did not."""
+    """How much of the requested key space contributed; ``missing`` lists the ranges that did not."""
 
     asked_width: int
     covered_width: int
@@ -91,5 +91,5 @@
 
     @property
     def fraction(self) -> float:
-        """The covered share of what was asked, in ``[0, 1]``."""
+        """The covered share of the requested key space, in ``[0, 1]``."""
         return self.covered_width / self.asked_width if self.asked_width else 0.0
--- a/src/yokesill/routing/options.py
+++ b/src/yokesill/routing/options.py
@@ -1,20 +1,21 @@
-"""Options of the router; the defaults are for production, and none but ``waiting_share`` was measured."""
+"""Options of the router, with defaults for production."""
 
 from dataclasses import dataclass
 
 
 @dataclass(frozen=True, slots=True)
 class RoutingOptions:
-    """How the router chooses and protects; times in seconds.
+    """Options for server selection and overload protection; times are in seconds.
 
-    The switches (booleans) turn single mechanisms off, for the baseline. ``maximum_attempts`` bounds the
-    attempts at a shard, ``budget_burst`` the extra attempts saved up, the limits how many requests a server
-    gets at once. ``waiting_bound`` is the longest queue of a shard, ``waiting_share`` the share of a query's
-    time that it may wait (0.4: goodput at 1.5 times the capacity stays above 0.9 of that at capacity,
-    docs/design/limits.md). ``remote_zone_penalty_s`` is added to the cost of servers of other zones,
-    ``slow_start_s`` how long a cold server is dearer. After ``ejection_failures`` in a row a server is
-    ejected for ``ejection_base_s``, doubled up to ``ejection_ceiling_s``. A load report halves its weight in
-    ``load_report_half_life_s``; ``retry_backoff_s`` is one attempt's backoff before a server is tried again.
+    The booleans turn single mechanisms off, for the baseline. ``maximum_attempts`` bounds the attempts for a
+    shard, ``budget_burst`` the extra attempts that can be saved up, and the limits (``initial_limit``,
+    ``maximum_limit``) the concurrent requests to a server. ``waiting_bound`` is the maximum queue length of a
+    shard, ``waiting_share`` the share of a query's time that it may wait (0.4: goodput at 1.5 times the
+    capacity stays above 0.9 of that at capacity, docs/design/limits.md). ``remote_zone_penalty_s`` is added
+    to the cost of servers in other zones, and for ``slow_start_s`` the cost of a cold server is raised. After
+    ``ejection_failures`` in a row a server is ejected for ``ejection_base_s``, doubled with each ejection up
+    to ``ejection_ceiling_s``. The weight of a load report halves every ``load_report_half_life_s``;
+    ``retry_backoff_s`` is the backoff per attempt before a server is tried again.
     """
 
     zone: str = ""
--- a/src/yokesill/routing/progress.py
+++ b/src/yokesill/routing/progress.py
@@ -1,4 +1,4 @@
-"""One shard's progress within a query."""
+"""The progress of one shard within a query."""
 
 from dataclasses import dataclass, field
 
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class LiveAttempt:
-    """An attempt that has not ended; ``sent_at_s`` in seconds."""
+    """An attempt that has not ended; ``sent_at_s`` is in seconds."""
 
     attempt_id: str
     server: ServerState
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class ShardProgress:
-    """What happened to one shard of one query under its pinned snapshot."""
+    """Attempts, reply and failures of one shard of a query under its pinned snapshot."""
 
     shard_id: str
     range: HashRange
@@ -41,11 +41,11 @@
 
     @property
     def sent(self) -> bool:
-        """Whether anything was sent for it."""
+        """Whether any attempt was sent."""
         return bool(self.tried)
 
     def verdict_now(self) -> Verdict:
-        """Return the join over ended attempts and the live ones, which may have run."""
+        """Return the joined verdict of the ended attempts and the live ones, which may have run."""
         if self.partial is not None:
             return Verdict.RAN
         return max(self.verdict, Verdict.MAY_HAVE_RUN) if self.live else self.verdict
--- a/src/yokesill/routing/query.py
+++ b/src/yokesill/routing/query.py
@@ -1,10 +1,10 @@
-"""One query's life: fan out, hedge, retry, re-plan, answer or give up.
+"""The state machine of one query: fan out, hedge, retry, re-plan, answer or give up.
 
-The router drives the machine, which appends its actions to the list that it is given. Here stand the rules
-on retries (``_may_retry``), on starting over at another snapshot (``_replan``) and on ending: a query ends
-when all shards are done, when the least coverage can't be reached any more, at its soft deadline if the
-policy accepts what is there, and at its deadline. The verdict of a refusal joins those of all attempts,
-discarded ones included.
+The router calls the machine, which appends its actions to the list that is passed in. This module holds the
+rules for retries (``_may_retry``), for a re-plan at another snapshot (``_replan``) and for the end of a
+query: it ends when all shards are done, when the minimum coverage can't be reached any more, at its soft
+deadline if the policy accepts the coverage reached, and at its deadline. The verdict of a refusal joins the
+verdicts of all attempts, including those that a re-plan discarded.
 """
 
 import itertools
@@ -22,18 +22,18 @@
 from yokesill.routing.service import ServiceState
 from yokesill.verdict import Failure, Reason, Verdict
 
-# Retry-After of a refusal that the policy gives none.
+# Retry-After of refusals for which the policy sets none.
 DEFAULT_RETRY_AFTER_MS = 200
 FULL_COVERAGE = 1.0
-# Bounds the work that is discarded while snapshots change; one is not always enough, since what is known of
-# servers that were not asked lately may be old.
+# Bounds the work that is discarded while snapshots change. One re-plan is not always enough, since the known
+# holdings of servers without a recent reply may be stale.
 MAXIMUM_REPLANS = 3
-# The server declined before any work: a retry elsewhere adds no load and costs no budget.
+# The server did no work for these failures, so a retry elsewhere adds no load and costs no budget.
 FREE_RETRY_REASONS = frozenset({Reason.CONNECT_FAILED, Reason.SNAPSHOT_UNAVAILABLE, Reason.BACKEND_LEAVING})
 
 
 class QueryMachine:
-    """The state of one admitted query, from its pin to its final answer."""
+    """The state of one admitted query, from its pinned snapshot to its final answer."""
 
     def __init__(
         self,
@@ -65,21 +65,21 @@
         self._hedging = Hedging(serve.hedge, query, service, context, self.deadline_at_s)
 
     def live_attempt(self, attempt_id: str) -> LiveAttempt:
-        """Return an attempt of this query that has not ended."""
+        """Return a live attempt of this query."""
         return self._fanout.shard_of(attempt_id).live[attempt_id]
 
     def has_attempt(self, attempt_id: str) -> bool:
-        """Whether the attempt is still live; its reply's report may have ended the query."""
+        """Whether the attempt is still live; the report in its reply may have ended the query already."""
         return self._fanout.has_attempt(attempt_id)
 
     def defect(self, partial: Partial) -> Reason | None:
-        """Return why a shard reply must not be merged, or ``None``."""
+        """Return why a shard reply must not be merged, or ``None`` if it is valid."""
         return self._fanout.defect(partial)
 
     # --- events ---
 
     def start(self, now: float, actions: list[Action]) -> None:
-        """Set the timers and send to every shard."""
+        """Set the timers and send an attempt to every shard."""
         query_id = self.query.query_id
         actions.append(SetTimer(query_id, TimerKind.HARD, self.deadline_at_s))
         if self._serve.soft_wait_ms is not None:
@@ -87,16 +87,16 @@
             actions.append(SetTimer(query_id, TimerKind.SOFT, soft_at))
         self._ask_all(now, actions)
 
-    def answered(self, partial: Partial, now: float, actions: list[Action]) -> None:
-        """Merge a shard reply without defect; its shard is done."""
+    def on_answer(self, partial: Partial, now: float, actions: list[Action]) -> None:
+        """Merge a valid shard reply and cancel the other attempts of its shard."""
         progress, attempt = self._fanout.end_attempt(partial.attempt_id)
         self.service.latency_of(self.query.request_class).record(now - attempt.sent_at_s, now)
         self._fanout.merge(progress, partial)
         self._fanout.cancel_live(progress, now, actions)
         self._finish_if_settled(now, actions)
 
-    def failed(self, attempt_id: str, failure: Failure, now: float, actions: list[Action]) -> None:
-        """Handle an attempt's failure: re-plan, retry, or give the shard up."""
+    def on_failure(self, attempt_id: str, failure: Failure, now: float, actions: list[Action]) -> None:
+        """Handle a failed attempt: re-plan, retry, or give up the shard."""
         progress, _ = self._fanout.end_attempt(attempt_id)
         progress.verdict = max(progress.verdict, failure.verdict)
         progress.last_reason = failure.reason
@@ -112,8 +112,8 @@
             self._retry_later(progress, now, actions)
         self._finish_if_settled(now, actions)
 
-    def timer(self, kind: TimerKind, now: float, actions: list[Action]) -> None:
-        """Act at a decision point."""
+    def on_timer(self, kind: TimerKind, now: float, actions: list[Action]) -> None:
+        """Handle a timer of the query."""
         if kind is TimerKind.HEDGE:
             self._hedging.due(self._fanout, now, actions)
         elif kind is TimerKind.RETRY:
@@ -123,8 +123,8 @@
         elif kind is TimerKind.HARD:
             self._end(now, actions)
 
-    def wait_over(self, shard_id: str, now: float, actions: list[Action]) -> None:
-        """Send a shard's attempt when its turn has come, unless its answer would come too late."""
+    def on_turn(self, shard_id: str, now: float, actions: list[Action]) -> None:
+        """Send the attempt of a waiting shard, or give up the shard if the answer would come too late."""
         progress = self._fanout.shard(shard_id)
         progress.waiter = None
         typical = self.service.latency_of(self.query.request_class).quantile(0.5, now) or 0.0
@@ -135,7 +135,7 @@
         self._finish_if_settled(now, actions)
 
     def abandon(self, now: float, actions: list[Action]) -> None:
-        """Cancel everything: the caller is gone."""
+        """Cancel everything, because the caller disconnected."""
         self._close(now, actions)
 
     # --- plan ---
@@ -149,14 +149,15 @@
     def _ask(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
         if not self._fanout.dropped_by_all(progress):
             self._fanout.dispatch(progress, now, actions)
-        elif not self._fanout.ask_doubtful(progress, now, actions):
-            # Other replies will tell which snapshot is held everywhere now.
+        elif not self._fanout.send_unconfirmed(progress, now, actions):
+            # Replies of other servers will report which snapshot all shards hold now.
             self._retry_later(progress, now, actions)
 
     def _replan(self, now: float, actions: list[Action]) -> bool:
-        """Start over at another common snapshot; every old partial is discarded.
+        """Restart at another snapshot that all shards hold; discard all partial answers.
 
-        What unasked servers hold may be old news, so one re-plan is not always enough.
+        The known holdings of servers that were not asked may be stale, so one re-plan is not always enough.
+        Returns whether the query was re-planned.
         """
         if self._replans >= MAXIMUM_REPLANS:
             return False
@@ -184,7 +185,7 @@
         if not self.query.repeatable and progress.verdict is not Verdict.NOT_RUN:
             return False
         if failure.reason is Reason.SNAPSHOT_UNAVAILABLE:
-            # The other shards' replies tell within moments which snapshot is held everywhere.
+            # The replies of the other shards will soon report which snapshot all shards hold.
             return True
         if len(progress.tried) >= options.maximum_attempts:
             return False
@@ -209,13 +210,13 @@
                 self._ask(progress, now, actions)
         self._finish_if_settled(now, actions)
 
-    # --- ends ---
+    # --- end ---
 
     def _minimum_coverage(self, serve: documents.Serve) -> float:
         return max(serve.minimum_coverage, self.query.minimum_coverage)
 
     def _finish_if_settled(self, now: float, actions: list[Action]) -> None:
-        """End when nothing is open, or as soon as the least coverage is out of reach."""
+        """End the query when no shard is open, or once the minimum coverage can't be reached any more."""
         if self.finished:
             return
         coverage_unreachable = (
@@ -239,7 +240,7 @@
             self._answer(coverage, now, actions)
 
     def _end(self, now: float, actions: list[Action]) -> None:
-        """Answer with the coverage reached if the policy accepts it; refuse otherwise."""
+        """Answer if the policy accepts the coverage reached; refuse otherwise."""
         coverage = self._fanout.coverage()
         if coverage.fraction >= FULL_COVERAGE:
             self._answer(coverage, now, actions)
--- a/src/yokesill/routing/router.py
+++ b/src/yokesill/routing/router.py
@@ -1,7 +1,7 @@
-"""The router of ``yokesill serve``: the one interface through which a node's data path is driven.
+"""The router of ``yokesill serve``: the only interface to a node's data-path decisions.
 
-``Router.on_event`` takes a typed event and the time and returns actions. It owns the queries in flight, the
-services' state, the servers and the waiters, and does no I/O.
+``Router.on_event`` takes a typed event and the time and returns actions. The router owns the queries in
+flight, the state of the services, the servers and the waiters. It does no I/O.
 """
 
 import random
@@ -21,9 +21,9 @@
 from yokesill.routing.waiting import ShardKey, Waiter
 from yokesill.verdict import Failure, Reason, Verdict
 
-# Of the class's latency; a query that this would make late is refused on arrival.
+# The quantile of the class's latency that admission adds to the expected wait of a query.
 ADMISSION_QUANTILE = 0.9
-# Failures that count towards a server's ejection; shedding and declining don't.
+# Failures that count towards the ejection of a server; shed and declined attempts don't.
 SERVER_FAULTS = frozenset(
     {
         Reason.CONNECT_FAILED,
@@ -37,7 +37,7 @@
 
 
 class Router:
-    """Routes all queries of a node; ``on_event`` is its whole interface."""
+    """Routes all queries of a node; events enter only through ``on_event``."""
 
     def __init__(self, options: RoutingOptions, random_source: random.Random) -> None:
         self._context: RoutingContext[QueryMachine] = RoutingContext(
@@ -46,30 +46,30 @@
         self._services: dict[ServiceName, ServiceState] = {}
         self._queries: dict[str, QueryMachine] = {}
 
-    # --- what others may look at ---
+    # --- state for reading ---
 
     @property
     def servers(self) -> ServerTable:
-        """The servers that this node knows."""
+        """The servers of all services at this node."""
         return self._context.servers
 
     @property
     def queries_in_flight(self) -> int:
-        """How many queries have no final answer yet."""
+        """The number of queries without a final answer."""
         return len(self._queries)
 
     def service(self, name: ServiceName) -> ServiceState | None:
-        """Return a service's state."""
+        """Return the state of a service, if it is installed."""
         return self._services.get(name)
 
     def services(self) -> list[ServiceState]:
-        """Return every service's state."""
+        """Return the state of every service."""
         return list(self._services.values())
 
-    # --- the interface ---
+    # --- events ---
 
     def on_event(self, event: ev.Event, now: float) -> list[ev.Action]:
-        """Take one event at ``now`` (seconds) and return what is to be done, in order."""
+        """Handle one event at ``now`` (seconds) and return the actions to carry out, in order."""
         actions: list[ev.Action] = []
         match event:
             case ev.QueryArrived(query):
@@ -81,7 +81,7 @@
             case ev.TimerFired(query_id, kind):
                 machine = self._queries.get(query_id)
                 if machine is not None:
-                    machine.timer(kind, now, actions)
+                    machine.on_timer(kind, now, actions)
                     self._forget_if_finished(machine)
             case ev.CallerLeft(query_id):
                 machine = self._queries.pop(query_id, None)
@@ -153,15 +153,15 @@
         if not machine.has_attempt(event.attempt_id):
             return
         machine.service.count_shed(False)
-        # A shard reply that must not be merged is the server's fault, however quickly it came.
+        # A shard reply that must not be merged counts as a failure of the server, however fast it was.
         defect = machine.defect(event.partial)
-        changed = server.answered(now - sent_at, now) if defect is None else server.failed(now)
+        changed = server.record_answer(now - sent_at, now) if defect is None else server.record_failure(now)
         if changed:
             self.servers.generation += 1
         if defect is None:
-            machine.answered(event.partial, now, actions)
+            machine.on_answer(event.partial, now, actions)
         else:
-            machine.failed(event.attempt_id, Failure(defect, Verdict.RAN), now, actions)
+            machine.on_failure(event.attempt_id, Failure(defect, Verdict.RAN), now, actions)
         self._forget_if_finished(machine)
 
     def _attempt_failed(self, event: ev.AttemptFailed, now: float, actions: list[ev.Action]) -> None:
@@ -173,10 +173,10 @@
         machine.service.count_shed(reason is Reason.SHED)
         if reason is Reason.SHED:
             server.back_off(now)
-        elif reason in SERVER_FAULTS and server.failed(now):
+        elif reason in SERVER_FAULTS and server.record_failure(now):
             self.servers.generation += 1
         if machine.has_attempt(event.attempt_id):
-            machine.failed(event.attempt_id, event.failure, now, actions)
+            machine.on_failure(event.attempt_id, event.failure, now, actions)
             self._forget_if_finished(machine)
 
     def _end_attempt(self, attempt_id: str) -> tuple[QueryMachine | None, ServerState | None, float]:
@@ -200,14 +200,14 @@
         if report is None:
             return
         was_leaving, held = server.state == LEAVING, server.servable()
-        if server.observe(report, asked_at, now):
+        if server.apply_report(report, asked_at, now):
             self.servers.generation += 1
-            self._reconsider(held - server.servable(), now, actions)
+            self._evict_waiters(held - server.servable(), now, actions)
         if report.leaving and not was_leaving:
             actions.append(ev.AnnounceLeaving(server.address, report.incarnation))
 
-    def _reconsider(self, dropped: set[ShardKey], now: float, actions: list[ev.Action]) -> None:
-        """Let waiters for a snapshot that a server dropped decide anew: no server may hold it now."""
+    def _evict_waiters(self, dropped: set[ShardKey], now: float, actions: list[ev.Action]) -> None:
+        """Dispatch the waiters for a dropped snapshot again, since no server may hold it any more."""
         for key in sorted(dropped, key=str):
             for waiter in self._context.waiting.evict(key):
                 self._end_wait(waiter, now, actions)
@@ -215,7 +215,7 @@
     def _end_wait(self, waiter: Waiter, now: float, actions: list[ev.Action]) -> None:
         machine = self._queries.get(waiter.query_id)
         if machine is not None:
-            machine.wait_over(waiter.shard_id, now, actions)
+            machine.on_turn(waiter.shard_id, now, actions)
             self._forget_if_finished(machine)
 
     def _server_observed(self, event: ev.ServerObserved, now: float, actions: list[ev.Action]) -> None:
@@ -223,7 +223,7 @@
         if server is None:
             return
         if event.report is None:
-            if server.failed(now):
+            if server.record_failure(now):
                 self.servers.generation += 1
             return
         self._observe(server, event.report, event.asked_at, now, actions)
@@ -231,7 +231,7 @@
 
     def _server_leaving(self, address: str, incarnation: str, now: float) -> None:
         server = self.servers.get(address)
-        if server is not None and server.leave(incarnation, now):
+        if server is not None and server.mark_leaving(incarnation, now):
             self.servers.generation += 1
 
     def _install(self, compiled: CompiledService) -> None:
@@ -256,18 +256,18 @@
     # --- waiters ---
 
     def _serve_waiters(self, now: float, actions: list[ev.Action]) -> None:
-        """Give freed slots to the next waiters."""
+        """Give released slots to the next waiters."""
         freed = self._context.freed
         while freed:
             server = freed.pop()
-            while server.may_take(now):
-                turn = self._context.waiting.next(server.servable(), now)
+            while server.can_accept(now):
+                turn = self._context.waiting.pop_next(server.servable(), now)
                 if turn is None:
                     break
                 before = server.in_flight
                 self._end_wait(turn, now, actions)
                 if server.in_flight == before:
-                    # The waiter did not use the slot: it may have tried this server already.
+                    # The waiter did not use the slot, perhaps because it has tried this server already.
                     break
 
 
--- a/src/yokesill/routing/service.py
+++ b/src/yokesill/routing/service.py
@@ -1,4 +1,4 @@
-"""What the router keeps for each service: configuration, budget, latencies and the pinned snapshot."""
+"""The router's state of each service: configuration, budget, latencies and the pinned snapshot."""
 
 from dataclasses import dataclass, field
 
@@ -7,18 +7,18 @@
 from yokesill.routing.latency import LatencyWindow
 from yokesill.routing.messages import Snapshot
 from yokesill.routing.options import RoutingOptions
-from yokesill.routing.selection import any_left
+from yokesill.routing.selection import has_candidate
 from yokesill.routing.servers import ServerState, ServerTable
 from yokesill.routing.snapshots import choose_snapshot
 
-# The weight of the newest attempt in the share of shed attempts, a fact that policies may read: follows a
-# change within some twenty attempts.
+# Weight of the newest attempt in the moving average of shed attempts, which policies may read. The average
+# follows a change within some twenty attempts.
 SHED_WEIGHT = 0.05
 
 
 @dataclass(slots=True)
 class ServiceState:
-    """A service's configuration with its live figures."""
+    """A service's configuration with its live statistics."""
 
     compiled: CompiledService
     options: RoutingOptions
@@ -33,11 +33,11 @@
 
     @classmethod
     def create(cls, compiled: CompiledService, options: RoutingOptions) -> "ServiceState":
-        """Return the state of a service that is new at this node."""
+        """Return the initial state of a service at this node."""
         return cls(compiled, options, AttemptBudget(compiled.extra_load_budget, options.budget_burst))
 
     def install(self, compiled: CompiledService, servers: ServerTable) -> None:
-        """Swap the configuration in, whole, and resolve its replicas."""
+        """Replace the configuration as a whole and resolve its replicas to servers."""
         self.compiled = compiled
         self.budget.ratio = compiled.extra_load_budget
         self._pinned_generation = -1
@@ -52,9 +52,9 @@
         return self._servers_of.get((epoch, shard_id), ())
 
     def pin(self, servers: ServerTable, key_hash: int | None = None) -> Snapshot | None:
-        """Return the best snapshot of all shards, or of the one that owns ``key_hash``.
+        """Return the best snapshot for all shards, or for the one that owns ``key_hash``.
 
-        That of all shards is cached until a server's state changes.
+        The snapshot for all shards is cached until the state of a server changes.
         """
         if key_hash is not None:
             return choose_snapshot(self.compiled, servers, key_hash)
@@ -64,14 +64,14 @@
         return self._pinned
 
     def asked_shards(self, snapshot: Snapshot, key_hash: int | None) -> tuple[CompiledShard, ...]:
-        """Return the shards that a query asks under ``snapshot``."""
+        """Return the shards that a query goes to under ``snapshot``."""
         shard_map = self.compiled.maps[snapshot.epoch]
         return shard_map.shards if key_hash is None else (shard_map.shard_of(key_hash),)
 
     def fully_held(self, snapshot: Snapshot, key_hash: int | None) -> bool:
-        """Whether every asked shard has a server that is known to hold ``snapshot``."""
+        """Whether every shard of the query has a server that is known to hold ``snapshot``."""
         return all(
-            any_left(self.servers_of(snapshot.epoch, shard.id), snapshot, ())
+            has_candidate(self.servers_of(snapshot.epoch, shard.id), snapshot, ())
             for shard in self.asked_shards(snapshot, key_hash)
         )
 
@@ -83,11 +83,11 @@
         return window
 
     def count_shed(self, shed: bool) -> None:
-        """Fold one attempt's end into the share of attempts that are shed."""
+        """Update the share of shed attempts with one ended attempt."""
         self.shed_rate += SHED_WEIGHT * ((1.0 if shed else 0.0) - self.shed_rate)
 
     def count_attempt(self, extra: bool) -> None:
-        """Count an attempt; first attempts earn budget for extra ones."""
+        """Count an attempt; a first attempt adds to the budget of extra ones."""
         if extra:
             self.extra_attempts += 1
         else:
--- a/src/yokesill/routing/snapshots.py
+++ b/src/yokesill/routing/snapshots.py
@@ -1,4 +1,4 @@
-"""Chooses the snapshot that a query pins: the newest that a replica of every shard holds."""
+"""Chooses the snapshot that a query pins: the newest one that a replica of every shard holds."""
 
 from collections.abc import Callable
 
@@ -10,9 +10,9 @@
 def choose_snapshot(
     service: CompiledService, servers: ServerTable, key_hash: int | None = None
 ) -> Snapshot | None:
-    """Return the snapshot of best coverage, the newest among equals; ``None`` when none is held.
+    """Return the snapshot with the best coverage, the newest among equals; ``None`` when none is held.
 
-    With a ``key_hash`` only the shard that owns it counts.
+    With a ``key_hash``, only the shard that owns it is considered.
     """
     candidates = {
         snapshot
--- a/src/yokesill/routing/waiting.py
+++ b/src/yokesill/routing/waiting.py
@@ -1,8 +1,9 @@
-"""Whose turn it is when a server has a free slot again.
+"""The queue of shards that wait for a free slot of a server.
 
-Shards of queries wait here, by shard and snapshot, so a freed server is only offered what it can serve. The
-highest priority goes first; within a priority the namespace that got least of its share; within a namespace
-the earliest deadline. The queue's recent pace gives the expected wait that admission uses (seconds).
+Waiters are kept by shard and snapshot, so a server with a free slot is only offered what it can serve. The
+highest priority goes first; within a priority, the namespace that has received the least relative to its
+share; within a namespace, the earliest deadline. The recent service interval of a queue gives the expected
+wait (in seconds) that admission uses.
 """
 
 import heapq
@@ -13,8 +14,8 @@
 from yokesill.routing.messages import Snapshot
 
 ShardKey = tuple[ServiceName, str, Snapshot]
-# The weight of the newest interval between two turns in a queue's pace: follows a change of pace within some
-# five turns.
+# Weight of the newest interval between two served waiters in its moving average, which follows a change
+# within some five waiters.
 INTERVAL_WEIGHT = 0.2
 
 
@@ -30,7 +31,7 @@
 
 
 class WaitingQueue:
-    """All waiters of a node, and how long waiting took lately."""
+    """All waiters of a node, with recent service intervals."""
 
     def __init__(self) -> None:
         self._queues: dict[ShardKey, list[Waiter]] = {}
@@ -40,7 +41,7 @@
         self._intervals: dict[ShardKey, float] = {}
         self._served_at: dict[ShardKey, float] = {}
 
-    def enter(self, key: ShardKey, query_id: str, priority: int, deadline: float, now: float) -> Waiter:
+    def add(self, key: ShardKey, query_id: str, priority: int, deadline: float, now: float) -> Waiter:
         """Add a waiter for the shard ``key``."""
         order = (-priority, deadline, next(self._sequence))
         waiter = Waiter(order, query_id, key[1], now)
@@ -48,8 +49,8 @@
         self._counts[key] = self._counts.get(key, 0) + 1
         return waiter
 
-    def leave(self, key: ShardKey, waiter: Waiter) -> None:
-        """Remove a waiter before its turn."""
+    def remove(self, key: ShardKey, waiter: Waiter) -> None:
+        """Remove a waiter that has not been served."""
         if not waiter.abandoned:
             waiter.abandoned = True
             self._counts[key] -= 1
@@ -61,13 +62,13 @@
         return waiters
 
     def length(self, key: ShardKey) -> int:
-        """Return how many wait for the shard."""
+        """Return the number of waiters for the shard ``key``."""
         return self._counts.get(key, 0)
 
     def delay(self, key: ShardKey, now: float) -> float:
-        """Return the expected wait of a new waiter in seconds: the queue before it, at the recent pace.
+        """Return the expected wait of a new waiter in seconds: queue length times recent service interval.
 
-        It is at least as long as the first waiter has waited, so a stalled queue is seen.
+        It is at least as long as the first waiter has waited, so that a stalled queue is noticed.
         """
         head = self._head(key)
         if head is None:
@@ -75,31 +76,31 @@
         pace = (self.length(key) + 1) * self._intervals.get(key, 0.0)
         return max(pace, now - head.since_s)
 
-    def next(self, keys: set[ShardKey], now: float) -> Waiter | None:
+    def pop_next(self, keys: set[ShardKey], now: float) -> Waiter | None:
         """Remove and return the next waiter among those for ``keys``."""
         heads = [(key, head) for key in keys if (head := self._head(key)) is not None]
         if not heads:
             return None
-        key, waiter = min(heads, key=lambda each: self._turn(*each))
+        key, waiter = min(heads, key=lambda each: self._sort_key(*each))
         heapq.heappop(self._queues[key])
         self._counts[key] -= 1
-        self._count_turn(key, waiter, now)
+        self._update_pace(key, waiter, now)
         return waiter
 
-    def _count_turn(self, key: ShardKey, waiter: Waiter, now: float) -> None:
-        """Fold the time since the last turn, or since this waiter entered, into the queue's pace."""
+    def _update_pace(self, key: ShardKey, waiter: Waiter, now: float) -> None:
+        """Update the service interval: the time since the last served waiter, or since this one was added."""
         since = max(self._served_at.get(key, 0.0), waiter.since_s)
         pace = self._intervals.get(key, 0.0)
         self._intervals[key] = pace + INTERVAL_WEIGHT * (now - since - pace)
         self._served_at[key] = now
 
-    def count_served(self, name: ServiceName, share: float) -> None:
-        """Charge a namespace for one attempt; a larger share makes it cheaper."""
+    def charge_namespace(self, name: ServiceName, share: float) -> None:
+        """Charge a namespace for one attempt; the charge is inversely proportional to its share."""
         floor = min(self._served.values(), default=0.0)
         current = max(self._served.get(name.namespace, floor), floor)
         self._served[name.namespace] = current + 1.0 / share
 
-    def _turn(self, key: ShardKey, waiter: Waiter) -> tuple[int, float, float, int]:
+    def _sort_key(self, key: ShardKey, waiter: Waiter) -> tuple[int, float, float, int]:
         priority, deadline, sequence = waiter.order
         return (priority, self._served.get(key[0].namespace, 0.0), deadline, sequence)
 
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -23,7 +23,7 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 NAME = ServiceName("lima", "hours")
-FIRST = Snapshot(1, 1)
+FIRST_SNAPSHOT = Snapshot(1, 1)
 CLASS = "rules: [{then: {wait_ms: 1000, hedge: {quantile: 0.9}}}]"
 
 
@@ -46,7 +46,7 @@
     router = Router(RoutingOptions(zone="z1", **options), random.Random(1))  # type: ignore[arg-type]
     router.on_event(ev.ServiceInstalled(service), 0.0)
     for server in list(router.servers.all()):
-        router.on_event(ev.ServerObserved(server.address, report(FIRST), 0.0), 0.0)
+        router.on_event(ev.ServerObserved(server.address, report(FIRST_SNAPSHOT), 0.0), 0.0)
     return router
 
 
@@ -54,19 +54,21 @@
     return ServerReport("1", frozenset(held), LoadReport(4, 0, queued))
 
 
-def arrive(router: Router, number: int, now: float, deadline: float = 1.0) -> list[ev.Action]:
+def submit(router: Router, number: int, now: float, deadline: float = 1.0) -> list[ev.Action]:
     query = QueryRequest(f"q{number}", NAME, "search", None, 1, now + deadline, True)
     return router.on_event(ev.QueryArrived(query), now)
 
 
-def sends(actions: list[ev.Action]) -> list[ev.SendAttempt]:
+def sent_attempts(actions: list[ev.Action]) -> list[ev.SendAttempt]:
     return [each for each in actions if isinstance(each, ev.SendAttempt)]
 
 
 def answer(router: Router, send: ev.SendAttempt, now: float, queued: int = 0) -> list[ev.Action]:
     attempt = send.attempt
     partial = Partial(attempt.attempt_id, attempt.snapshot, attempt.range, [1])
-    return router.on_event(ev.AttemptAnswered(attempt.attempt_id, partial, report(FIRST, queued=queued)), now)
+    return router.on_event(
+        ev.AttemptAnswered(attempt.attempt_id, partial, report(FIRST_SNAPSHOT, queued=queued)), now
+    )
 
 
 def test_a_query_that_awaits_a_snapshot_has_one_retry_timer() -> None:
@@ -76,7 +78,7 @@
         if int(server.address.split(".")[2]) < 4:
             router.on_event(ev.ServerObserved(server.address, report(Snapshot(1, 2)), 0.0), 0.0)
     router.servers.generation += 1
-    actions = arrive(router, 1, 0.0)
+    actions = submit(router, 1, 0.0)
     for step in range(1, 20):
         timers = [a for a in actions if isinstance(a, ev.SetTimer) and a.kind is ev.TimerKind.RETRY]
         assert len(timers) <= 1
@@ -85,7 +87,7 @@
 
 def test_late_answers_of_cancelled_attempts_fall_on_the_floor() -> None:
     router = make_router(1, 2)
-    (send,) = sends(arrive(router, 1, 0.0))
+    (send,) = sent_attempts(submit(router, 1, 0.0))
     router.on_event(ev.CallerLeft("q1"), 0.1)
     assert answer(router, send, 0.2) == []
     assert all(server.in_flight == 0 for server in router.servers.all())
@@ -96,14 +98,14 @@
     (server,) = router.servers.all()
     newer = report(Snapshot(1, 2))
     router.on_event(ev.ServerObserved(server.address, newer, 0.02), 0.03)
-    router.on_event(ev.ServerObserved(server.address, report(FIRST), 0.01), 0.04)
+    router.on_event(ev.ServerObserved(server.address, report(FIRST_SNAPSHOT), 0.01), 0.04)
     assert server.holdings == {Snapshot(1, 2)}
 
 
 def test_a_report_that_ends_its_own_query_is_harmless() -> None:
     # One server holds both shards and has one slot: one shard is sent, the other waits.
     router = make_router(2, 1, initial_limit=1.0, shared_server=True)
-    (send,) = sends(arrive(router, 1, 0.0))
+    (send,) = sent_attempts(submit(router, 1, 0.0))
     failure = Failure(Reason.SNAPSHOT_UNAVAILABLE, Verdict.NOT_RUN)
     empty = ServerReport("1", frozenset(), LoadReport(4, 0, 0))
     actions = router.on_event(ev.AttemptFailed(send.attempt.attempt_id, failure, empty), 0.01)
@@ -113,9 +115,11 @@
 
 def test_a_given_up_query_is_refused_in_the_same_step() -> None:
     router = make_router(1, 1, retries=False)
-    (send,) = sends(arrive(router, 1, 0.0))
+    (send,) = sent_attempts(submit(router, 1, 0.0))
     failure = Failure(Reason.SHED, Verdict.NOT_RUN)
-    actions = router.on_event(ev.AttemptFailed(send.attempt.attempt_id, failure, report(FIRST)), 0.01)
+    actions = router.on_event(
+        ev.AttemptFailed(send.attempt.attempt_id, failure, report(FIRST_SNAPSHOT)), 0.01
+    )
     (refusal,) = [each for each in actions if isinstance(each, ev.Refuse)]
     assert refusal.failure.verdict is Verdict.NOT_RUN
 
@@ -125,23 +129,23 @@
     (server,) = router.servers.all()
     before = server.limit
     for number in range(5):
-        (send,) = sends(arrive(router, number, number * 0.2))
+        (send,) = sent_attempts(submit(router, number, number * 0.2))
         answer(router, send, number * 0.2 + 0.01, queued=20)
     assert server.limit < before / 2
 
 
 def test_overload_is_refused_on_arrival_with_a_time_to_come_back() -> None:
     router = make_router(1, 1, initial_limit=1.0)
-    first = sends(arrive(router, 0, 0.0))
+    first = sent_attempts(submit(router, 0, 0.0))
     for number in range(1, 12):
-        arrive(router, number, 0.0)
+        submit(router, number, 0.0)
     # The only slot turns over slowly: the queue's pace says that a newcomer waits too long.
     now = 0.0
     live = first
     for _ in range(3):
         now += 0.2
-        live = sends(answer(router, live[0], now))
-    (refusal,) = arrive(router, 99, now)
+        live = sent_attempts(answer(router, live[0], now))
+    (refusal,) = submit(router, 99, now)
     assert isinstance(refusal, ev.Refuse)
     assert refusal.failure.reason is Reason.OVERLOADED
     assert refusal.failure.verdict is Verdict.NOT_RUN
@@ -149,19 +153,19 @@
 
 
 def test_waiting_serves_priority_then_share_then_deadline() -> None:
-    room = WaitingQueue()
+    queue = WaitingQueue()
     big, small = ServiceName("big", "s"), ServiceName("small", "s")
     for number in range(30):
-        room.enter((big, "s0", FIRST), f"big{number}", 5, 1.0 + number, 0.0)
-        room.enter((small, "s0", FIRST), f"small{number}", 5, 9.0, 0.0)
-    room.enter((small, "s0", FIRST), "urgent", 9, 99.0, 0.0)
+        queue.add((big, "s0", FIRST_SNAPSHOT), f"big{number}", 5, 1.0 + number, 0.0)
+        queue.add((small, "s0", FIRST_SNAPSHOT), f"small{number}", 5, 9.0, 0.0)
+    queue.add((small, "s0", FIRST_SNAPSHOT), "urgent", 9, 99.0, 0.0)
     order = []
-    keys = {(big, "s0", FIRST), (small, "s0", FIRST)}
-    while (turn := room.next(keys, 0.0)) is not None:
+    keys = {(big, "s0", FIRST_SNAPSHOT), (small, "s0", FIRST_SNAPSHOT)}
+    while (turn := queue.pop_next(keys, 0.0)) is not None:
         order.append(turn.query_id)
         # The big namespace's share is twice the small one's.
         name, share = (big, 2.0) if turn.query_id.startswith("big") else (small, 1.0)
-        room.count_served(name, share)
+        queue.charge_namespace(name, share)
     assert order[0] == "urgent"
     assert 19 <= sum(each.startswith("big") for each in order[1:31]) <= 21
     assert [each for each in order if each.startswith("big")] == [f"big{number}" for number in range(30)]
