--- a/src/yokesill/backends/health.py
+++ b/src/yokesill/backends/health.py
@@ -42,8 +42,8 @@
         """Return the servers to check; those without a report or holdings are checked ten times as often."""
         due = []
         for server in self._router.servers.all():
-            known = server.holdings and server.reported_at_s > float("-inf")
-            interval = self._interval if known else self._interval / 10
+            reported = server.holdings and server.reported_at_s > float("-inf")
+            interval = self._interval if reported else self._interval / 10
             last = max(server.reported_at_s, self._asked_at.get(server.address, float("-inf")))
             if now - last >= interval:
                 due.append(server.address)
--- a/src/yokesill/routing/admission.py
+++ b/src/yokesill/routing/admission.py
@@ -41,13 +41,13 @@
     """
     if query.deadline_at_s <= now:
         return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "the deadline had passed on arrival")
-    rank = (priority + 1) / (HIGHEST_PRIORITY + 1)
-    too_long = longest_queue >= options.waiting_bound * rank
+    priority_factor = (priority + 1) / (HIGHEST_PRIORITY + 1)
+    queue_full = longest_queue >= options.waiting_bound * priority_factor
     remaining = deadline - now
     too_late = delay > 0.0 and (
-        delay > remaining * options.waiting_share * rank or delay + tail_latency > remaining
+        delay > remaining * options.waiting_share * priority_factor or delay + tail_latency > remaining
     )
-    if not too_long and not too_late:
+    if not queue_full and not too_late:
         return None
     retry_after_ms = max(MINIMUM_RETRY_AFTER_MS, int(delay * 1000))
     detail = f"{longest_queue} waiting, {delay * 1000:.0f} ms expected"
--- a/src/yokesill/routing/fanout.py
+++ b/src/yokesill/routing/fanout.py
@@ -43,11 +43,11 @@
         self.snapshot = snapshot
         self._owner = owner
         self._context = context
-        self._numbers = attempt_numbers
+        self._attempt_numbers = attempt_numbers
         self._shard_of_attempt: dict[str, ShardProgress] = {}
         self._shards = {
             shard.id: ShardProgress(shard.id, shard.range, self._service.servers_of(snapshot.epoch, shard.id))
-            for shard in self._service.asked_shards(snapshot, self._query.key_hash)
+            for shard in self._service.requested_shards(snapshot, self._query.key_hash)
         }
         self._open = len(self._shards)
         self._exhausted = 0
@@ -217,7 +217,7 @@
         )
 
     def _send(self, progress: ShardProgress, server: ServerState, now: float, actions: list[Action]) -> None:
-        attempt_id = f"{self._query.query_id}.{next(self._numbers)}"
+        attempt_id = f"{self._query.query_id}.{next(self._attempt_numbers)}"
         self._service.count_attempt(extra=progress.sent)
         progress.tried.append(server.address)
         progress.live[attempt_id] = LiveAttempt(attempt_id, server, now)
--- a/src/yokesill/routing/hedging.py
+++ b/src/yokesill/routing/hedging.py
@@ -43,7 +43,7 @@
         if delay is not None and now + delay < self._deadline_at_s:
             actions.append(SetTimer(self._query.query_id, TimerKind.HEDGE, now + delay))
 
-    def due(self, fanout: Fanout, now: float, actions: list[Action]) -> None:
+    def hedge_late(self, fanout: Fanout, now: float, actions: list[Action]) -> None:
         """Hedge late attempts, and set the timer for those that are not late yet."""
         delay = self._delay(now)
         if delay is None:
--- a/src/yokesill/routing/query.py
+++ b/src/yokesill/routing/query.py
@@ -85,7 +85,7 @@
         if self._serve.soft_wait_ms is not None:
             soft_at = self._arrived_at + self._serve.soft_wait_ms / 1000
             actions.append(SetTimer(query_id, TimerKind.SOFT, soft_at))
-        self._ask_all(now, actions)
+        self._dispatch_all(now, actions)
 
     def on_answer(self, partial: Partial, now: float, actions: list[Action]) -> None:
         """Merge a valid shard reply and cancel the other attempts of its shard."""
@@ -115,7 +115,7 @@
     def on_timer(self, kind: TimerKind, now: float, actions: list[Action]) -> None:
         """Handle a timer of the query."""
         if kind is TimerKind.HEDGE:
-            self._hedging.due(self._fanout, now, actions)
+            self._hedging.hedge_late(self._fanout, now, actions)
         elif kind is TimerKind.RETRY:
             self._retry_due(now, actions)
         elif kind is TimerKind.SOFT:
@@ -123,15 +123,15 @@
         elif kind is TimerKind.HARD:
             self._end(now, actions)
 
-    def on_turn(self, shard_id: str, now: float, actions: list[Action]) -> None:
-        """Send the attempt of a waiting shard, or give up the shard if the answer would come too late."""
+    def on_wait_ended(self, shard_id: str, now: float, actions: list[Action]) -> None:
+        """Dispatch a shard whose wait has ended, or give it up if the answer would come too late."""
         progress = self._fanout.shard(shard_id)
         progress.waiter = None
-        typical = self.service.latency_of(self.query.request_class).quantile(0.5, now) or 0.0
-        if now + typical >= self.deadline_at_s and not progress.live:
+        median_latency = self.service.latency_of(self.query.request_class).quantile(0.5, now) or 0.0
+        if now + median_latency >= self.deadline_at_s and not progress.live:
             self._fanout.give_up(progress, Reason.OVERLOADED)
         else:
-            self._ask(progress, now, actions)
+            self._dispatch(progress, now, actions)
         self._finish_if_settled(now, actions)
 
     def abandon(self, now: float, actions: list[Action]) -> None:
@@ -140,13 +140,13 @@
 
     # --- plan ---
 
-    def _ask_all(self, now: float, actions: list[Action]) -> None:
+    def _dispatch_all(self, now: float, actions: list[Action]) -> None:
         for progress in self._fanout.shards():
-            self._ask(progress, now, actions)
+            self._dispatch(progress, now, actions)
         self._hedging.arm(now, actions)
         self._finish_if_settled(now, actions)
 
-    def _ask(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
+    def _dispatch(self, progress: ShardProgress, now: float, actions: list[Action]) -> None:
         if not self._fanout.dropped_by_all(progress):
             self._fanout.dispatch(progress, now, actions)
         elif not self._fanout.send_unconfirmed(progress, now, actions):
@@ -173,7 +173,7 @@
         self._discarded_verdict = verdict
         self._fanout.close(now, actions)
         self._fanout = Fanout(self, snapshot, self._context, self._attempt_numbers)
-        self._ask_all(now, actions)
+        self._dispatch_all(now, actions)
         return True
 
     # --- retries ---
@@ -207,7 +207,7 @@
         for progress in self._fanout.shards():
             if progress.retry_due and progress.open:
                 progress.retry_due = False
-                self._ask(progress, now, actions)
+                self._dispatch(progress, now, actions)
         self._finish_if_settled(now, actions)
 
     # --- end ---
--- a/src/yokesill/routing/router.py
+++ b/src/yokesill/routing/router.py
@@ -119,7 +119,7 @@
         if snapshot is None:
             detail = "no replica has told yet which snapshots it holds"
             return Failure(Reason.NO_SNAPSHOT, Verdict.NOT_RUN, detail, DEFAULT_RETRY_AFTER_MS)
-        shards = service.asked_shards(snapshot, query.key_hash)
+        shards = service.requested_shards(snapshot, query.key_hash)
         keys: list[ShardKey] = [(query.service, shard.id, snapshot) for shard in shards]
         delay = queue_delay(self._context.waiting, keys, now)
         facts = _facts(query, policy.priority, service, delay, now)
@@ -215,7 +215,7 @@
     def _end_wait(self, waiter: Waiter, now: float, actions: list[ev.Action]) -> None:
         machine = self._queries.get(waiter.query_id)
         if machine is not None:
-            machine.on_turn(waiter.shard_id, now, actions)
+            machine.on_wait_ended(waiter.shard_id, now, actions)
             self._forget_if_finished(machine)
 
     def _server_observed(self, event: ev.ServerObserved, now: float, actions: list[ev.Action]) -> None:
@@ -261,11 +261,11 @@
         while freed:
             server = freed.pop()
             while server.can_accept(now):
-                turn = self._context.waiting.pop_next(server.servable(), now)
-                if turn is None:
+                waiter = self._context.waiting.pop_next(server.servable(), now)
+                if waiter is None:
                     break
                 before = server.in_flight
-                self._end_wait(turn, now, actions)
+                self._end_wait(waiter, now, actions)
                 if server.in_flight == before:
                     # The waiter did not use the slot, perhaps because it has tried this server already.
                     break
--- a/src/yokesill/routing/servers.py
+++ b/src/yokesill/routing/servers.py
@@ -99,8 +99,8 @@
         if self._load is None or self._load.slots < 1:
             return 0.0
         age = now - self._load_at
-        faded = 0.5 ** (age / self._options.load_report_half_life_s)
-        return float((self._load.queued + self._load.active) / self._load.slots * faded)
+        decay = 0.5 ** (age / self._options.load_report_half_life_s)
+        return float((self._load.queued + self._load.active) / self._load.slots * decay)
 
     def record_answer(self, latency: float, now: float) -> bool:
         """Count an answer; return whether the state changed."""
--- a/src/yokesill/routing/service.py
+++ b/src/yokesill/routing/service.py
@@ -63,7 +63,7 @@
             self._pinned_generation = servers.generation
         return self._pinned
 
-    def asked_shards(self, snapshot: Snapshot, key_hash: int | None) -> tuple[CompiledShard, ...]:
+    def requested_shards(self, snapshot: Snapshot, key_hash: int | None) -> tuple[CompiledShard, ...]:
         """Return the shards that a query goes to under ``snapshot``."""
         shard_map = self.compiled.maps[snapshot.epoch]
         return shard_map.shards if key_hash is None else (shard_map.shard_of(key_hash),)
@@ -72,7 +72,7 @@
         """Whether every shard of the query has a server that is known to hold ``snapshot``."""
         return all(
             has_candidate(self.servers_of(snapshot.epoch, shard.id), snapshot, ())
-            for shard in self.asked_shards(snapshot, key_hash)
+            for shard in self.requested_shards(snapshot, key_hash)
         )
 
     def latency_of(self, request_class: str) -> LatencyWindow:
--- a/src/yokesill/routing/waiting.py
+++ b/src/yokesill/routing/waiting.py
@@ -36,7 +36,7 @@
     def __init__(self) -> None:
         self._queues: dict[ShardKey, list[Waiter]] = {}
         self._counts: dict[ShardKey, int] = {}
-        self._served: dict[str, float] = {}
+        self._charges: dict[str, float] = {}
         self._sequence = itertools.count()
         self._intervals: dict[ShardKey, float] = {}
         self._served_at: dict[ShardKey, float] = {}
@@ -73,8 +73,8 @@
         head = self._head(key)
         if head is None:
             return 0.0
-        pace = (self.length(key) + 1) * self._intervals.get(key, 0.0)
-        return max(pace, now - head.since_s)
+        expected = (self.length(key) + 1) * self._intervals.get(key, 0.0)
+        return max(expected, now - head.since_s)
 
     def pop_next(self, keys: set[ShardKey], now: float) -> Waiter | None:
         """Remove and return the next waiter among those for ``keys``."""
@@ -84,25 +84,25 @@
         key, waiter = min(heads, key=lambda each: self._sort_key(*each))
         heapq.heappop(self._queues[key])
         self._counts[key] -= 1
-        self._update_pace(key, waiter, now)
+        self._update_interval(key, waiter, now)
         return waiter
 
-    def _update_pace(self, key: ShardKey, waiter: Waiter, now: float) -> None:
+    def _update_interval(self, key: ShardKey, waiter: Waiter, now: float) -> None:
         """Update the service interval: the time since the last served waiter, or since this one was added."""
         since = max(self._served_at.get(key, 0.0), waiter.since_s)
-        pace = self._intervals.get(key, 0.0)
-        self._intervals[key] = pace + INTERVAL_WEIGHT * (now - since - pace)
+        interval = self._intervals.get(key, 0.0)
+        self._intervals[key] = interval + INTERVAL_WEIGHT * (now - since - interval)
         self._served_at[key] = now
 
     def charge_namespace(self, name: ServiceName, share: float) -> None:
         """Charge a namespace for one attempt; the charge is inversely proportional to its share."""
-        floor = min(self._served.values(), default=0.0)
-        current = max(self._served.get(name.namespace, floor), floor)
-        self._served[name.namespace] = current + 1.0 / share
+        floor = min(self._charges.values(), default=0.0)
+        current = max(self._charges.get(name.namespace, floor), floor)
+        self._charges[name.namespace] = current + 1.0 / share
 
     def _sort_key(self, key: ShardKey, waiter: Waiter) -> tuple[int, float, float, int]:
         priority, deadline, sequence = waiter.order
-        return (priority, self._served.get(key[0].namespace, 0.0), deadline, sequence)
+        return (priority, self._charges.get(key[0].namespace, 0.0), deadline, sequence)
 
     def _head(self, key: ShardKey) -> Waiter | None:
         queue = self._queues.get(key)
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -1,4 +1,4 @@
-"""A server's connections against servers that answer badly."""
+"""The HTTP client of back ends against servers that send correct, malformed and truncated replies."""
 
 import contextlib
 from typing import Any
@@ -24,7 +24,10 @@
 
 
 def call_server(replies: list[bytes], close: bool = False) -> tuple[list[Any], int]:
-    """Send one attempt for each reply to a server that answers them in turn; count connections."""
+    """Send one attempt for each of ``replies`` to a server that sends them in order.
+
+    Returns the outcomes and the number of connections the server accepted.
+    """
     connections = 0
 
     async def main() -> list[Any]:
@@ -34,7 +37,7 @@
         async def serve(stream: anyio.abc.SocketStream) -> None:
             nonlocal connections
             connections += 1
-            # The client may close at any point: that ends this connection, not the server.
+            # The client may close at any time, which ends only this connection.
             with contextlib.suppress(anyio.EndOfStream, anyio.BrokenResourceError):
                 await answer(stream)
 
@@ -70,17 +73,17 @@
 
 
 class TestReplies:
-    def test_good_replies_share_a_connection(self) -> None:
+    def test_good_replies_reuse_the_connection(self) -> None:
         results, connections = call_server([GOOD, CHUNKED, GOOD])
         assert all(isinstance(each, AttemptAnswered) for each in results)
         assert connections == 1
 
-    def test_closing_reply_opens_another_connection(self) -> None:
+    def test_next_attempt_after_closing_reply_opens_another_connection(self) -> None:
         results, connections = call_server([CLOSING, GOOD])
         assert all(isinstance(each, AttemptAnswered) for each in results)
         assert connections == 2
 
-    def test_kept_alive_connection_closed_by_the_server_is_noticed(self) -> None:
+    def test_idle_connection_closed_by_server_is_replaced(self) -> None:
         results, connections = call_server([GOOD, GOOD, GOOD], close=True)
         assert all(isinstance(each, AttemptAnswered) for each in results)
         assert connections == 3
@@ -99,12 +102,12 @@
             pytest.param(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}", id="empty-object"),
         ],
     )
-    def test_bad_reply_may_have_run_and_is_not_reused(self, reply: bytes) -> None:
+    def test_bad_reply_may_have_run(self, reply: bytes) -> None:
         results, _ = call_server([reply], close=True)
         assert results[0].failure.verdict is Verdict.MAY_HAVE_RUN
         assert results[0].failure.reason in (Reason.CONNECTION_LOST, Reason.MALFORMED_REPLY)
 
-    def test_a_second_reply_is_never_taken_for_the_next_one(self) -> None:
+    def test_surplus_reply_is_not_used_for_the_next_attempt(self) -> None:
         foreign = GOOD.replace(b"q.1", b"q.9")
         results, connections = call_server([GOOD + foreign, GOOD, GOOD])
         assert isinstance(results[0], AttemptAnswered)
--- a/tests/test_decisions.py
+++ b/tests/test_decisions.py
@@ -1,4 +1,4 @@
-"""The deciding parts on their own, without I/O: routing, queues, limits, subsets, checkers."""
+"""Routing, waiting queues, limits, subsetting and load-test checkers, tested without I/O."""
 
 import random
 
@@ -71,9 +71,9 @@
     )
 
 
-def test_a_query_that_awaits_a_snapshot_has_one_retry_timer() -> None:
+def test_query_waiting_for_a_snapshot_has_one_retry_timer() -> None:
     router = make_router(8, 2)
-    # All servers of four shards have moved on; what the other four hold is not known yet.
+    # All servers of four shards hold a newer snapshot; no report of it has come from the other four.
     for server in list(router.servers.all()):
         if int(server.address.split(".")[2]) < 4:
             router.on_event(ev.ServerObserved(server.address, report(Snapshot(1, 2)), 0.0), 0.0)
@@ -85,7 +85,7 @@
         actions = router.on_event(ev.TimerFired("q1", ev.TimerKind.RETRY), step * 0.01)
 
 
-def test_late_answers_of_cancelled_attempts_fall_on_the_floor() -> None:
+def test_late_answer_of_cancelled_attempt_is_ignored() -> None:
     router = make_router(1, 2)
     (send,) = sent_attempts(submit(router, 1, 0.0))
     router.on_event(ev.CallerLeft("q1"), 0.1)
@@ -93,7 +93,7 @@
     assert all(server.in_flight == 0 for server in router.servers.all())
 
 
-def test_a_report_that_was_overtaken_is_ignored() -> None:
+def test_report_older_than_the_last_one_is_ignored() -> None:
     router = make_router(1, 1)
     (server,) = router.servers.all()
     newer = report(Snapshot(1, 2))
@@ -102,8 +102,8 @@
     assert server.holdings == {Snapshot(1, 2)}
 
 
-def test_a_report_that_ends_its_own_query_is_harmless() -> None:
-    # One server holds both shards and has one slot: one shard is sent, the other waits.
+def test_report_that_ends_its_own_query_yields_one_refusal() -> None:
+    # One server with a single slot holds both shards: one shard is sent, the other waits.
     router = make_router(2, 1, initial_limit=1.0, shared_server=True)
     (send,) = sent_attempts(submit(router, 1, 0.0))
     failure = Failure(Reason.SNAPSHOT_UNAVAILABLE, Verdict.NOT_RUN)
@@ -113,7 +113,7 @@
     assert router.queries_in_flight == 0
 
 
-def test_a_given_up_query_is_refused_in_the_same_step() -> None:
+def test_query_without_retries_is_refused_when_its_attempt_fails() -> None:
     router = make_router(1, 1, retries=False)
     (send,) = sent_attempts(submit(router, 1, 0.0))
     failure = Failure(Reason.SHED, Verdict.NOT_RUN)
@@ -124,7 +124,7 @@
     assert refusal.failure.verdict is Verdict.NOT_RUN
 
 
-def test_a_server_that_reports_a_queue_gets_a_lower_limit() -> None:
+def test_limit_shrinks_when_server_reports_a_queue() -> None:
     router = make_router(1, 1)
     (server,) = router.servers.all()
     before = server.limit
@@ -134,12 +134,12 @@
     assert server.limit < before / 2
 
 
-def test_overload_is_refused_on_arrival_with_a_time_to_come_back() -> None:
+def test_overloaded_router_refuses_on_arrival_with_retry_after() -> None:
     router = make_router(1, 1, initial_limit=1.0)
     first = sent_attempts(submit(router, 0, 0.0))
     for number in range(1, 12):
         submit(router, number, 0.0)
-    # The only slot turns over slowly: the queue's pace says that a newcomer waits too long.
+    # The only slot is released slowly, so by the service interval a new query would wait too long.
     now = 0.0
     live = first
     for _ in range(3):
@@ -152,7 +152,7 @@
     assert refusal.failure.retry_after_ms >= 50
 
 
-def test_waiting_serves_priority_then_share_then_deadline() -> None:
+def test_waiting_queue_orders_by_priority_then_share_then_deadline() -> None:
     queue = WaitingQueue()
     big, small = ServiceName("big", "s"), ServiceName("small", "s")
     for number in range(30):
@@ -161,17 +161,17 @@
     queue.add((small, "s0", FIRST_SNAPSHOT), "urgent", 9, 99.0, 0.0)
     order = []
     keys = {(big, "s0", FIRST_SNAPSHOT), (small, "s0", FIRST_SNAPSHOT)}
-    while (turn := queue.pop_next(keys, 0.0)) is not None:
-        order.append(turn.query_id)
-        # The big namespace's share is twice the small one's.
-        name, share = (big, 2.0) if turn.query_id.startswith("big") else (small, 1.0)
+    while (waiter := queue.pop_next(keys, 0.0)) is not None:
+        order.append(waiter.query_id)
+        # The share of the big namespace is twice that of the small one.
+        name, share = (big, 2.0) if waiter.query_id.startswith("big") else (small, 1.0)
         queue.charge_namespace(name, share)
     assert order[0] == "urgent"
     assert 19 <= sum(each.startswith("big") for each in order[1:31]) <= 21
     assert [each for each in order if each.startswith("big")] == [f"big{number}" for number in range(30)]
 
 
-def test_the_budget_bounds_extra_attempts() -> None:
+def test_budget_limits_extra_attempts() -> None:
     budget = AttemptBudget(0.05, 10.0)
     granted = 0
     for _ in range(1000):
@@ -180,7 +180,7 @@
     assert 50 <= granted <= 61
 
 
-def test_subsets_are_balanced_and_stable() -> None:
+def test_subsets_are_balanced_and_change_little_when_a_node_leaves() -> None:
     nodes = [f"10.1.{number // 200}.{number % 200}:1" for number in range(770)]
     servers = [f"10.2.0.{number}:1" for number in range(30)]
     before = assign(nodes, servers, 2)
@@ -194,13 +194,13 @@
     assert assign(list(reversed(nodes)), list(reversed(servers)), 2) == before
 
 
-def test_each_checker_catches_a_planted_violation() -> None:
+def test_each_checker_reports_a_planted_violation() -> None:
     def outcome(**changes: object) -> Outcome:
         values = {"answered": True, "verdict": "ran", "query_id": "q", "coverage": 1.0, "snapshot": (1, 1)}
-        made = Outcome("hours", "search", True, False, 0.0, 0.01, "ran")
+        result = Outcome("hours", "search", True, False, 0.0, 0.01, "ran")
         for name, value in {**values, **changes}.items():
-            setattr(made, name, value)
-        return made
+            setattr(result, name, value)
+        return result
 
     def run(**changes: object) -> Execution:
         values = {"attempt_id": "q.1", "query_id": "q", "address": "a", "shard": "s0", "request_class": "c"}
--- a/tests/test_promises_once.py
+++ b/tests/test_promises_once.py
@@ -1,4 +1,4 @@
-"""Steps of promises.feature: at most once, leaving servers, planned stop."""
+"""Steps of promises.feature on at-most-once execution, leaving servers and planned stops."""
 
 from typing import Any
 
@@ -45,7 +45,7 @@
 
 
 @then("no exam item request ran twice")
-def ran_once(outcome: dict[str, Any]) -> None:
+def assert_ran_once(outcome: dict[str, Any]) -> None:
     assert sum(outcome["ran"].values()) > 0
     assert max(outcome["ran"].values()) == 1
 
@@ -101,7 +101,7 @@
 
     outcome["first"], outcome["early"], outcome["repeats"], outcome["ran_again"] = run_cluster(body, nodes=4)
     for key in KEYS:
-        # Until the loss is noticed a repeat may be refused, but never says other than the truth.
+        # Until the loss is detected a repeat may be refused, but an answer must equal the first one.
         (final,) = outcome["early"][key]
         if isinstance(final, Answer):
             assert final.results == outcome["first"][key][0].results
@@ -146,7 +146,7 @@
 
 
 @then("each key ran at most once and a finished one got the same answer again")
-def same_again(outcome: dict[str, Any]) -> None:
+def assert_same_answers(outcome: dict[str, Any]) -> None:
     assert outcome["ran_again"] == 0
     for key in KEYS:
         (first,), (repeat,) = outcome["first"][key], outcome["repeats"][key]
@@ -166,7 +166,7 @@
 
 
 async def list_first_as_leaving(cluster: SimulatedCluster) -> tuple[ServerModel, int, float]:
-    """List a server that has work as leaving: its model, what it ran before, and when."""
+    """List a busy server as leaving; return its model, its number of executions so far and the time."""
     address, model = next(iter(cluster.models.items()))
     await load_until(cluster, 1)
     before = len(model.executions)
@@ -194,13 +194,14 @@
         address, model = next(iter(cluster.models.items()))
         await load_until(cluster, 1)
         before = len(model.executions)
-        # The server goes on taking work (a broken drain): only what the one node learnt can stop it.
+        # The server still accepts requests (a broken drain), so only the report to this node can
+        # stop them.
         model.set_faults(ServerFaults(leaving=True, ignore_drain=True))
-        told = cluster.node(2)
-        report = await told._backends.check(address)
+        informed = cluster.node(2)
+        report = await informed._backends.check(address)
         model.set_faults(ServerFaults())
         marked = anyio.current_time()
-        told.driver.feed(ServerObserved(address, report, marked))
+        informed.driver.feed(ServerObserved(address, report, marked))
         await load_until(cluster, 6)
         return before, [each.started_at - marked for each in model.executions]
 
@@ -216,7 +217,7 @@
     async def body(cluster: SimulatedCluster) -> Any:
         model, before, marked = await list_first_as_leaving(cluster)
         await anyio.sleep(10)
-        # A watcher would read the list itself; the others can only learn from their peers.
+        # A watcher would read the list itself; the other nodes can only receive it from their peers.
         others = [index for index in range(6) if not cluster.node(index).watcher.watching]
         assert len(others) == 4
         for index in others:
@@ -232,7 +233,7 @@
 
 
 @then("no node sends it new work after 2 seconds")
-def no_new_work(outcome: dict[str, Any]) -> None:
+def assert_no_new_work(outcome: dict[str, Any]) -> None:
     assert outcome["before"] > 0
     late = [at for at in outcome["times"] if at > 2.0]
     assert not late
@@ -275,7 +276,7 @@
 
 
 @then("all of them are answered and the node ends as stopped")
-def all_answered(outcome: dict[str, Any]) -> None:
+def assert_all_answered(outcome: dict[str, Any]) -> None:
     assert len(outcome["finals"]) == 10
     assert all(isinstance(final, Answer) for final in outcome["finals"]), outcome["finals"]
     assert outcome["state"] == "stopped"
@@ -283,7 +284,7 @@
 
 
 @then("requests that come while it drains are refused as not run")
-def refused_while_draining(outcome: dict[str, Any]) -> None:
+def assert_refused_while_draining(outcome: dict[str, Any]) -> None:
     (final,) = outcome["refused"]
     assert isinstance(final, Refuse)
     assert final.failure.verdict is Verdict.NOT_RUN
--- a/tests/test_promises_queries.py
+++ b/tests/test_promises_queries.py
@@ -1,4 +1,4 @@
-"""Steps of promises.feature: snapshot, coverage, own answer, not run."""
+"""Steps of promises.feature on snapshots, coverage, replies of other attempts and the verdict "not run"."""
 
 from typing import Any
 
@@ -31,7 +31,7 @@
 
 
 @when("servers move to version 2 each at its own time, and to version 3 all at once, while queries run")
-def flip(outcome: dict[str, Any]) -> None:
+def flip_versions(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         async def move() -> None:
             models = list(cluster.models.values())
@@ -49,13 +49,13 @@
             task_group.start_soon(move)
             return await ask_many(cluster, 400, 0.005)
 
-    # Two of these orders of ready tasks once left a node's queries waiting for a shard's news.
+    # Two of these orders of ready tasks once left the queries of a node waiting for a shard's report.
     runs = [run_cluster(body, scheduling=seed) for seed in (1, 7, 9)]
     outcome["finals"] = [final for finals in runs for final in finals]
 
 
 @then("no answer mixes versions and no query is refused as long as a common version exists")
-def flipped(outcome: dict[str, Any]) -> None:
+def assert_versions_not_mixed(outcome: dict[str, Any]) -> None:
     for final in outcome["finals"]:
         assert_whole(final)
     assert {final.snapshot.version for final in outcome["finals"]} == {1, 2, 3}
@@ -75,7 +75,7 @@
 
 
 @then("no answer mixes versions")
-def unmixed(outcome: dict[str, Any]) -> None:
+def assert_one_version(outcome: dict[str, Any]) -> None:
     answers = [final for final in outcome["finals"] if isinstance(final, Answer)]
     assert len(answers) >= 95
     for final in answers:
@@ -89,7 +89,7 @@
 @when("the shards are cut anew into a second epoch while queries run")
 def repartition(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
-        async def cut_anew() -> None:
+        async def add_epoch() -> None:
             service = dict(cluster.documents["namespaces/lima/services/hours"])
             shards = [
                 {"id": f"s{index}", "range": each.model_dump()}
@@ -111,14 +111,14 @@
                 await anyio.sleep(0.01)
 
         async with anyio.create_task_group() as task_group:
-            task_group.start_soon(cut_anew)
+            task_group.start_soon(add_epoch)
             return await ask_many(cluster, 500, 0.005)
 
     outcome["finals"] = run_cluster(body)
 
 
 @then("no answer mixes epochs, doubles an entry or misses one")
-def repartitioned(outcome: dict[str, Any]) -> None:
+def assert_entries_complete(outcome: dict[str, Any]) -> None:
     answers = [final for final in outcome["finals"] if isinstance(final, Answer)]
     assert len(answers) >= 495
     for final in answers:
@@ -136,7 +136,7 @@
         for model in shard_models(cluster, 2):
             model.set_faults(ServerFaults(dead=True))
         partial = await ask_many(cluster, 6, 0.05, request_class="partial")
-        # A shard that only hangs must not delay the refusal that the lost one makes certain.
+        # A frozen shard must not delay the refusal that the lost shard makes certain.
         for model in shard_models(cluster, 6):
             model.set_faults(ServerFaults(frozen=True))
         started = anyio.current_time()
@@ -147,7 +147,7 @@
 
 
 @then("a class that accepts partial coverage names the missing range")
-def missing_named(outcome: dict[str, Any]) -> None:
+def assert_missing_range_named(outcome: dict[str, Any]) -> None:
     lost = split_key_space(8)[2]
     for final in outcome["partial"]:
         assert isinstance(final, Answer), final
@@ -157,9 +157,9 @@
 
 
 @then("a class that does not is refused at once")
-def refused_at_once(outcome: dict[str, Any]) -> None:
+def assert_refused_at_once(outcome: dict[str, Any]) -> None:
     assert isinstance(outcome["whole"], Refuse)
-    # Its wait is a second of virtual time; holding the refusal back would show here.
+    # The class waits for one second of virtual time, so a delayed refusal would exceed the bound.
     assert outcome["seconds"] < 0.5
     assert outcome["whole"].failure.retry_after_ms > 0
 
@@ -169,7 +169,7 @@
 
 
 @when("every replica of one shard sends truncated answers")
-def truncate(outcome: dict[str, Any]) -> None:
+def truncate_answers(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         for model in shard_models(cluster, 5):
             model.set_faults(ServerFaults(answer_truncated=True))
@@ -179,7 +179,7 @@
 
 
 @then("the shard does not count as covered")
-def truncated(outcome: dict[str, Any]) -> None:
+def assert_shard_not_covered(outcome: dict[str, Any]) -> None:
     for final in outcome["finals"]:
         assert isinstance(final, Answer)
         assert final.coverage.missing == (split_key_space(8)[5],)
@@ -190,7 +190,7 @@
 
 
 @when("one replica of a shard names another attempt in its replies")
-def foreign(outcome: dict[str, Any]) -> None:
+def answer_other_attempt(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         model = shard_models(cluster, 1)[0]
         model.set_faults(ServerFaults(answer_other_attempt=True))
@@ -206,12 +206,12 @@
 
 
 @then("every caller gets its own whole answer")
-def own_answers(outcome: dict[str, Any]) -> None:
+def assert_own_answers(outcome: dict[str, Any]) -> None:
     finals = outcome["finals"]
     assert len({final.query_id for final in finals}) == len(finals) == 100
     for final in finals:
         assert_whole(final)
-    # A server that answers for others is not trusted with work.
+    # A server whose replies name other attempts is ejected.
     assert all(state == "ejected" for state in outcome.get("states", []))
 
 
@@ -220,7 +220,7 @@
 
 
 @when("one attempt in fifty is a thousand times slower")
-def late(outcome: dict[str, Any]) -> None:
+def slow_attempts(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         await ask_many(cluster, 60, 0.02)
         set_all(cluster, straggle_probability=0.02, straggle_factor=1000)
@@ -230,7 +230,7 @@
 
 
 @then("nearly every caller gets its own whole answer in time and the rest are told")
-def late_answers(outcome: dict[str, Any]) -> None:
+def assert_mostly_in_time(outcome: dict[str, Any]) -> None:
     answers = [final for final in outcome["finals"] if isinstance(final, Answer)]
     assert len(answers) >= 95
     for final in answers:
@@ -242,7 +242,7 @@
 
 
 @when("every server sheds everything")
-def shed(outcome: dict[str, Any]) -> None:
+def shed_everything(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         set_all(cluster, shed_probability=1.0)
         finals = await ask_many(cluster, 20, 0.05, key="worker-7")
@@ -252,7 +252,7 @@
 
 
 @then("the refusal says not run, says when to come back, and no server ran anything")
-def shed_refused(outcome: dict[str, Any]) -> None:
+def assert_refused_as_shed(outcome: dict[str, Any]) -> None:
     assert outcome["ran"] == 0
     for final in outcome["finals"]:
         assert isinstance(final, Refuse)
@@ -266,7 +266,7 @@
 
 
 @when("every server freezes and thaws after the deadline")
-def freeze(outcome: dict[str, Any]) -> None:
+def freeze_servers(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         set_all(cluster, frozen=True)
         finals = await ask_many(cluster, 20, 0.01)
@@ -294,8 +294,8 @@
 
 
 @then("no refusal that says not run ran anywhere")
-def not_run_true(outcome: dict[str, Any]) -> None:
-    # The logs were compared in the step before, while the cluster stood.
+def assert_not_run_verdicts(outcome: dict[str, Any]) -> None:
+    # The previous step compared the execution logs, while the cluster was running.
     assert outcome["finals"]
     for final in outcome["finals"]:
         assert isinstance(final, Refuse)
--- a/tests/test_query_calls.py
+++ b/tests/test_query_calls.py
@@ -1,4 +1,4 @@
-"""What a peer sends about keyed queries and can't be decoded is refused as malformed."""
+"""Messages of peers about keyed queries that can't be decoded are refused as malformed."""
 
 from typing import Any
 
@@ -10,21 +10,21 @@
 from yokesill.query.owned import OWNED_QUERY, RESERVE, SETTLE
 from yokesill.verdict import Failure, Reason, Verdict
 
-NO_CBOR = [b"", b"\xff", b"\x1c", b"\x82\x01", b"\x62\xff\xff", b"\x81" * 2000]
+INVALID_CBOR = [b"", b"\xff", b"\x1c", b"\x82\x01", b"\x62\xff\xff", b"\x81" * 2000]
 
 
 @pytest.mark.parametrize("decode", [decode_call, decode_final])
-@pytest.mark.parametrize("data", NO_CBOR)
-def test_bytes_that_are_no_cbor_are_a_value_error(decode: Any, data: bytes) -> None:
+@pytest.mark.parametrize("data", INVALID_CBOR)
+def test_decoding_invalid_cbor_raises_value_error(decode: Any, data: bytes) -> None:
     with pytest.raises(ValueError, match="undecodable message"):
         decode(data)
 
 
-def test_a_peers_request_that_is_no_cbor_is_refused_as_malformed() -> None:
+def test_peer_request_with_invalid_cbor_is_refused_as_malformed() -> None:
     async def body(cluster: SimulatedCluster) -> list[bytes | Failure]:
         queries = cluster.node(0).queries
         kinds = (OWNED_QUERY, RESERVE, SETTLE)
-        answers = [await queries.answer_peer(kind, data) for kind in kinds for data in NO_CBOR]
+        answers = [await queries.answer_peer(kind, data) for kind in kinds for data in INVALID_CBOR]
         assert queries.in_flight == 0
         return answers
 
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsetting in a running cluster: on when servers' connections are few, planned again with the members."""
+"""Subsetting in a running cluster: used when servers have few connections, updated when members change."""
 
 from collections import Counter
 from typing import Any
@@ -8,22 +8,23 @@
 from simulation.cluster import SimulatedCluster
 
 
-def used(cluster: SimulatedCluster) -> list[list[int]]:
-    """How many replicas of each shard each node uses."""
+def replica_counts(cluster: SimulatedCluster) -> list[list[int]]:
+    """Return the number of replicas that each node uses, for each shard."""
     return [
         [len(shard.replicas) for shard in running.node.catalog.services[HOURS].maps[1].shards]
         for running in cluster.nodes.values()
     ]
 
 
-def test_few_connections_turn_subsetting_on() -> None:
+def test_subsetting_is_used_when_servers_have_few_connections() -> None:
     values = make_scenario().model_dump(by_alias=True)
     values["services"][0]["connections"] = 6
     scenario = type(make_scenario()).model_validate(values)
 
     async def body(cluster: SimulatedCluster) -> Any:
-        # Four nodes would pass half of six connections: two of three replicas each; three would not.
-        await cluster.until(lambda: all(count == 2 for node in used(cluster) for count in node), 10)
+        # Four nodes would take more than half of six connections, so each uses two of three replicas. Three
+        # nodes would not, so each uses all.
+        await cluster.until(lambda: all(count == 2 for node in replica_counts(cluster) for count in node), 10)
         nodes_of_server = Counter(
             replica.address
             for running in cluster.nodes.values()
@@ -32,11 +33,11 @@
         )
         finals = await ask_many(cluster, 20, 0.01)
         cluster.kill_node(3)
-        await cluster.until(lambda: all(count == 3 for node in used(cluster) for count in node), 60)
+        await cluster.until(lambda: all(count == 3 for node in replica_counts(cluster) for count in node), 60)
         return nodes_of_server, finals, await ask_many(cluster, 20, 0.01)
 
     nodes_of_server, before, after = run_cluster(body, nodes=4, scenario=scenario)
-    # The bound is 3 of 4; a node that finds too few servers below it takes one above.
+    # The bound is 3 of 4 nodes; a node that finds too few servers below the bound exceeds it by one.
     assert max(nodes_of_server.values()) <= 4
     assert sum(nodes_of_server.values()) == 4 * 8 * 2
     for final in before + after:
