--- a/src/yokesill/backends/connections.py
+++ b/src/yokesill/backends/connections.py
@@ -12,7 +12,7 @@
 
 
 class ConnectionPool:
-    """Idle and busy connections to one server; at most ``maximum`` are busy at once."""
+    """Idle and busy connections to one server, at most ``maximum`` in total."""
 
     def __init__(self, origin: httpcore.Origin, maximum: int) -> None:
         self.origin = origin
--- a/src/yokesill/backends/httptools_connection.py
+++ b/src/yokesill/backends/httptools_connection.py
@@ -133,12 +133,12 @@
 
 
 def _timeout_scope(timeout: float | None) -> contextlib.AbstractContextManager[Any]:
-    """Return a scope with ``timeout``; without one, no cancel scope, which costs as much as parsing."""
+    """Return a cancel scope only if ``timeout`` is set, since a scope costs as much as parsing a reply."""
     return contextlib.nullcontext() if timeout is None else anyio.fail_after(timeout)
 
 
 async def _encode(request: httpcore.Request) -> bytes:
-    """Return the bytes of a request; header names and values never come from callers."""
+    """Return the bytes of a request; header names and values come from this package, never callers."""
     lines = [request.method + b" " + request.url.target + b" HTTP/1.1"]
     lines.extend(name + b": " + value for name, value in request.headers)
     stream: Any = request.stream
--- a/src/yokesill/backends/wire.py
+++ b/src/yokesill/backends/wire.py
@@ -1,4 +1,4 @@
-"""The wire format of back ends: JSON, mapped to typed messages. Another format only changes this module.
+"""The wire format of back ends: JSON, mapped to typed messages. Another format would change only this module.
 
 ``POST /query`` takes an attempt. Status 200 is a partial answer, 409 says that the server doesn't hold the
 snapshot, and 503 that it sheds the request or is leaving; with 409 and 503 the request has not run. Every
--- a/src/yokesill/policy/__init__.py
+++ b/src/yokesill/policy/__init__.py
@@ -1,1 +1,1 @@
-"""Policies: CEL rules, compiled when a document is accepted and evaluated to typed outcomes."""
+"""Policies: CEL rules, compiled once when a document is accepted and evaluated to typed outcomes."""
--- a/src/yokesill/query/idempotency.py
+++ b/src/yokesill/query/idempotency.py
@@ -52,7 +52,7 @@
         return self._records.get(key)
 
     def create(self, key: RecordKey, fingerprint: bytes, nonce: str, now: float) -> Record | None:
-        """Add a record of a running request; ``None`` when the table is full of unexpired records."""
+        """Add a record of a running request; ``None`` when the table is full of records still in use."""
         self._expire(now)
         if len(self._records) >= MAXIMUM_RECORDS:
             return None
--- a/src/yokesill/query/owned.py
+++ b/src/yokesill/query/owned.py
@@ -75,7 +75,7 @@
         return await self._run_as_owner(call, query_id, backup)
 
     async def answer(self, kind: str, body: bytes) -> bytes | None:
-        """Answer a peer's decrypted request; ``None`` for a kind that is not handled here."""
+        """Answer a peer's authenticated request; ``None`` for a kind that is not handled here."""
         if kind == OWNED_QUERY:
             query_id, encoded = decode_message(body)
             return encode_final(await self._run_for_peer(decode_call(encoded), query_id))
--- a/src/yokesill/query/service.py
+++ b/src/yokesill/query/service.py
@@ -74,7 +74,7 @@
         return final
 
     async def answer_peer(self, kind: str, body: bytes) -> bytes | Failure:
-        """Answer a peer's decrypted request about a keyed query."""
+        """Answer a peer's authenticated request about a keyed query."""
         refusal = self._not_accepting()
         if refusal is not None:
             return Failure(Reason.NOT_READY, Verdict.NOT_RUN, refusal)
--- a/src/yokesill/routing/context.py
+++ b/src/yokesill/routing/context.py
@@ -15,7 +15,7 @@
 class RoutingContext(Generic[Owner]):
     """Servers, waiters and live attempts; ``freed`` are servers with released slots.
 
-    ``attempt_owners`` maps live attempts to their queries; this class doesn't depend on the queries' type.
+    ``attempt_owners`` maps live attempts to their queries, whose type is not relevant here.
     """
 
     options: RoutingOptions
--- a/src/yokesill/routing/query.py
+++ b/src/yokesill/routing/query.py
@@ -113,7 +113,7 @@
         self._finish_if_settled(now, actions)
 
     def on_timer(self, kind: TimerKind, now: float, actions: list[Action]) -> None:
-        """Handle a timer of the query."""
+        """Act on a timer of the query: hedge, retry, or apply the soft or hard deadline."""
         if kind is TimerKind.HEDGE:
             self._hedging.hedge_late(self._fanout, now, actions)
         elif kind is TimerKind.RETRY:
