--- a/src/yokesill/frontend/app.py
+++ b/src/yokesill/frontend/app.py
@@ -1,4 +1,4 @@
-"""All of a node's HTTP in one application: callers, operators, peers, probes and metrics."""
+"""The HTTP application of a node: callers, operators, peers, probes and metrics."""
 
 from starlette.applications import Starlette
 from starlette.requests import Request
@@ -12,7 +12,7 @@
 from yokesill.frontend.http import JsonError, json_error_handler, read_body
 from yokesill.frontend.queries import QueryController
 from yokesill.node import Node
-from yokesill.replication.messages import MAX_BODY_BYTES
+from yokesill.replication.messages import MAXIMUM_BODY_BYTES
 from yokesill.verdict import Failure, Verdict
 
 
@@ -45,36 +45,36 @@
 
 
 class ProbeController:
-    """Health, readiness and metrics, without a token."""
+    """Health, readiness and metrics; no token is needed."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def healthy(self, _request: Request) -> Response:
-        """The process answers."""
+        """Answer the liveness probe."""
         return PlainTextResponse("ok\n")
 
     async def ready(self, _request: Request) -> Response:
-        """Whether callers should be sent here."""
+        """Answer the readiness probe: 200 if the node accepts queries, else 503."""
         ready = self._node.ready
         return PlainTextResponse(f"{self._node.lifecycle.state}\n", 200 if ready else 503)
 
     async def metrics(self, _request: Request) -> Response:
-        """The node's figures."""
+        """Return the node's metrics."""
         update_gauges(self._node)
         return Response(self._node.metrics.render(), media_type="text/plain; version=0.0.4")
 
 
 class PeerController:
-    """Requests of other nodes: sealed frames in and out."""
+    """Requests of other nodes, in sealed frames."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def post(self, request: Request) -> Response:
-        """Hand a frame to the transport and return its answer."""
-        body = await read_body(request, MAX_BODY_BYTES)
-        answer = await self._node.transport.deliver_request(request.path_params["kind"], body)
+        """Pass a frame to the transport and return its answer."""
+        body = await read_body(request, MAXIMUM_BODY_BYTES)
+        answer = await self._node.transport.requested(request.path_params["kind"], body)
         if isinstance(answer, bytes):
             return Response(answer, media_type="application/cbor")
         if isinstance(answer, Failure) and answer.verdict is not Verdict.NOT_RUN:
--- a/src/yokesill/routing/admission.py
+++ b/src/yokesill/routing/admission.py
@@ -1,9 +1,10 @@
-"""Whether a query is admitted or refused on arrival, because it would wait too long.
+"""Admission control: a query that would wait too long is refused on arrival.
 
-Inputs: the query's deadline and priority, the expected wait of its slowest shard, the 0.9 quantile of its
-class's latency (seconds) and the longest of its queues. A refusal is ``NOT_RUN``; its Retry-After is the
-expected wait, after which the present queue has been served. Shares and bounds are ``RoutingOptions``;
-what admission buys at 1.5 times the capacity: docs/design/limits.md.
+The decision depends on the query's deadline and priority, the expected wait of its slowest shard, the 0.9
+quantile of its class's latency (in seconds) and the length of its longest queue. A refusal is ``NOT_RUN``;
+its Retry-After is the expected wait, after which the current queue has been served. Shares and bounds are set
+in ``RoutingOptions``. The effect of admission at 1.5 times the capacity is described in
+docs/design/limits.md.
 """
 
 from yokesill.routing.messages import QueryRequest
@@ -11,9 +12,9 @@
 from yokesill.routing.waiting import ShardKey, WaitingQueue
 from yokesill.verdict import Failure, Reason, Verdict
 
-# The range of priorities in a policy is 0 to 9 (``resources.documents``).
+# Priorities in a policy range from 0 to 9 (``resources.documents``).
 HIGHEST_PRIORITY = 9
-# Below this a caller is back before a slot is free.
+# With a shorter delay, callers would retry before a slot is free.
 MINIMUM_RETRY_AFTER_MS = 50
 
 
@@ -32,21 +33,21 @@
     options: RoutingOptions,
     now: float,
 ) -> Failure | None:
-    """Return why the query is refused, or ``None`` to admit it.
+    """Return the failure that refuses the query, or ``None`` to admit it.
 
-    Waiting may use only a share of the remaining time: a query that waited long is likely to be given up
-    later, after servers worked for it. The lower the priority, the smaller the share and the shorter the
-    queue, so the least urgent queries are refused first.
+    Waiting may use only a share of the remaining time: a query that has waited for long is likely to be given
+    up later, after servers have worked on it. The lower the priority, the smaller the share and the shorter
+    the queue, so the least urgent queries are refused first.
     """
     if query.deadline_at_s <= now:
         return Failure(Reason.DEADLINE_EXCEEDED, Verdict.NOT_RUN, "the deadline had passed on arrival")
-    rank = (priority + 1) / (HIGHEST_PRIORITY + 1)
-    too_long = longest_queue >= options.waiting_bound * rank
+    priority_factor = (priority + 1) / (HIGHEST_PRIORITY + 1)
+    queue_full = longest_queue >= options.waiting_bound * priority_factor
     remaining = deadline - now
     too_late = delay > 0.0 and (
-        delay > remaining * options.waiting_share * rank or delay + tail_latency > remaining
+        delay > remaining * options.waiting_share * priority_factor or delay + tail_latency > remaining
     )
-    if not too_long and not too_late:
+    if not queue_full and not too_late:
         return None
     retry_after_ms = max(MINIMUM_RETRY_AFTER_MS, int(delay * 1000))
     detail = f"{longest_queue} waiting, {delay * 1000:.0f} ms expected"
