--- a/soak/__main__.py
+++ b/soak/__main__.py
@@ -26,16 +26,16 @@
     ValueError
         A line begins otherwise.
     """
-    found = []
+    seeds = []
     for number, line in enumerate(text.splitlines(), 1):
         if line.strip() and not line.startswith("#"):
             words = line.split(maxsplit=2)
             try:
-                found.append((int(words[0]), float(words[1])))
+                seeds.append((int(words[0]), float(words[1])))
             except (IndexError, ValueError):
                 problem = f"seeds.txt:{number}: SEED MINUTES CAUSE is needed, found {line!r}"
                 raise ValueError(problem) from None
-    return found
+    return seeds
 
 
 def main(arguments: list[str]) -> int:
@@ -48,22 +48,22 @@
     parser.add_argument("--replay", action="store_true", help="replay the seeds that ever failed first")
     parser.add_argument("--folder", type=Path, help="where logs and reports go")
     parser.add_argument("--judge", type=Path, help="judge the logs of this run's folder once more")
-    given = parser.parse_args(arguments)
-    if given.judge:
-        return _judge(given.judge)
-    kinds = tuple(KINDS) if given.kinds is None else tuple(given.kinds.split(","))
+    options = parser.parse_args(arguments)
+    if options.judge:
+        return _recheck(options.judge)
+    kinds = tuple(KINDS) if options.kinds is None else tuple(options.kinds.split(","))
     if "rollout" in kinds:
         others = tuple(kind for kind in kinds if kind != "rollout")
         kinds = (*(others or KINDS), *ROLLOUT_KINDS)
-    folder = given.folder or Path(tempfile.mkdtemp(prefix="soak-"))
-    seed = random.SystemRandom().randrange(1 << 40) if given.seed is None else given.seed
-    runs = [*(read_seeds(SEEDS.read_text()) if given.replay else ()), (seed, given.minutes)]
-    return max(_run(each, minutes, given.nodes, kinds, folder) for each, minutes in runs)
+    folder = options.folder or Path(tempfile.mkdtemp(prefix="soak-"))
+    seed = random.SystemRandom().randrange(1 << 40) if options.seed is None else options.seed
+    runs = [*(read_seeds(SEEDS.read_text()) if options.replay else ()), (seed, options.minutes)]
+    return max(_run(each, minutes, options.nodes, kinds, folder) for each, minutes in runs)
 
 
-def _judge(folder: Path) -> int:
-    about = json.loads((folder / "report.json").read_text())
-    nodes = about["nodes"]
+def _recheck(folder: Path) -> int:
+    run_info = json.loads((folder / "report.json").read_text())
+    nodes = run_info["nodes"]
     checked = check(read_record(folder, Layout(nodes=nodes), bounds_for(nodes)))
     for each in checked.values():
         for violation in each.violations:
@@ -82,10 +82,10 @@
         return 2
     print(f"seed {seed}, {minutes:g} minutes, {len(faults)} faults, logs in {folder}", flush=True)
     soak = Soak(layout, seed, minutes * 60, faults, folder)
-    about = {"seed": seed, "minutes": minutes, "nodes": nodes, "kinds": list(kinds)}
-    violations = asyncio.run(soak.run(about))
-    told = f"{violations} violations, peak {soak.usage.processes} processes, {soak.usage.memory_mb:.0f} MB"
-    print(f"seed {seed}: {told}; {folder / 'report.html'}", flush=True)
+    run_info = {"seed": seed, "minutes": minutes, "nodes": nodes, "kinds": list(kinds)}
+    violations = asyncio.run(soak.run(run_info))
+    outcome = f"{violations} violations, peak {soak.usage.processes} processes, {soak.usage.memory_mb:.0f} MB"
+    print(f"seed {seed}: {outcome}; {folder / 'report.html'}", flush=True)
     return 1 if violations else 0
 
 
--- a/soak/answer_checkers.py
+++ b/soak/answer_checkers.py
@@ -2,16 +2,16 @@
 
 from collections.abc import Iterator
 
-from soak.judging import Case, Checked, gathered, judge
+from soak.judging import Case, Checked, gathered_shards, judge
 from soak.layout import DESK, ROUTES
 from soak.record import Arrival, Ask, Record
-from soak.records import greatest_records, single_body
+from soak.records import single_body, top_records
 
 
 def whole_own_answers(record: Record) -> Checked:
     """A success is the whole answer to this request: of one snapshot, with true coverage."""
     runs = {each.signature: each for each in record.arrivals if each.ran}
-    sets = [frozenset(gathered(each.value)) for each in record.configurations()]
+    sets = [frozenset(gathered_shards(each.value)) for each in record.configurations()]
 
     def cases() -> Iterator[Case]:
         for ask in record.asks:
@@ -51,9 +51,9 @@
     if not any(set(services) <= each and len(each) == total for each in sets):
         return f"{ask.id}: parts of {services} and {ask.missing} missing are no configuration's shards"
     terms = ROUTES["wide"]
-    if len(services) < terms.least_coverage * total:
+    if len(services) < terms.min_coverage * total:
         return f"{ask.id}: {len(services)} of {total} shards are under the least coverage"
-    if bytes.fromhex(ask.body) != greatest_records(services, ask.id, terms.greatest):
+    if bytes.fromhex(ask.body) != top_records(services, ask.id, terms.top_k):
         return f"{ask.id}: not the greatest records of its parts"
     return ""
 
@@ -74,7 +74,7 @@
             took_s = ask.ended_s - ask.asked_s
             late = ask.ending == "silent" or took_s > terms.timeout_s + record.bounds.answer_slack_s
             cut = ask.ending == "closed" and took_s > record.bounds.loss_slack_s
-            told = f"{ask.id} ({ask.route}) at node {ask.node}: {ask.ending} after {took_s:.2f} s"
-            yield ask.ended_s, told if late or cut else ""
+            detail = f"{ask.id} ({ask.route}) at node {ask.node}: {ask.ending} after {took_s:.2f} s"
+            yield ask.ended_s, detail if late or cut else ""
 
     return judge("answered_in_time", cases())
--- a/soak/judging.py
+++ b/soak/judging.py
@@ -38,6 +38,6 @@
     return checked
 
 
-def gathered(configuration: Any) -> list[str]:
+def gathered_shards(configuration: Any) -> list[str]:
     """Return the shards that a configuration's wide route names."""
     return next(route["gather"] for route in configuration["routes"] if "gather" in route)
--- a/soak/layout.py
+++ b/soak/layout.py
@@ -12,12 +12,12 @@
 SERVER_PORT, OPERATOR_PORT, STORE_PORT = 7100, 7199, 7200
 REPLICAS, DESK_SERVERS, SHARDS_B = 2, 3, 5
 DESK = "desk"
-SLOTS = 4
+SERVER_CAPACITY = 4
 FIRST_VERSION = "s1"
 # Requests on paths with this word take a server longer than a node needs to stop taking callers.
-LONG_WORD, LONG_WORK_S = "/long/", 0.8
+LONG_PATH_MARKER, LONG_WORK_S = "/long/", 0.8
 # Requests on paths with this word end each server that begins to run them.
-DEADLY_WORD, DEADLY_WORK_S, RESTART_S = "/deadly-", 0.004, 1.0
+DEADLY_PATH_MARKER, DEADLY_WORK_S, RESTART_S = "/deadly-", 0.004, 1.0
 
 
 class Bounds(NamedTuple):
@@ -57,12 +57,12 @@
     repeatable: bool
     timeout_s: float
     target_s: float
-    greatest: int = 0
-    least_coverage: float = 0.0
+    top_k: int = 0
+    min_coverage: float = 0.0
 
 
 ROUTES = {
-    "wide": RouteTerms("/wide/", True, 1.5, 0.2, greatest=5, least_coverage=0.8),
+    "wide": RouteTerms("/wide/", True, 1.5, 0.2, top_k=5, min_coverage=0.8),
     "read": RouteTerms("/read/", True, 2.0, 0.3),
     "once": RouteTerms("/once/", False, 2.0, 0.3),
 }
@@ -149,9 +149,9 @@
         "targetLatencyMs": round(terms.target_s * 1000),
         "priority": 1,
     }
-    if terms.greatest:
+    if terms.top_k:
         shards = list(layout.shard_set(shard_set))
-        return route | {"gather": shards, "topK": terms.greatest, "minCoverage": terms.least_coverage}
+        return route | {"gather": shards, "topK": terms.top_k, "minCoverage": terms.min_coverage}
     return route | {"service": DESK}
 
 
--- a/soak/network.py
+++ b/soak/network.py
@@ -5,12 +5,12 @@
 import sys
 from typing import Any, Literal
 
-from soak.standin import follow_orders, run_standin
+from soak.standin import follow_commands, run_standin
 
 Mode = Literal["sound", "delay", "reset", "silent", "one_way"]
 DELAY_S = 0.25
 CHUNK = 65536
-BROKEN = (OSError, asyncio.IncompleteReadError)
+CONNECTION_ERRORS = (OSError, asyncio.IncompleteReadError)
 
 
 class Link:
@@ -20,7 +20,7 @@
         self.mode: Mode = "sound"
         self._target = target
         self._changed = asyncio.Event()
-        self._open: set[asyncio.StreamWriter] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
 
     def set_mode(self, mode: Mode) -> None:
         """Behave so from now on; what was held back goes on when the link is sound again."""
@@ -28,7 +28,7 @@
         self._changed.set()
         self._changed = asyncio.Event()
         if mode == "reset":
-            for writer in list(self._open):
+            for writer in list(self._writers):
                 writer.transport.abort()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -36,51 +36,51 @@
         if self.mode == "reset":
             writer.transport.abort()
             return
-        self._open.add(writer)
+        self._writers.add(writer)
         far_writer: asyncio.StreamWriter | None = None
         try:
-            await self._pass(is_answer=False)
+            await self._wait_to_forward(is_answer=False)
             far_reader, far_writer = await asyncio.open_connection(*self._target)
-            self._open.add(far_writer)
-            await self._carry(reader, writer, far_reader, far_writer)
-        except BROKEN:
+            self._writers.add(far_writer)
+            await self._forward(reader, writer, far_reader, far_writer)
+        except CONNECTION_ERRORS:
             writer.transport.abort()
         finally:
             for each in (writer, far_writer):
                 if each is not None:
-                    self._open.discard(each)
+                    self._writers.discard(each)
                     each.close()
 
-    async def _carry(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         far_reader: asyncio.StreamReader,
         far_writer: asyncio.StreamWriter,
     ) -> None:
-        ways = (
+        pumps = (
             asyncio.create_task(self._pump(reader, far_writer, is_answer=False)),
             asyncio.create_task(self._pump(far_reader, writer, is_answer=True)),
         )
         try:
             # A close of either side is a close of both: no end point here half-closes.
-            done, _ = await asyncio.wait(ways, return_when=asyncio.FIRST_COMPLETED)
+            done, _ = await asyncio.wait(pumps, return_when=asyncio.FIRST_COMPLETED)
             for each in done:
                 each.result()
         finally:
-            for each in ways:
+            for each in pumps:
                 each.cancel()
-            await asyncio.gather(*ways, return_exceptions=True)
+            await asyncio.gather(*pumps, return_exceptions=True)
 
     async def _pump(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, is_answer: bool
     ) -> None:
         while data := await reader.read(CHUNK):
-            await self._pass(is_answer)
+            await self._wait_to_forward(is_answer)
             writer.write(data)
             await writer.drain()
 
-    async def _pass(self, is_answer: bool) -> None:
+    async def _wait_to_forward(self, is_answer: bool) -> None:
         """Return when bytes may go on; ``one_way`` holds only answers back."""
         while self.mode == "silent" or (self.mode == "one_way" and is_answer):
             await self._changed.wait()
@@ -95,7 +95,7 @@
         links[name] = Link((far[0], far[1]))
         await asyncio.start_server(links[name].serve, near[0], near[1], backlog=512)
     print("up", flush=True)
-    await follow_orders(lambda order: links[order["link"]].set_mode(order["mode"]))
+    await follow_commands(lambda order: links[order["link"]].set_mode(order["mode"]))
 
 
 if __name__ == "__main__":
--- a/soak/node_checkers.py
+++ b/soak/node_checkers.py
@@ -10,9 +10,9 @@
 # A share of the requests must be served again once everything is back; the rules' figure.
 SERVED_AGAIN_SHARE, SERVED_AGAIN_WINDOW_S = 0.25, 3.0
 # A caller waits no longer than this for its answer, so an earlier request does not concern a stop.
-LONGEST_ASK_S = 4.0
+MAX_ASK_S = 4.0
 # An own failure that comes so long before the time-out was not caused by it.
-EARLY_S = 0.1
+TIMEOUT_MARGIN_S = 0.1
 SUCCESS = 200
 
 
@@ -31,13 +31,13 @@
             end_s = stop.begin_s + record.bounds.grace_s + 1.0
             for ask in record.asks:
                 mine = ask.node == stop.targets[0] and ask.ended_s >= stop.begin_s and ask.asked_s <= end_s
-                if not mine or ask.ending == "refused" or ask.asked_s < stop.begin_s - LONGEST_ASK_S:
+                if not mine or ask.ending == "refused" or ask.asked_s < stop.begin_s - MAX_ASK_S:
                     continue
-                if not record.node_in_touch(ask.node, ask.asked_s, ask.ended_s, but=stop):
+                if not record.node_in_touch(ask.node, ask.asked_s, ask.ended_s, excluding=stop):
                     continue
                 starts = record.node_starts.get(ask.node, ())
-                started_anew = any(stop.begin_s < at_s <= ask.asked_s for at_s in starts)
-                if not started_anew and _given_up(record, ask, by_id.get(ask.id, []), slots):
+                restarted = any(stop.begin_s < at_s <= ask.asked_s for at_s in starts)
+                if not restarted and _failed_by_node(record, ask, by_id.get(ask.id, []), slots):
                     yield ask.ended_s, f"{ask.id} answered {ask.status} by the stop of node {ask.node}"
                     continue
                 read = ask.ended_s - ask.asked_s > record.bounds.loss_slack_s or ask.id in by_id
@@ -47,7 +47,7 @@
     return judge("planned_stop_cuts_nothing", cases())
 
 
-def _given_up(record: Record, ask: Ask, arrivals: list[Arrival], slots: dict[str, int]) -> bool:
+def _failed_by_node(record: Record, ask: Ask, arrivals: list[Arrival], slots: dict[str, int]) -> bool:
     """Whether a node answered for itself, before the time-out, while a sound server was at work.
 
     Not where servers have just ended under a request: what was there with it broke off too, and the answers
@@ -56,20 +56,20 @@
     terms = ROUTES.get(ask.route)
     if terms is None or ask.signature or ask.succeeded or ask.status in (0, *PROMISES_NOT_RUN):
         return False
-    late = ask.ended_s - ask.asked_s > terms.timeout_s - EARLY_S
-    if late or record.servers_crashed(ask.asked_s, ask.ended_s):
+    late = ask.ended_s - ask.asked_s > terms.timeout_s - TIMEOUT_MARGIN_S
+    if late or record.any_server_crashed(ask.asked_s, ask.ended_s):
         return False
-    if _coverage_is_lost(record, ask, arrivals):
+    if _coverage_out_of_reach(record, ask, arrivals):
         return False
     return any(
         each.ran
         and record.done.get(each.signature, (0.0, 0))[0] > ask.ended_s
-        and record.server_sound(slots[each.server], each.at_s, ask.ended_s)
+        and record.server_healthy(slots[each.server], each.at_s, ask.ended_s)
         for each in arrivals
     )
 
 
-def _coverage_is_lost(record: Record, ask: Ask, arrivals: list[Arrival]) -> bool:
+def _coverage_out_of_reach(record: Record, ask: Ask, arrivals: list[Arrival]) -> bool:
     """Whether too many of a request's shards had answered a failure, with no other server at work on it."""
     asked: set[str] = set()
     failed: set[str] = set()
@@ -81,7 +81,7 @@
             running.add(each.service)
         elif each.ran and status != SUCCESS:
             failed.add(each.service)
-    return len(asked) - len(failed - running) < ROUTES[ask.route].least_coverage * len(asked)
+    return len(asked) - len(failed - running) < ROUTES[ask.route].min_coverage * len(asked)
 
 
 def no_part_failed(record: Record) -> Checked:
@@ -148,17 +148,23 @@
         for ask in sorted(_probes(record), key=lambda each: each.ended_s):
             number = int(ask.route.removeprefix("probe-"))
             starts = record.node_starts.get(ask.node, ())
-            life = (ask.node, sum(1 for at_s in starts if at_s <= ask.asked_s))
-            if life[1] != sum(1 for at_s in starts if at_s <= ask.ended_s):
+            incarnation = (ask.node, sum(1 for at_s in starts if at_s <= ask.asked_s))
+            if incarnation[1] != sum(1 for at_s in starts if at_s <= ask.ended_s):
                 continue
-            newest = max((n for at_s, n in shown[life] if at_s + slack_s < ask.asked_s), default=0)
+            newest = max((n for at_s, n in shown[incarnation] if at_s + slack_s < ask.asked_s), default=0)
             if ask.succeeded:
-                back = number < newest - 1
-                yield ask.asked_s, f"{ask.id}: node {ask.node} showed {newest}, now {number}" if back else ""
-                shown[life].append((ask.ended_s, number))
+                regressed = number < newest - 1
+                yield (
+                    ask.asked_s,
+                    f"{ask.id}: node {ask.node} showed {newest}, now {number}" if regressed else "",
+                )
+                shown[incarnation].append((ask.ended_s, number))
             elif ask.status == 404 and number <= newest:
-                back = number == newest and accepted.get(number + 2, float("inf")) > ask.ended_s
-                yield ask.asked_s, f"{ask.id}: node {ask.node} showed {newest}, now lacks it" if back else ""
+                regressed = number == newest and accepted.get(number + 2, float("inf")) > ask.ended_s
+                yield (
+                    ask.asked_s,
+                    f"{ask.id}: node {ask.node} showed {newest}, now lacks it" if regressed else "",
+                )
 
     return judge("never_older", cases())
 
--- a/soak/nodes.py
+++ b/soak/nodes.py
@@ -13,7 +13,7 @@
 from yokesill.platform.names import SETTINGS_VARIABLE
 
 ROOT = Path(__file__).resolve().parents[1]
-READY_LIMIT_S, POLL_S = 20.0, 0.1
+READY_TIMEOUT_S, POLL_S = 20.0, 0.1
 
 
 class Nodes:
@@ -32,7 +32,7 @@
         settings = self._folder / f"node-{node}.toml"
         settings.write_text(settings_text(self._layout, node, self._bounds))
         environment = {name: os.environ[name] for name in ("PATH", "HOME", "LANG") if name in os.environ}
-        self._tell_suspended(node, 0.0)
+        self._write_suspended(node, 0.0)
         environment |= {SUSPENDED_VARIABLE: str(self._suspended_file(node))}
         environment |= {SETTINGS_VARIABLE: str(settings), "PYTHONPATH": sysconfig.get_paths()["purelib"]}
         front = f"{self._layout.node(node)}:{FRONT_PORT}"
@@ -42,10 +42,10 @@
                 *command, cwd=ROOT, env=environment, stdout=output, stderr=output
             )
         self._log.write("node_started", node=node, pid=self.processes[node].pid)
-        await self._until_ready(node)
+        await self._wait_until_ready(node)
 
-    async def _until_ready(self, node: int) -> None:
-        for _ in range(round(READY_LIMIT_S / POLL_S)):
+    async def _wait_until_ready(self, node: int) -> None:
+        for _ in range(round(READY_TIMEOUT_S / POLL_S)):
             host = self._layout.node(node)
             status, _ = await call(host, READY_PORT, "GET", READY_URL_PATH, None, 1.0)
             if status == 200:
@@ -54,12 +54,12 @@
             await asyncio.sleep(POLL_S)
         self._log.write("node_not_ready", node=node)
 
-    def send(self, node: int, number: signal.Signals) -> None:
+    def send(self, node: int, signal_number: signal.Signals) -> None:
         """Send a signal to a node that runs."""
         process = self.processes[node]
         if process.returncode is None:
-            process.send_signal(number)
-            self._log.write("node_signal", node=node, signal=number.name)
+            process.send_signal(signal_number)
+            self._log.write("node_signal", node=node, signal=signal_number.name)
 
     async def suspend(self, node: int, seconds: float) -> None:
         """Stop a node together with its steady clock, as a machine that is suspended does."""
@@ -67,13 +67,13 @@
         self.send(node, signal.SIGSTOP)
         await asyncio.sleep(seconds)
         if self.processes[node] is process:
-            self._tell_suspended(node, seconds)
+            self._write_suspended(node, seconds)
         self.send(node, signal.SIGCONT)
 
     def _suspended_file(self, node: int) -> Path:
         return self._folder / f"node-{node}.suspended"
 
-    def _tell_suspended(self, node: int, seconds: float) -> None:
+    def _write_suspended(self, node: int, seconds: float) -> None:
         """Let a node's steady clock stand back by so much more than it does."""
         self._suspended_s[node] = self._suspended_s.get(node, 0.0) + seconds
         self._suspended_file(node).write_text(f"{self._suspended_s[node]:020.6f}")
--- a/soak/processes.py
+++ b/soak/processes.py
@@ -7,7 +7,7 @@
 from typing import Any, NamedTuple
 
 ROOT = Path(__file__).resolve().parents[1]
-STOP_S = 8.0
+STOP_TIMEOUT_S = 8.0
 
 
 class Usage(NamedTuple):
@@ -16,7 +16,7 @@
     processes: int = 0
     memory_mb: float = 0.0
 
-    def joined(self, processes: int, memory_mb: float) -> "Usage":
+    def peak_with(self, processes: int, memory_mb: float) -> "Usage":
         """Return the greater of both."""
         return Usage(max(self.processes, processes), max(self.memory_mb, memory_mb))
 
@@ -43,17 +43,17 @@
             raise RuntimeError(f"{module} did not start, see {errors}")
         return cls(process)
 
-    def order(self, **order: Any) -> None:
+    def send_command(self, **command: Any) -> None:
         """Tell it to do something."""
         assert self.process.stdin is not None
-        self.process.stdin.write(json.dumps(order).encode() + b"\n")
+        self.process.stdin.write(json.dumps(command).encode() + b"\n")
 
     async def end(self) -> None:
         """Let it end by itself, or kill it."""
         if self.process.stdin is not None:
             self.process.stdin.close()
         try:
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await self.process.wait()
         except TimeoutError:
             self.process.kill()
--- a/soak/record.py
+++ b/soak/record.py
@@ -11,7 +11,7 @@
 from soak.schedule import ALL_KINDS, Fault
 
 # A server that a request ended is back, and all nodes know it, after so long.
-BACK_AFTER_S = RESTART_S + 1.0
+CRASH_RECOVERY_S = RESTART_S + 1.0
 
 
 class Ask(NamedTuple):
@@ -131,11 +131,11 @@
 
     def disturbed(
         self,
-        aims: Iterable[str],
+        target_kinds: Iterable[str],
         target: int | None,
         begin_s: float,
         end_s: float,
-        but: Span | str | None = None,
+        excluding: Span | str | None = None,
     ) -> bool:
         """Whether a fault of an aim held in a time or up to ``contact_s`` before.
 
@@ -144,25 +144,25 @@
         begin_s -= self.bounds.contact_s
         return any(
             span.overlaps(begin_s, end_s)
-            and ALL_KINDS[span.kind][0] in aims
+            and ALL_KINDS[span.kind][0] in target_kinds
             and (target is None or target in span.targets)
-            and but not in (span, span.kind)
+            and excluding not in (span, span.kind)
             for span in self.spans
         )
 
-    def node_in_touch(self, node: int, begin_s: float, end_s: float, but: Span | None = None) -> bool:
+    def node_in_touch(self, node: int, begin_s: float, end_s: float, excluding: Span | None = None) -> bool:
         """Whether nothing happened to a node, its callers' link and its way to the store."""
-        return not self.disturbed(("node", "nodes", "all", "front", "store"), node, begin_s, end_s, but)
+        return not self.disturbed(("node", "nodes", "all", "front", "store"), node, begin_s, end_s, excluding)
 
-    def server_sound(self, slot: int, begin_s: float, end_s: float) -> bool:
+    def server_healthy(self, slot: int, begin_s: float, end_s: float) -> bool:
         """Whether a server and its link had no fault but that it leaves."""
         return not self.disturbed(
-            ("server", "shard", "shards", "desk"), slot, begin_s, end_s, but="server_drain"
+            ("server", "shard", "shards", "desk"), slot, begin_s, end_s, excluding="server_drain"
         )
 
-    def servers_crashed(self, begin_s: float, end_s: float) -> bool:
+    def any_server_crashed(self, begin_s: float, end_s: float) -> bool:
         """Whether servers that a request had ended were gone at some moment of a time."""
-        return any(begin_s - BACK_AFTER_S <= each.at_s <= end_s for each in self.crashes)
+        return any(begin_s - CRASH_RECOVERY_S <= each.at_s <= end_s for each in self.crashes)
 
     def core_stable(self, begin_s: float, end_s: float) -> bool:
         """Whether the store was sound."""
@@ -204,16 +204,16 @@
     return Record(
         layout=layout,
         bounds=bounds,
-        asks=tuple(_ask(event) for event in by_kind["answer"]),
-        arrivals=tuple(_fields(Arrival, event, at_s=event["t"]) for event in by_kind["arrived"]),
+        asks=tuple(_parse_ask(event) for event in by_kind["answer"]),
+        arrivals=tuple(_from_event(Arrival, event, at_s=event["t"]) for event in by_kind["arrived"]),
         done={event["signature"]: (event["t"], event["status"]) for event in by_kind["done"]},
-        stored=tuple(_fields(Stored, event, at_s=event["t"]) for event in by_kind["stored"]),
+        stored=tuple(_from_event(Stored, event, at_s=event["t"]) for event in by_kind["stored"]),
         spans=_spans(by_kind["fault"], by_kind["fault_end"]),
         leaving={event["server"]: event["t"] for event in by_kind["leaving"]},
         ended={event["server"]: event["t"] for event in by_kind["ended"]},
-        started=tuple(_fields(Started, event, at_s=event["t"]) for event in by_kind["started"]),
+        started=tuple(_from_event(Started, event, at_s=event["t"]) for event in by_kind["started"]),
         node_starts={node: tuple(times) for node, times in starts.items()},
-        crashes=tuple(_fields(Crash, event, at_s=event["t"]) for event in by_kind["crashed"]),
+        crashes=tuple(_from_event(Crash, event, at_s=event["t"]) for event in by_kind["crashed"]),
         part_failures=tuple(_part_failures(folder, events[-1]["t"] if events else 0.0)),
     )
 
@@ -222,17 +222,17 @@
     for path in sorted(folder.glob("node-*.log")):
         for line in path.read_text(errors="replace").splitlines():
             if '"part_failed"' in line and line.endswith("}"):
-                told = json.loads(line)
-                yield PartFailure(at_s, path.stem, str(told.get("part")), str(told.get("problem")))
+                entry = json.loads(line)
+                yield PartFailure(at_s, path.stem, str(entry.get("part")), str(entry.get("problem")))
 
 
-def _ask(event: dict[str, Any]) -> Ask:
-    ask: Ask = _fields(Ask, event, ended_s=event["t"])
+def _parse_ask(event: dict[str, Any]) -> Ask:
+    ask: Ask = _from_event(Ask, event, ended_s=event["t"])
     return ask._replace(parts=tuple(ask.parts))
 
 
-def _fields(kind: Any, event: dict[str, Any], **more: Any) -> Any:
-    return kind(**{name: value for name, value in event.items() if name in kind._fields}, **more)
+def _from_event(kind: Any, event: dict[str, Any], **extra: Any) -> Any:
+    return kind(**{name: value for name, value in event.items() if name in kind._fields}, **extra)
 
 
 def _spans(begins: list[dict[str, Any]], ends: list[dict[str, Any]]) -> tuple[Span, ...]:
--- a/soak/records.py
+++ b/soak/records.py
@@ -11,10 +11,10 @@
     return [hashlib.blake2b(seed, digest_size=RECORD_BYTES, salt=bytes([n])).digest() for n in range(RECORDS)]
 
 
-def greatest_records(services: list[str], request_id: str, greatest: int) -> bytes:
+def top_records(services: list[str], request_id: str, top_k: int) -> bytes:
     """Return the body of an answer that holds the parts of ``services``."""
     found = [record for service in services for record in records_of(service, request_id)]
-    return b"".join(sorted(found, reverse=True)[:greatest])
+    return b"".join(sorted(found, reverse=True)[:top_k])
 
 
 def single_body(signature: str) -> bytes:
--- a/soak/report.py
+++ b/soak/report.py
@@ -39,7 +39,7 @@
     return table
 
 
-def summary(record: Record, checked: dict[str, Checked], about: dict[str, Any]) -> dict[str, Any]:
+def summary(record: Record, checked: dict[str, Checked], run_info: dict[str, Any]) -> dict[str, Any]:
     """Return a run's results as JSON can hold them; times count from the first request."""
     start_s = min((ask.asked_s for ask in record.asks), default=0.0)
     outcomes: dict[str, Counter[str]] = {}
@@ -47,7 +47,7 @@
         if not ask.route.startswith("probe"):
             outcomes.setdefault(ask.route, Counter())[outcome_of(ask.status, ask.ending)] += 1
     violations = [each for checks in checked.values() for each in checks.violations]
-    return about | {
+    return run_info | {
         "requests": {route: dict(counts) for route, counts in sorted(outcomes.items())},
         "probes": sum(ask.route.startswith("probe") for ask in record.asks),
         "arrivals": len(record.arrivals),
@@ -61,19 +61,19 @@
     }
 
 
-def write_report(folder: Path, record: Record, checked: dict[str, Checked], about: dict[str, Any]) -> None:
+def write_report(folder: Path, record: Record, checked: dict[str, Checked], run_info: dict[str, Any]) -> None:
     """Write ``report.json`` and ``report.html`` into a run's folder."""
-    told = summary(record, checked, about)
-    (folder / "report.json").write_text(json.dumps(told, indent=1) + "\n")
+    results = summary(record, checked, run_info)
+    (folder / "report.json").write_text(json.dumps(results, indent=1) + "\n")
     rows = "".join(
         f"<tr><td>{each['at_s']}</td><td>{each['promise']}</td><td>{html.escape(each['detail'])}</td></tr>"
-        for each in told["violations"]
+        for each in results["violations"]
     )
-    facts = {name: value for name, value in told.items() if name not in ("violations", "injected")}
+    facts = {name: value for name, value in results.items() if name not in ("violations", "injected")}
     violations = [each for checks in checked.values() for each in checks.violations]
     (folder / "report.html").write_text(
         "<!doctype html><meta charset=utf-8><title>soak</title>"
-        f"<h1>Soak, seed {told.get('seed')}</h1>{draw(record, violations)}"
+        f"<h1>Soak, seed {results.get('seed')}</h1>{draw(record, violations)}"
         f"<h2>{len(violations)} violations</h2><table border=1>{rows}</table>"
         f"<h2>Figures</h2><pre>{html.escape(json.dumps(facts, indent=1))}</pre>"
     )
@@ -87,15 +87,15 @@
     end_s = max(ask.ended_s for ask in record.asks)
     scale = (WIDTH - LEFT) / max(1.0, end_s - start_s)
     kinds = sorted({span.kind for span in record.spans})
-    base = TOP + ANSWERS_HEIGHT
-    height = base + ROW * (len(kinds) + 2)
+    baseline = TOP + ANSWERS_HEIGHT
+    height = baseline + ROW * (len(kinds) + 2)
 
     def x(at_s: float) -> float:
         return LEFT + (min(at_s, end_s) - start_s) * scale
 
-    shapes = _answers(record, start_s, scale, base)
+    shapes = _answer_bars(record, start_s, scale, baseline)
     for row, kind in enumerate(kinds):
-        y = base + ROW * (row + 1)
+        y = baseline + ROW * (row + 1)
         shapes.append(f'<text x="4" y="{y + 10}">{kind}</text>')
         for span in record.spans:
             if span.kind == kind:
@@ -114,20 +114,22 @@
     return f'<svg width="{WIDTH}" height="{height}" {style}>{legend}{"".join(shapes)}</svg>'
 
 
-def _answers(record: Record, start_s: float, scale: float, base: int) -> list[str]:
+def _answer_bars(record: Record, start_s: float, scale: float, baseline: int) -> list[str]:
     seconds: dict[int, Counter[str]] = {}
     for ask in record.asks:
         if ask.route.startswith("probe"):
             continue
         counts = seconds.setdefault(int(ask.asked_s - start_s), Counter())
         counts[outcome_of(ask.status, ask.ending)] += 1
-    most = max((sum(counts.values()) for counts in seconds.values()), default=1)
+    max_count = max((sum(counts.values()) for counts in seconds.values()), default=1)
     shapes = []
     for second, counts in seconds.items():
-        top = float(base)
+        top = float(baseline)
         for name, colour in COLOURS.items():
-            tall = counts[name] / most * ANSWERS_HEIGHT
-            top -= tall
-            place = f'x="{LEFT + second * scale:.1f}" y="{top:.1f}" width="{scale:.1f}" height="{tall:.1f}"'
+            bar_height = counts[name] / max_count * ANSWERS_HEIGHT
+            top -= bar_height
+            place = (
+                f'x="{LEFT + second * scale:.1f}" y="{top:.1f}" width="{scale:.1f}" height="{bar_height:.1f}"'
+            )
             shapes.append(f'<rect {place} fill="{colour}"/>')
     return shapes
--- a/soak/run.py
+++ b/soak/run.py
@@ -22,7 +22,7 @@
 
 STANDINS = ("store", "network", "servers", "callers")
 CHECK_EVERY_S, SAMPLE_EVERY_S = 20.0, 1.0
-OPERATOR_PATIENCE_S, ORDER_POLL_S = 0.3, 0.2
+OPERATOR_RETRY_S, ORDER_POLL_S = 0.3, 0.2
 BURST_FACTOR = 5.0
 LINK_MODES = ("silent", "one_way", "reset", "delay")
 SERVER_MODES = ("slow", "full", "dark", "fails", "loses_answers", "garbles")
@@ -50,21 +50,21 @@
         self._folder = folder
         self._log = EventLog(folder / "events-soak.jsonl")
         self._nodes = Nodes(layout, self._bounds, folder, self._log)
-        self._numbers = itertools.count(1)
+        self._ids = itertools.count(1)
         self._version = 0
         self._shard_set = "a"
-        self._operating = asyncio.Lock()
+        self._operator_lock = asyncio.Lock()
         # What the operator wants to stand, by path: ``None`` for nothing.
-        self._wanted: dict[str, dict[str, Any] | None] = {}
-        self._told: set[str] = set()
-        self._restarting = [asyncio.Lock() for _ in range(layout.nodes)]
+        self._desired: dict[str, dict[str, Any] | None] = {}
+        self._printed: set[str] = set()
+        self._restart_locks = [asyncio.Lock() for _ in range(layout.nodes)]
 
-    async def run(self, about: dict[str, Any]) -> int:
+    async def run(self, run_info: dict[str, Any]) -> int:
         """Run, write the report, and return how many violations there were."""
         started: list[Standin] = []
         try:
             standins = await self._start(started)
-            await self._under_load(standins)
+            await self._run_under_load(standins)
         finally:
             for each in reversed(started):
                 await each.end()
@@ -72,8 +72,8 @@
         record = read_record(self._folder, self._layout, self._bounds)
         checked = check(record)
         figures = {"processes": self.usage.processes, "memory_mb": round(self.usage.memory_mb)}
-        write_report(self._folder, record, checked, about | {"peak": figures})
-        self._tell(checked)
+        write_report(self._folder, record, checked, run_info | {"peak": figures})
+        self._print_violations(checked)
         for name in STANDINS:
             if (self._folder / f"{name}.log").stat().st_size:
                 print(f"a stand-in failed, see {self._folder / name}.log", file=sys.stderr)
@@ -98,18 +98,18 @@
         callers = await start("callers", layout, events("callers"), str(self._seed))
         return Standins(store, servers, network, callers)
 
-    async def _under_load(self, standins: Standins) -> None:
+    async def _run_under_load(self, standins: Standins) -> None:
         tasks = [
-            asyncio.create_task(self._keep_checking()),
+            asyncio.create_task(self._check_periodically()),
             asyncio.create_task(self._sample(standins)),
-            asyncio.create_task(self._follow_orders(standins)),
+            asyncio.create_task(self._watch_rollout_states(standins)),
         ]
         started_s = time.monotonic()
         try:
             async with asyncio.timeout(self._seconds + 60):
                 async with asyncio.TaskGroup() as group:
                     for fault in self._faults:
-                        group.create_task(self._bring_about(standins, fault, started_s))
+                        group.create_task(self._run_fault(standins, fault, started_s))
                     await asyncio.sleep(self._seconds)
         finally:
             for task in tasks:
@@ -119,135 +119,135 @@
             if isinstance(result, Exception):
                 raise result
 
-    async def _bring_about(self, standins: Standins, fault: Fault, started_s: float) -> None:
+    async def _run_fault(self, standins: Standins, fault: Fault, started_s: float) -> None:
         await asyncio.sleep(max(0.0, started_s + fault.at_s - time.monotonic()))
-        number = next(self._numbers)
+        number = next(self._ids)
         self._log.write("fault", number=number, **fault_fields(fault))
-        lasting_s = max(0.0, started_s + fault.until_s - time.monotonic())
-        await self._inject(standins, fault, lasting_s)
+        duration_s = max(0.0, started_s + fault.until_s - time.monotonic())
+        await self._inject(standins, fault, duration_s)
         self._log.write("fault_end", number=number)
 
-    async def _inject(self, standins: Standins, fault: Fault, lasting_s: float) -> None:
+    async def _inject(self, standins: Standins, fault: Fault, duration_s: float) -> None:
         kind = fault.kind
         if kind in ("config_change", "reshard"):
             await self._change(standins, fault)
         elif kind.startswith("rollout_"):
-            await self._order_rollout(standins, fault, lasting_s)
+            await self._order_rollout(standins, fault, duration_s)
         elif kind == "load_burst":
-            standins.callers.order(factor=BURST_FACTOR)
-            await asyncio.sleep(lasting_s)
-            standins.callers.order(factor=1.0)
+            standins.callers.send_command(factor=BURST_FACTOR)
+            await asyncio.sleep(duration_s)
+            standins.callers.send_command(factor=1.0)
         elif kind == "deadly_request":
-            number = next(self._numbers)
-            standins.callers.order(deadly=[number])
-            await asyncio.sleep(lasting_s)
-            standins.callers.order(harmless=[number])
+            number = next(self._ids)
+            standins.callers.send_command(deadly=[number])
+            await asyncio.sleep(duration_s)
+            standins.callers.send_command(harmless=[number])
         elif kind.startswith("node_") or kind == "herd_kill":
             # Callers that know nothing of a stop yet keep coming, with requests that take long.
-            pressed = fault.targets[0] if kind == "node_stop" else None
-            standins.callers.order(press=pressed)
-            await asyncio.gather(*(self._disturb_node(node, kind, lasting_s) for node in fault.targets))
-            standins.callers.order(press=None)
+            pressed_node = fault.targets[0] if kind == "node_stop" else None
+            standins.callers.send_command(press=pressed_node)
+            await asyncio.gather(*(self._inject_node_fault(node, kind, duration_s) for node in fault.targets))
+            standins.callers.send_command(press=None)
         elif kind.startswith(("front_", "store_link_", "server_link_")):
-            await self._disturb_link(standins.network, fault, lasting_s)
+            await self._inject_link_fault(standins.network, fault, duration_s)
         elif kind.startswith("store_"):
-            await self._disturb_store(standins.store, fault, lasting_s)
+            await self._inject_store_fault(standins.store, fault, duration_s)
         else:
-            await self._disturb_server(standins.servers, fault, lasting_s)
+            await self._inject_server_fault(standins.servers, fault, duration_s)
 
-    async def _disturb_node(self, node: int, kind: str, lasting_s: float) -> None:
+    async def _inject_node_fault(self, node: int, kind: str, duration_s: float) -> None:
         if kind == "node_pause":
             self._nodes.send(node, signal.SIGSTOP)
-            await asyncio.sleep(lasting_s)
+            await asyncio.sleep(duration_s)
             self._nodes.send(node, signal.SIGCONT)
             return
         if kind == "node_suspend":
-            await self._nodes.suspend(node, lasting_s)
+            await self._nodes.suspend(node, duration_s)
             return
         if kind == "node_hup":
             self._nodes.send(node, signal.SIGHUP)
             return
         # Signals may meet a node that ends or starts; two starts of one node may not.
-        async with self._restarting[node]:
+        async with self._restart_locks[node]:
             if kind == "node_stop":
                 await self._nodes.terminate(node)
             else:
                 await self._nodes.kill(node)
-                await asyncio.sleep(lasting_s)
+                await asyncio.sleep(duration_s)
             await self._nodes.start(node)
 
-    async def _disturb_link(self, network: Standin, fault: Fault, lasting_s: float) -> None:
+    async def _inject_link_fault(self, network: Standin, fault: Fault, duration_s: float) -> None:
         link = fault.kind.split("_")[0]
         mode = next(mode for mode in LINK_MODES if fault.kind.endswith(mode))
         for target in fault.targets:
-            network.order(link=f"{link}:{target}", mode=mode)
-        await asyncio.sleep(lasting_s)
+            network.send_command(link=f"{link}:{target}", mode=mode)
+        await asyncio.sleep(duration_s)
         for target in fault.targets:
-            network.order(link=f"{link}:{target}", mode="sound")
-
-    async def _disturb_store(self, store: Standin, fault: Fault, lasting_s: float) -> None:
-        what = fault.kind.removeprefix("store_")
-        if what.startswith("forgets_"):
-            store.order(forget=what.removeprefix("forgets_"))
-        elif what == "restored":
-            store.order(mode="down")
-            await asyncio.sleep(lasting_s)
-            store.order(restore=True)
-            store.order(mode="sound")
-            await self._write_again()
-        elif what == "refuses_some":
-            store.order(refuse=list(fault.targets))
-            await asyncio.sleep(lasting_s)
-            store.order(refuse=[])
+            network.send_command(link=f"{link}:{target}", mode="sound")
+
+    async def _inject_store_fault(self, store: Standin, fault: Fault, duration_s: float) -> None:
+        fault_name = fault.kind.removeprefix("store_")
+        if fault_name.startswith("forgets_"):
+            store.send_command(forget=fault_name.removeprefix("forgets_"))
+        elif fault_name == "restored":
+            store.send_command(mode="down")
+            await asyncio.sleep(duration_s)
+            store.send_command(restore=True)
+            store.send_command(mode="sound")
+            await self._rewrite_all()
+        elif fault_name == "refuses_some":
+            store.send_command(refuse=list(fault.targets))
+            await asyncio.sleep(duration_s)
+            store.send_command(refuse=[])
         else:
-            store.order(mode=what)
-            await asyncio.sleep(lasting_s)
-            store.order(mode="sound")
+            store.send_command(mode=fault_name)
+            await asyncio.sleep(duration_s)
+            store.send_command(mode="sound")
 
-    async def _disturb_server(self, servers: Standin, fault: Fault, lasting_s: float) -> None:
-        what = (
+    async def _inject_server_fault(self, servers: Standin, fault: Fault, duration_s: float) -> None:
+        fault_name = (
             fault.kind.removeprefix("server_")
             .removeprefix("shard_")
             .removeprefix("shards_")
             .removeprefix("desk_")
         )
         for slot in fault.targets:
-            if what in SERVER_MODES:
-                servers.order(slot=slot, mode=what)
-            elif what == "reuse":
+            if fault_name in SERVER_MODES:
+                servers.send_command(slot=slot, mode=fault_name)
+            elif fault_name == "reuse":
                 other = self._layout.slots()[(slot + 3) % len(self._layout.slots())]
-                servers.order(reuse=slot, service=other)
+                servers.send_command(reuse=slot, service=other)
             else:
-                servers.order(**{what: slot})
-        await asyncio.sleep(lasting_s)
+                servers.send_command(**{fault_name: slot})
+        await asyncio.sleep(duration_s)
         for slot in fault.targets:
-            if what in SERVER_MODES:
-                servers.order(slot=slot, mode="sound")
+            if fault_name in SERVER_MODES:
+                servers.send_command(slot=slot, mode="sound")
             else:
-                servers.order(restart=slot)
+                servers.send_command(restart=slot)
 
     # --- the operator ---
 
     async def _change(self, standins: Standins | None, fault: Fault) -> None:
-        async with self._operating:
+        async with self._operator_lock:
             self._version += 1
             if fault.kind == "reshard":
                 self._shard_set = "b" if self._shard_set == "a" else "a"
             spec = configuration(self._layout, self._version, self._shard_set)
-            await self._operate("config", "main", spec)
+            await self._write_until_stored("config", "main", spec)
             if standins is not None:
-                standins.callers.order(version=self._version)
+                standins.callers.send_command(version=self._version)
 
-    async def _operate(self, kind: str, name: str, spec: dict[str, Any] | None) -> None:
+    async def _write_until_stored(self, kind: str, name: str, spec: dict[str, Any] | None) -> None:
         """Write an object, or remove it, as often as it takes."""
         path = f"/objects/{kind}/{name}"
-        self._wanted[path] = spec
-        while self._wanted[path] is spec:
-            if await self._wrote(path, spec):
+        self._desired[path] = spec
+        while self._desired[path] is spec:
+            if await self._try_write(path, spec):
                 return
-            await asyncio.sleep(OPERATOR_PATIENCE_S)
+            await asyncio.sleep(OPERATOR_RETRY_S)
 
-    async def _wrote(self, path: str, spec: dict[str, Any] | None) -> bool:
+    async def _try_write(self, path: str, spec: dict[str, Any] | None) -> bool:
         host = self._layout.address(4, 0)
         if spec is None:
             status, _ = await call(host, OPERATOR_PORT, "DELETE", path, None, 2.0)
@@ -255,23 +255,23 @@
         status, _ = await call(host, OPERATOR_PORT, "PUT", path, {"spec": spec}, 2.0)
         return status == 200
 
-    async def _write_again(self) -> None:
+    async def _rewrite_all(self) -> None:
         """Write all once more that the store may have lost; what stands already changes nothing."""
-        for path in list(self._wanted):
-            while not await self._wrote(path, self._wanted[path]):
-                await asyncio.sleep(OPERATOR_PATIENCE_S)
-
-    async def _order_rollout(self, standins: Standins, fault: Fault, lasting_s: float) -> None:
-        version = f"s{next(self._numbers) + 1}"
-        order = {"service": DESK, "targetVersion": version, "durationS": round(lasting_s - 5.0)}
-        await self._operate("rollouts", DESK, order)
-        standins.servers.order(rollout=version, bad=fault.kind == "rollout_bad")
-        await asyncio.sleep(lasting_s)
+        for path in list(self._desired):
+            while not await self._try_write(path, self._desired[path]):
+                await asyncio.sleep(OPERATOR_RETRY_S)
+
+    async def _order_rollout(self, standins: Standins, fault: Fault, duration_s: float) -> None:
+        version = f"s{next(self._ids) + 1}"
+        order = {"service": DESK, "targetVersion": version, "durationS": round(duration_s - 5.0)}
+        await self._write_until_stored("rollouts", DESK, order)
+        standins.servers.send_command(rollout=version, bad=fault.kind == "rollout_bad")
+        await asyncio.sleep(duration_s)
         # An order without an end is withdrawn, and its servers leave.
-        await self._operate("rollouts", DESK, None)
-        standins.servers.order(final="withdrawn")
+        await self._write_until_stored("rollouts", DESK, None)
+        standins.servers.send_command(final="withdrawn")
 
-    async def _follow_orders(self, standins: Standins) -> None:
+    async def _watch_rollout_states(self, standins: Standins) -> None:
         """Tell the servers at once when an order's end is recorded."""
         path = self._folder / "events-store.jsonl"
         read = 0
@@ -287,21 +287,21 @@
                     continue
                 state = (event["value"] or {}).get("state")
                 if state in (COMPLETED, ROLLED_BACK):
-                    standins.servers.order(final=state)
+                    standins.servers.send_command(final=state)
 
     # --- watching ---
 
-    async def _keep_checking(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
             await asyncio.sleep(CHECK_EVERY_S)
             read = await asyncio.to_thread(read_record, self._folder, self._layout, self._bounds)
-            self._tell(await asyncio.to_thread(check, read))
+            self._print_violations(await asyncio.to_thread(check, read))
 
-    def _tell(self, checked: Any) -> None:
+    def _print_violations(self, checked: Any) -> None:
         for each in checked.values():
             for violation in each.violations:
-                if violation.detail not in self._told:
-                    self._told.add(violation.detail)
+                if violation.detail not in self._printed:
+                    self._printed.add(violation.detail)
                     print(f"violation: {violation.promise}: {violation.detail}", file=sys.stderr, flush=True)
 
     async def _sample(self, standins: Standins) -> None:
@@ -310,4 +310,4 @@
             processes = [each.process for each in standins] + list(self._nodes.processes.values())
             alive = [each.pid for each in processes if each.returncode is None]
             total_mb = memory_mb(os.getpid()) + sum(memory_mb(pid) for pid in alive)
-            self.usage = self.usage.joined(len(alive) + 1, total_mb)
+            self.usage = self.usage.peak_with(len(alive) + 1, total_mb)
--- a/soak/schedule.py
+++ b/soak/schedule.py
@@ -58,12 +58,12 @@
 }
 ALL_KINDS = KINDS | ROLLOUT_KINDS
 # Planned by functions of their own, beside the others.
-PLANNED_APART = ("server_drain", "store_restored")
-FIRST_AT_S, QUIET_END_S = 4.0, 3.0
-SHORTEST_GAP_S, LONGEST_GAP_S = 0.5, 5.0
+SEPARATELY_PLANNED = ("server_drain", "store_restored")
+INITIAL_DELAY_S, FINAL_QUIET_S = 4.0, 3.0
+MIN_GAP_S, MAX_GAP_S = 0.5, 5.0
 # After everything was killed nothing else fails until the bound on coming back and some seconds are over.
 HERD_QUIET_S = 18.0
-MANY_SHARDS = 4
+FAILED_SHARDS = 4
 # Long enough for the servers of a version that was taken back to leave.
 ROLLOUT_GAP_S = 8.0
 OPERATOR_EVERY_S = (4.0, 9.0)
@@ -72,13 +72,13 @@
 DRAIN_EVERY_S = (7.0, 10.0)
 # Now and then nodes are stopped in turn, the next while the last one still ends or starts, and changes of the
 # configuration come close together meanwhile.
-SERIES_EVERY_S, STOP_GAP_S = (18.0, 30.0), (0.8, 2.0)
-CHANGES_IN_SERIES, CHANGE_GAP_S = 6, 0.3
+ROLLING_STOPS_EVERY_S, STOP_GAP_S = (18.0, 30.0), (0.8, 2.0)
+CHANGES_DURING_STOPS, CHANGE_GAP_S = 6, 0.3
 # The store comes back from an older copy beside whatever else happens, half of the times twice in a row. It
 # loses a series of changes; one comes under revisions given out again, late enough for its bound to be
 # judged. More are lost than come again until then, or comparing revisions alone would do no harm.
 RESTORE_EVERY_S, RESTORE_GAP_S = (14.0, 24.0), (1.0, 4.0)
-CHANGES_LOST, CHANGES_LOST_S, CHANGED_AFTER_S = 8, 2.2, 4.5
+LOST_CHANGES, LOST_CHANGES_SPAN_S, CHANGE_AFTER_RESTORE_S = 8, 2.2, 4.5
 
 
 class Fault(NamedTuple):
@@ -108,35 +108,37 @@
     unknown = sorted(set(kinds) - set(ALL_KINDS))
     if unknown:
         raise ValueError(f"--kinds: no such kind of fault: {', '.join(unknown)}")
-    source = random.Random(seed)
-    end_s = seconds - QUIET_END_S
-    faults = _mixed(source, end_s, nodes, servers, kinds)
-    faults += _operator(source, end_s, kinds)
+    rng = random.Random(seed)
+    end_s = seconds - FINAL_QUIET_S
+    faults = _plan_mixed(rng, end_s, nodes, servers, kinds)
+    faults += _plan_operator_changes(rng, end_s, kinds)
     if "server_drain" in kinds:
-        faults += _drains(source, end_s, servers)
-    faults += _rollouts(source, end_s, kinds)
+        faults += _plan_drains(rng, end_s, servers)
+    faults += _plan_rollouts(rng, end_s, kinds)
     herds = [each for each in faults if each.kind == "herd_kill"]
-    faults += _series(source, end_s, nodes, kinds, herds)
-    faults += _restores(source, end_s, kinds, herds)
+    faults += _plan_rolling_stops(rng, end_s, nodes, kinds, herds)
+    faults += _plan_restores(rng, end_s, kinds, herds)
     return tuple(sorted(faults, key=lambda fault: fault.at_s))
 
 
-def _mixed(
-    source: random.Random, end_s: float, nodes: int, servers: int, kinds: tuple[str, ...]
+def _plan_mixed(
+    rng: random.Random, end_s: float, nodes: int, servers: int, kinds: tuple[str, ...]
 ) -> list[Fault]:
     mixed = [
-        kind for kind in kinds if kind in KINDS and KINDS[kind][0] != "operator" and kind not in PLANNED_APART
+        kind
+        for kind in kinds
+        if kind in KINDS and KINDS[kind][0] != "operator" and kind not in SEPARATELY_PLANNED
     ]
     faults: list[Fault] = []
-    at_s = FIRST_AT_S
+    at_s = INITIAL_DELAY_S
     herds = 0
     deck: list[str] = []
     while mixed:
         # Dealt from a shuffled deck: every kind comes before one comes again.
         if not deck:
-            deck = source.sample(mixed, len(mixed))
+            deck = rng.sample(mixed, len(mixed))
         kind = deck.pop()
-        aim, shortest, longest = KINDS[kind]
+        target_kind, min_s, max_s = KINDS[kind]
         if kind == "herd_kill":
             if at_s + HERD_QUIET_S > end_s or herds > at_s / 90:
                 if not [each for each in deck if each != "herd_kill"] and mixed == ["herd_kill"]:
@@ -145,79 +147,83 @@
             herds += 1
             at_s = max([at_s, *[fault.until_s for fault in faults]])
         at_s = round(at_s, 3)
-        until_s = round(at_s + source.uniform(shortest, longest), 3)
+        until_s = round(at_s + rng.uniform(min_s, max_s), 3)
         if until_s > end_s:
             break
-        faults.append(Fault(kind, at_s, until_s, _targets(source, aim, nodes, servers)))
-        at_s += HERD_QUIET_S if kind == "herd_kill" else source.uniform(SHORTEST_GAP_S, LONGEST_GAP_S)
+        faults.append(Fault(kind, at_s, until_s, _choose_targets(rng, target_kind, nodes, servers)))
+        at_s += HERD_QUIET_S if kind == "herd_kill" else rng.uniform(MIN_GAP_S, MAX_GAP_S)
     return faults
 
 
-def _operator(source: random.Random, end_s: float, kinds: tuple[str, ...]) -> list[Fault]:
+def _plan_operator_changes(rng: random.Random, end_s: float, kinds: tuple[str, ...]) -> list[Fault]:
     changes = [kind for kind in kinds if kind in KINDS and KINDS[kind][0] == "operator"]
     faults: list[Fault] = []
-    at_s = FIRST_AT_S
+    at_s = INITIAL_DELAY_S
     while changes and at_s + 0.1 < end_s:
-        faults.append(Fault(source.choice(changes), round(at_s, 3), round(at_s + 0.1, 3), ()))
-        at_s += source.uniform(*OPERATOR_EVERY_S)
+        faults.append(Fault(rng.choice(changes), round(at_s, 3), round(at_s + 0.1, 3), ()))
+        at_s += rng.uniform(*OPERATOR_EVERY_S)
     return faults
 
 
-def _drains(source: random.Random, end_s: float, servers: int) -> list[Fault]:
+def _plan_drains(rng: random.Random, end_s: float, servers: int) -> list[Fault]:
     faults: list[Fault] = []
-    at_s = FIRST_AT_S
-    lasting_s = KINDS["server_drain"][2]
-    while at_s + lasting_s <= end_s:
+    at_s = INITIAL_DELAY_S
+    duration_s = KINDS["server_drain"][2]
+    while at_s + duration_s <= end_s:
         faults.append(
-            Fault("server_drain", round(at_s, 3), round(at_s + lasting_s, 3), (source.randrange(servers),))
+            Fault("server_drain", round(at_s, 3), round(at_s + duration_s, 3), (rng.randrange(servers),))
         )
-        at_s += source.uniform(*DRAIN_EVERY_S)
+        at_s += rng.uniform(*DRAIN_EVERY_S)
     return faults
 
 
-def _series(
-    source: random.Random, end_s: float, nodes: int, kinds: tuple[str, ...], herds: list[Fault]
+def _plan_rolling_stops(
+    rng: random.Random, end_s: float, nodes: int, kinds: tuple[str, ...], herds: list[Fault]
 ) -> list[Fault]:
     """Return stops of all nodes in turn, and changes in quick succession beside them."""
     if not {"node_stop", "config_change"} <= set(kinds):
         return []
     faults: list[Fault] = []
-    at_s = FIRST_AT_S + source.uniform(*SERIES_EVERY_S) / 2
-    lasting_s = KINDS["node_stop"][2]
-    while at_s + lasting_s < end_s:
+    at_s = INITIAL_DELAY_S + rng.uniform(*ROLLING_STOPS_EVERY_S) / 2
+    duration_s = KINDS["node_stop"][2]
+    while at_s + duration_s < end_s:
         stop_s = at_s
-        for node in source.sample(range(nodes), nodes):
-            faults.append(Fault("node_stop", round(stop_s, 3), round(stop_s + lasting_s, 3), (node,)))
-            stop_s += source.uniform(*STOP_GAP_S)
-        for number in range(CHANGES_IN_SERIES):
+        for node in rng.sample(range(nodes), nodes):
+            faults.append(Fault("node_stop", round(stop_s, 3), round(stop_s + duration_s, 3), (node,)))
+            stop_s += rng.uniform(*STOP_GAP_S)
+        for number in range(CHANGES_DURING_STOPS):
             change_s = round(at_s + number * CHANGE_GAP_S, 3)
             faults.append(Fault("config_change", change_s, round(change_s + 0.1, 3), ()))
-        at_s = stop_s + source.uniform(*SERIES_EVERY_S)
-    return _beside_herds(faults, end_s, herds)
+        at_s = stop_s + rng.uniform(*ROLLING_STOPS_EVERY_S)
+    return _outside_herd_quiet(faults, end_s, herds)
 
 
-def _restores(source: random.Random, end_s: float, kinds: tuple[str, ...], herds: list[Fault]) -> list[Fault]:
+def _plan_restores(
+    rng: random.Random, end_s: float, kinds: tuple[str, ...], herds: list[Fault]
+) -> list[Fault]:
     """Return restores of the store from an older copy, and changes just before and after each."""
     if "store_restored" not in kinds:
         return []
-    _, shortest, longest = KINDS["store_restored"]
+    _, min_s, max_s = KINDS["store_restored"]
     faults: list[Fault] = []
-    at_s = FIRST_AT_S + source.uniform(*RESTORE_EVERY_S) / 2
-    while at_s + longest < end_s:
-        for _ in range(source.choice((1, 2))):
-            until_s = at_s + source.uniform(shortest, longest)
+    at_s = INITIAL_DELAY_S + rng.uniform(*RESTORE_EVERY_S) / 2
+    while at_s + max_s < end_s:
+        for _ in range(rng.choice((1, 2))):
+            until_s = at_s + rng.uniform(min_s, max_s)
             faults.append(Fault("store_restored", round(at_s, 3), round(until_s, 3), ()))
             if "config_change" in kinds:
-                step_s = CHANGES_LOST_S / CHANGES_LOST
-                changes_s = [at_s - CHANGES_LOST_S + number * step_s for number in range(CHANGES_LOST)]
-                for change_s in (*changes_s, until_s + CHANGED_AFTER_S):
+                interval_s = LOST_CHANGES_SPAN_S / LOST_CHANGES
+                changes_s = [
+                    at_s - LOST_CHANGES_SPAN_S + number * interval_s for number in range(LOST_CHANGES)
+                ]
+                for change_s in (*changes_s, until_s + CHANGE_AFTER_RESTORE_S):
                     faults.append(Fault("config_change", round(change_s, 3), round(change_s + 0.1, 3), ()))
-            at_s = until_s + source.uniform(*RESTORE_GAP_S)
-        at_s += source.uniform(*RESTORE_EVERY_S)
-    return _beside_herds(faults, end_s, herds)
+            at_s = until_s + rng.uniform(*RESTORE_GAP_S)
+        at_s += rng.uniform(*RESTORE_EVERY_S)
+    return _outside_herd_quiet(faults, end_s, herds)
 
 
-def _beside_herds(faults: list[Fault], end_s: float, herds: list[Fault]) -> list[Fault]:
+def _outside_herd_quiet(faults: list[Fault], end_s: float, herds: list[Fault]) -> list[Fault]:
     """Return the faults that end in time and leave quiet what needs it: all nodes coming back."""
     quiet = [(herd.at_s - 0.1, herd.at_s + HERD_QUIET_S) for herd in herds]
     return [
@@ -228,34 +234,34 @@
     ]
 
 
-def _rollouts(source: random.Random, end_s: float, kinds: tuple[str, ...]) -> list[Fault]:
-    wanted = [kind for kind in kinds if kind in ROLLOUT_KINDS]
+def _plan_rollouts(rng: random.Random, end_s: float, kinds: tuple[str, ...]) -> list[Fault]:
+    allowed = [kind for kind in kinds if kind in ROLLOUT_KINDS]
     faults: list[Fault] = []
-    at_s = FIRST_AT_S + 4.0
-    while wanted and at_s + ROLLOUT_KINDS[wanted[0]][2] <= end_s:
-        kind = source.choice(wanted)
+    at_s = INITIAL_DELAY_S + 4.0
+    while allowed and at_s + ROLLOUT_KINDS[allowed[0]][2] <= end_s:
+        kind = rng.choice(allowed)
         until_s = at_s + ROLLOUT_KINDS[kind][2]
         faults.append(Fault(kind, round(at_s, 3), round(until_s, 3), ()))
         at_s = until_s + ROLLOUT_GAP_S
     return faults
 
 
-def _targets(source: random.Random, aim: str, nodes: int, servers: int) -> tuple[int, ...]:
-    if aim in ("node", "front", "store"):
-        return (source.randrange(nodes),)
-    if aim == "nodes":
-        return tuple(sorted(source.sample(range(nodes), max(1, nodes // 3))))
-    if aim == "all":
+def _choose_targets(rng: random.Random, target_kind: str, nodes: int, servers: int) -> tuple[int, ...]:
+    if target_kind in ("node", "front", "store"):
+        return (rng.randrange(nodes),)
+    if target_kind == "nodes":
+        return tuple(sorted(rng.sample(range(nodes), max(1, nodes // 3))))
+    if target_kind == "all":
         return tuple(range(nodes))
-    if aim == "server":
-        return (source.randrange(servers),)
-    if aim == "shards":
+    if target_kind == "server":
+        return (rng.randrange(servers),)
+    if target_kind == "shards":
         # One set of shards comes first, so that neighbours are of the same set: enough for one to be short.
-        first = source.randrange((servers - DESK_SERVERS) // 2 - MANY_SHARDS) * 2
-        return tuple(range(first, first + 2 * MANY_SHARDS))
-    if aim == "desk":
+        first = rng.randrange((servers - DESK_SERVERS) // 2 - FAILED_SHARDS) * 2
+        return tuple(range(first, first + 2 * FAILED_SHARDS))
+    if target_kind == "desk":
         return tuple(range(servers - DESK_SERVERS, servers))
-    if aim == "shard":
-        first = source.randrange(servers // 2) * 2
+    if target_kind == "shard":
+        first = rng.randrange(servers // 2) * 2
         return (first, first + 1)
     return ()
--- a/soak/server.py
+++ b/soak/server.py
@@ -6,16 +6,24 @@
 from collections.abc import Callable
 from typing import NamedTuple
 
-from soak.layout import DEADLY_WORD, DEADLY_WORK_S, DESK, LONG_WORD, LONG_WORK_S, SERVER_PORT, SLOTS
+from soak.layout import (
+    DEADLY_PATH_MARKER,
+    DEADLY_WORK_S,
+    DESK,
+    LONG_PATH_MARKER,
+    LONG_WORK_S,
+    SERVER_CAPACITY,
+    SERVER_PORT,
+)
 from soak.records import records_of, single_body
 from soak.standin import EventLog, HttpMessage, encode_message, read_message
 from yokesill.platform.names import HEADER_NAMES
 
-QUEUE, CONNECTIONS, IDLE_S = 12, 60, 10.0
+MAX_QUEUED, MAX_CONNECTIONS, IDLE_TIMEOUT_S = 12, 60, 10.0
 SHARD_WORK_S, DESK_WORK_S, SLOW_FACTOR = 0.006, 0.02, 15.0
-FAIL_SHARE, BAD_SHARE = 0.5, 0.4
-GARBLES = ("short", "junk", "surplus", "other")
-REQUEST_ID, DEADLINE, SIGNATURE, EXPECTED, LOAD, NOT_RUN = (
+FAILING_SHARE, BAD_VERSION_FAILING_SHARE = 0.5, 0.4
+GARBLE_KINDS = ("short", "junk", "surplus", "other")
+REQUEST_ID, DEADLINE, SIGNATURE, EXPECTED_INSTANCE, LOAD, NOT_RUN = (
     name.decode()
     for name in (
         HEADER_NAMES.request_id,
@@ -38,23 +46,21 @@
 class Server:
     """One incarnation at one address; ``mode`` is its fault, ``bad`` that of its software version."""
 
-    def __init__(
-        self, instance: str, service: str, version: str, log: EventLog, source: random.Random
-    ) -> None:
+    def __init__(self, instance: str, service: str, version: str, log: EventLog, rng: random.Random) -> None:
         self.instance = instance
         self.service = service
         self.version = version
         self.mode = "sound"
         self.bad = False
         self.leaving = False
-        self.crashed: Callable[[], None] = lambda: None
+        self.on_crash: Callable[[], None] = lambda: None
         self._log = log
-        self._source = source
+        self._rng = rng
         self._running = 0
         self._waiting = 0
-        self._slots = asyncio.Semaphore(SLOTS)
+        self._slots = asyncio.Semaphore(SERVER_CAPACITY)
         self._numbers = itertools.count(1)
-        self._open: set[asyncio.StreamWriter] = set()
+        self._writers: set[asyncio.StreamWriter] = set()
         self._listener: asyncio.Server | None = None
         self._last_answer = b""
 
@@ -66,18 +72,18 @@
         """Be gone at once."""
         if self._listener is not None:
             self._listener.close()
-        for writer in list(self._open):
+        for writer in list(self._writers):
             writer.transport.abort()
         self._log.write("ended", server=self.instance)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        if len(self._open) >= CONNECTIONS:
+        if len(self._writers) >= MAX_CONNECTIONS:
             writer.transport.abort()
             return
-        self._open.add(writer)
+        self._writers.add(writer)
         try:
             while True:
-                async with asyncio.timeout(IDLE_S):
+                async with asyncio.timeout(IDLE_TIMEOUT_S):
                     request = await read_message(reader)
                 if request is None:
                     return
@@ -92,19 +98,19 @@
         except (OSError, ValueError, TimeoutError):
             return
         finally:
-            self._open.discard(writer)
+            self._writers.discard(writer)
             writer.close()
 
     async def _answer(self, request: HttpMessage) -> Answer | None:
         """Return an answer; ``None`` breaks the connection off."""
-        if request.first[1] == "/health":
+        if request.start_line[1] == "/health":
             status = 503 if self.leaving else 200
             return Answer(self._encode(status, {"x-yokesill-instance-id": self.instance}))
         if self.mode == "dark":
             await asyncio.sleep(3600)
         refusal = self._refusal(request)
         if refusal:
-            self._note(request, ran=False, signature="", status=refusal)
+            self._log_arrival(request, ran=False, signature="", status=refusal)
             return Answer(self._encode(refusal, {NOT_RUN: "1"}))
         self._waiting += 1
         try:
@@ -119,46 +125,46 @@
             self._slots.release()
 
     def _refusal(self, request: HttpMessage) -> int:
-        if request.headers.get(EXPECTED, self.instance) != self.instance:
+        if request.headers.get(EXPECTED_INSTANCE, self.instance) != self.instance:
             return 421
         if not request.headers.get(REQUEST_ID):
             return 400
-        return 503 if self.mode == "full" or self._waiting >= QUEUE else 0
+        return 503 if self.mode == "full" or self._waiting >= MAX_QUEUED else 0
 
     async def _work(self, request: HttpMessage) -> Answer | None:
         request_id = request.headers[REQUEST_ID]
         signature = f"{self.instance}.{next(self._numbers)}"
-        self._note(request, ran=True, signature=signature)
-        if DEADLY_WORD in request.first[1]:
+        self._log_arrival(request, ran=True, signature=signature)
+        if DEADLY_PATH_MARKER in request.start_line[1]:
             await asyncio.sleep(DEADLY_WORK_S)
-            self._log.write("crashed", server=self.instance, path=request.first[1])
-            self.crashed()
+            self._log.write("crashed", server=self.instance, path=request.start_line[1])
+            self.on_crash()
             return None
-        work_s = (DESK_WORK_S if self.service == DESK else SHARD_WORK_S) * self._source.lognormvariate(0, 0.4)
+        work_s = (DESK_WORK_S if self.service == DESK else SHARD_WORK_S) * self._rng.lognormvariate(0, 0.4)
         work_s *= SLOW_FACTOR if self.mode == "slow" else 1.0
-        work_s += LONG_WORK_S if LONG_WORD in request.first[1] else 0.0
+        work_s += LONG_WORK_S if LONG_PATH_MARKER in request.start_line[1] else 0.0
         left_s = int(request.headers.get(DEADLINE, "60000")) / 1000
         await asyncio.sleep(min(work_s, left_s))
-        failing = self.mode == "fails" and self._source.random() < FAIL_SHARE
-        failing = failing or (self.bad and self._source.random() < BAD_SHARE)
+        failing = self.mode == "fails" and self._rng.random() < FAILING_SHARE
+        failing = failing or (self.bad and self._rng.random() < BAD_VERSION_FAILING_SHARE)
         status = 504 if work_s > left_s else 500 if failing else 200
         if self.mode == "loses_answers":
             return None
         if status != 200:
-            self._done(signature, status)
+            self._log_done(signature, status)
             return Answer(self._signed(status, request_id, signature, b"failed"))
         is_desk = self.service == DESK
         body = single_body(signature) if is_desk else b"".join(records_of(self.service, request_id))
         content = self._signed(200, request_id, signature, body)
-        garble = self._source.choice(GARBLES) if self.mode == "garbles" else ""
+        garble = self._rng.choice(GARBLE_KINDS) if self.mode == "garbles" else ""
         # A broken-off or unreadable answer is none; only what was sent whole may count.
-        self._done(signature, 0 if garble in ("short", "junk", "other") else 200)
-        answer = self._garbled(garble, content)
+        self._log_done(signature, 0 if garble in ("short", "junk", "other") else 200)
+        answer = self._garble(garble, content)
         if not garble:
             self._last_answer = content
         return answer
 
-    def _garbled(self, garble: str, content: bytes) -> Answer:
+    def _garble(self, garble: str, content: bytes) -> Answer:
         match garble:
             case "short":
                 return Answer(content[:-20], close=True)
@@ -172,7 +178,7 @@
 
     def _signed(self, status: int, request_id: str, signature: str, body: bytes) -> bytes:
         headers = {REQUEST_ID: request_id, SIGNATURE: signature}
-        headers[LOAD] = f"{self._running}, {self._waiting}, {SLOTS}"
+        headers[LOAD] = f"{self._running}, {self._waiting}, {SERVER_CAPACITY}"
         return self._encode(status, headers, body)
 
     def _encode(self, status: int, headers: dict[str, str], body: bytes = b"") -> bytes:
@@ -180,18 +186,18 @@
             headers = headers | {"connection": "close"}
         return encode_message(f"HTTP/1.1 {status} X", headers, body)
 
-    def _note(self, request: HttpMessage, ran: bool, signature: str, status: int = 0) -> None:
+    def _log_arrival(self, request: HttpMessage, ran: bool, signature: str, status: int = 0) -> None:
         self._log.write(
             "arrived",
             server=self.instance,
             service=self.service,
             version=self.version,
             id=request.headers.get(REQUEST_ID, ""),
-            path=request.first[1],
+            path=request.start_line[1],
             ran=ran,
             signature=signature,
             status=status,
         )
 
-    def _done(self, signature: str, status: int) -> None:
+    def _log_done(self, signature: str, status: int) -> None:
         self._log.write("done", signature=signature, status=status)
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -13,17 +13,17 @@
     FIRST_VERSION,
     OPERATOR_PORT,
     RESTART_S,
+    SERVER_CAPACITY,
     SERVER_PORT,
-    SLOTS,
     ZONES,
     Bounds,
     Layout,
 )
 from soak.server import Server
-from soak.standin import EventLog, call, follow_orders, run_standin
+from soak.standin import EventLog, call, follow_commands, run_standin
 from soak.store import HEARTBEAT_S
 
-REUSE_AFTER_S, AFTER_DRAIN_S = 2.0, (0.5, 2.5)
+REUSE_AFTER_S, EXIT_AFTER_DRAIN_S = 2.0, (0.5, 2.5)
 STORE_TIMEOUT_S = 1.0
 
 
@@ -33,29 +33,29 @@
     def __init__(self, layout: Layout, log: EventLog, seed: int) -> None:
         self._layout = layout
         self._log = log
-        self._source = random.Random(seed)
+        self._rng = random.Random(seed)
         self._servers: dict[int, Server] = {}
-        self._beats: dict[int, asyncio.Task[None]] = {}
-        self._jobs: set[asyncio.Task[None]] = set()
+        self._heartbeats: dict[int, asyncio.Task[None]] = {}
+        self._tasks: set[asyncio.Task[None]] = set()
         self._numbers = itertools.count(1)
         self._bounds = Bounds()
-        self._spare = list(layout.new_slots())
-        self._desk = [slot for slot, service in enumerate(layout.slots()) if service == DESK]
-        self._newer: list[int] = []
+        self._spare_slots = list(layout.new_slots())
+        self._desk_slots = [slot for slot, service in enumerate(layout.slots()) if service == DESK]
+        self._rollout_slots: list[int] = []
 
     async def start_all(self) -> None:
         """Start a server at every place but the spare ones."""
         for slot, service in enumerate(self._layout.slots()):
             await self._start(slot, service, FIRST_VERSION)
 
-    def obey(self, order: dict[str, Any]) -> None:
+    def apply_command(self, command: dict[str, Any]) -> None:
         """Carry an order out in the background."""
-        job = asyncio.create_task(self._obey(order))
-        self._jobs.add(job)
-        job.add_done_callback(self._jobs.discard)
+        task = asyncio.create_task(self._apply_command(command))
+        self._tasks.add(task)
+        task.add_done_callback(self._tasks.discard)
 
-    async def _obey(self, order: dict[str, Any]) -> None:
-        match order:
+    async def _apply_command(self, command: dict[str, Any]) -> None:
+        match command:
             case {"slot": slot, "mode": mode}:
                 if slot in self._servers:
                     self._servers[slot].mode = mode
@@ -67,35 +67,39 @@
                 self._end(slot)
                 await asyncio.sleep(REUSE_AFTER_S)
                 await self._start(slot, service, FIRST_VERSION)
-            case {"restart": slot} if slot in self._spare:
+            case {"restart": slot} if slot in self._spare_slots:
                 self._end(slot)
             case {"restart": slot}:
                 self._end(slot)
-                version = FIRST_VERSION if slot not in self._desk or not self._servers else self._version()
+                version = (
+                    FIRST_VERSION
+                    if slot not in self._desk_slots or not self._servers
+                    else self._desk_version()
+                )
                 await self._start(slot, self._service(slot), version)
             case {"rollout": version, "bad": bad}:
-                self._newer = self._spare
-                for slot in self._newer:
+                self._rollout_slots = self._spare_slots
+                for slot in self._rollout_slots:
                     await self._start(slot, DESK, version, bad)
             case {"final": state}:
-                await self._finish(state)
+                await self._finish_rollout(state)
 
-    async def _finish(self, state: str) -> None:
-        newer, self._newer = self._newer, []
-        if not newer:
+    async def _finish_rollout(self, state: str) -> None:
+        rollout_slots, self._rollout_slots = self._rollout_slots, []
+        if not rollout_slots:
             return
         if state == "completed":
-            self._spare, self._desk = self._desk, newer
-            for slot in self._spare:
+            self._spare_slots, self._desk_slots = self._desk_slots, rollout_slots
+            for slot in self._spare_slots:
                 server = self._end(slot)
                 if server is not None:
                     await self._remove_entry(server)
             return
-        await asyncio.gather(*(self._drain(slot) for slot in newer))
+        await asyncio.gather(*(self._drain(slot) for slot in rollout_slots))
 
-    def _version(self) -> str:
-        found = [self._servers[slot].version for slot in self._desk if slot in self._servers]
-        return found[0] if found else FIRST_VERSION
+    def _desk_version(self) -> str:
+        versions = [self._servers[slot].version for slot in self._desk_slots if slot in self._servers]
+        return versions[0] if versions else FIRST_VERSION
 
     def _service(self, slot: int) -> str:
         slots = self._layout.slots()
@@ -105,18 +109,18 @@
         if slot in self._servers:
             return
         instance = f"i-{slot}-{next(self._numbers)}"
-        server = Server(instance, service, version, self._log, random.Random(self._source.random()))
+        server = Server(instance, service, version, self._log, random.Random(self._rng.random()))
         server.bad = bad
-        server.crashed = lambda: self._crash(slot, server)
+        server.on_crash = lambda: self._crash(slot, server)
         self._servers[slot] = server
         await server.start(self._layout.address(2, slot))
         self._log.write("started", server=instance, service=service, version=version, slot=slot, bad=bad)
-        self._beats[slot] = asyncio.create_task(self._beat(slot, server))
+        self._heartbeats[slot] = asyncio.create_task(self._heartbeat(slot, server))
 
     def _end(self, slot: int) -> Server | None:
         server = self._servers.pop(slot, None)
         if server is not None:
-            self._beats.pop(slot).cancel()
+            self._heartbeats.pop(slot).cancel()
             server.end()
         return server
 
@@ -124,9 +128,9 @@
         """End a server that a request ended; another one starts in its place."""
         if self._servers.get(slot) is server:
             self._end(slot)
-            job = asyncio.create_task(self._start_again(slot, server))
-            self._jobs.add(job)
-            job.add_done_callback(self._jobs.discard)
+            task = asyncio.create_task(self._start_again(slot, server))
+            self._tasks.add(task)
+            task.add_done_callback(self._tasks.discard)
 
     async def _start_again(self, slot: int, server: Server) -> None:
         await asyncio.sleep(RESTART_S)
@@ -141,12 +145,12 @@
         while not await self._write_entry(slot, server):
             await asyncio.sleep(0.3)
         self._log.write("leaving", server=server.instance, slot=slot)
-        await asyncio.sleep(self._bounds.drain_s + self._source.uniform(*AFTER_DRAIN_S))
+        await asyncio.sleep(self._bounds.drain_s + self._rng.uniform(*EXIT_AFTER_DRAIN_S))
         if self._servers.get(slot) is server:
             self._end(slot)
             await self._remove_entry(server)
 
-    async def _beat(self, slot: int, server: Server) -> None:
+    async def _heartbeat(self, slot: int, server: Server) -> None:
         while True:
             await self._write_entry(slot, server)
             await asyncio.sleep(HEARTBEAT_S)
@@ -157,16 +161,16 @@
             "address": f"{self._layout.address(3, slot)}:{SERVER_PORT}",
             "zone": ZONES[slot % len(ZONES)],
             "configVersion": server.version,
-            "capacity": SLOTS,
+            "capacity": SERVER_CAPACITY,
             "state": "draining" if server.leaving else "ready",
             "warmupLeftMs": 0,
         }
-        return await self._store("PUT", server.instance, {"spec": spec})
+        return await self._call_store("PUT", server.instance, {"spec": spec})
 
     async def _remove_entry(self, server: Server) -> None:
-        await self._store("DELETE", server.instance, None)
+        await self._call_store("DELETE", server.instance, None)
 
-    async def _store(self, method: str, instance: str, body: Any) -> bool:
+    async def _call_store(self, method: str, instance: str, body: Any) -> bool:
         host, path = self._layout.address(4, 0), f"/objects/servers/{instance}"
         status, _ = await call(host, OPERATOR_PORT, method, path, body, STORE_TIMEOUT_S)
         return status == 200
@@ -177,7 +181,7 @@
     fleet = Fleet(layout, EventLog(log_path), seed)
     await fleet.start_all()
     print("up", flush=True)
-    await follow_orders(fleet.obey)
+    await follow_commands(fleet.apply_command)
 
 
 if __name__ == "__main__":
--- a/soak/standin.py
+++ b/soak/standin.py
@@ -26,12 +26,12 @@
 class HttpMessage(NamedTuple):
     """A request or an answer: its first line's three words, headers in lower case, and the body."""
 
-    first: tuple[str, str, str]
+    start_line: tuple[str, str, str]
     headers: dict[str, str]
     body: bytes
 
 
-class BrokenOff(ValueError):
+class TruncatedMessageError(ValueError):
     """The connection ended within a message."""
 
 
@@ -49,19 +49,19 @@
         head = await reader.readuntil(b"\r\n\r\n")
     except asyncio.IncompleteReadError as error:
         if error.partial:
-            raise BrokenOff("within the head") from None
+            raise TruncatedMessageError("within the head") from None
         return None
     except asyncio.LimitOverrunError:
         raise ValueError("the head is too long") from None
     lines = head.decode("latin-1").split("\r\n")
     words = [*lines[0].split(" ", 2), "", ""]
     headers = {
-        name.strip().lower(): value.strip() for name, _, value in (x.partition(":") for x in lines[1:])
+        name.strip().lower(): value.strip() for name, _, value in (line.partition(":") for line in lines[1:])
     }
     try:
         body = await _read_body(reader, headers)
     except asyncio.IncompleteReadError:
-        raise BrokenOff("within the body") from None
+        raise TruncatedMessageError("within the body") from None
     return HttpMessage((words[0], words[1], words[2]), headers, body)
 
 
@@ -76,9 +76,13 @@
     return await reader.readexactly(int(headers.get("content-length", "0")))
 
 
-def encode_message(first: str, headers: dict[str, str], body: bytes = b"") -> bytes:
+def encode_message(start_line: str, headers: dict[str, str], body: bytes = b"") -> bytes:
     """Return a message's bytes; its length is added."""
-    lines = [first, *(f"{name}: {value}" for name, value in headers.items()), f"content-length: {len(body)}"]
+    lines = [
+        start_line,
+        *(f"{name}: {value}" for name, value in headers.items()),
+        f"content-length: {len(body)}",
+    ]
     return "\r\n".join(lines).encode("latin-1") + b"\r\n\r\n" + body
 
 
@@ -97,23 +101,23 @@
         return 0, None
     if answer is None:
         return 0, None
-    return int(answer.first[1]), json.loads(answer.body) if answer.body[:1] in (b"{", b"[") else None
+    return int(answer.start_line[1]), json.loads(answer.body) if answer.body[:1] in (b"{", b"[") else None
 
 
-def run_standin(work: Coroutine[Any, Any, None]) -> None:
+def run_standin(main: Coroutine[Any, Any, None]) -> None:
     """Run a stand-in and end the process at once: unwinding each open connection would fill its log."""
 
-    async def to_the_end() -> None:
-        await work
+    async def run_and_exit() -> None:
+        await main
         os._exit(0)
 
-    asyncio.run(to_the_end())
+    asyncio.run(run_and_exit())
 
 
-async def follow_orders(obey: Callable[[dict[str, Any]], None]) -> None:
+async def follow_commands(apply_command: Callable[[dict[str, Any]], None]) -> None:
     """Obey each line of standard input; return at its end, so that no stand-in outlives its starter."""
     reader = asyncio.StreamReader(limit=1 << 20)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
     while line := await reader.readline():
-        obey(json.loads(line))
+        apply_command(json.loads(line))
--- a/soak/store.py
+++ b/soak/store.py
@@ -15,17 +15,17 @@
 from urllib.parse import parse_qs, unquote, urlsplit
 
 from soak.layout import OPERATOR_PORT, STORE_PORT
-from soak.standin import EventLog, HttpMessage, encode_message, follow_orders, read_message, run_standin
+from soak.standin import EventLog, HttpMessage, encode_message, follow_commands, read_message, run_standin
 
 PAGE = 500
 HISTORY_S = 20.0
 SLOW_S = 0.6
 # Stale reads are up to two seconds old.
-HOUSE_EVERY_S, STALE_TURNS = 0.2, 10
+MAINTENANCE_EVERY_S, STALE_VIEW_TURNS = 0.2, 10
 # Copies are made so often and kept so long; it comes back from one that is so much older than the newest.
 COPY_TURNS, COPIES_KEPT, COPY_AGE_S = 5, 12, 3.0
 TIMELINE_HEADER = "store-era"
-HEARTBEAT_S, SILENT_HEARTBEATS = 1.2, 3
+HEARTBEAT_S, MAX_MISSED_HEARTBEATS = 1.2, 3
 OPERATOR = -1
 OK, CREATED, NOT_FOUND, CONFLICT, GONE = 200, 201, 404, 409, 410
 REFUSALS = {"down": 503, "throttled": 429}
@@ -47,7 +47,7 @@
     at_s: float
     revision: int
     items: dict[tuple[str, str], dict[str, Any]]
-    forgotten: int
+    forgotten_revision: int
 
 
 class Objects:
@@ -57,11 +57,11 @@
         self.revision = 1
         self.timeline = 1
         self._copies: list[Copy] = []
-        self.forgotten = 0
+        self.forgotten_revision = 0
         self.items: dict[tuple[str, str], dict[str, Any]] = {}
         self.history: list[Change] = []
         self.changed = asyncio.Event()
-        self._stale: tuple[int, dict[tuple[str, str], dict[str, Any]]] = (self.revision, {})
+        self._stale_view: tuple[int, dict[tuple[str, str], dict[str, Any]]] = (self.revision, {})
 
     def put(self, kind: str, name: str, part: str, value: Any, revision: int | None) -> tuple[int, Any]:
         """Set ``spec`` or ``status`` of an object, made if need be; a given ``revision`` must be its own."""
@@ -94,16 +94,16 @@
         """Forget the changes made before a time."""
         kept = [change for change in self.history if change.at_s >= before_s]
         if len(kept) < len(self.history):
-            self.forgotten = self.history[len(self.history) - len(kept) - 1].revision
+            self.forgotten_revision = self.history[len(self.history) - len(kept) - 1].revision
             self.history = kept
 
-    def grow_stale(self) -> None:
+    def refresh_stale_view(self) -> None:
         """From now on, stale reads show what is true now."""
-        self._stale = (self.revision, dict(self.items))
+        self._stale_view = (self.revision, dict(self.items))
 
     def make_copy(self) -> None:
         """Remember what is true now."""
-        copy = Copy(time.monotonic(), self.revision, dict(self.items), self.forgotten)
+        copy = Copy(time.monotonic(), self.revision, dict(self.items), self.forgotten_revision)
         self._copies = [*self._copies, copy][-COPIES_KEPT:]
 
     def restore(self) -> None:
@@ -112,26 +112,30 @@
         old = [each for each in self._copies if self._copies[-1].at_s - each.at_s >= COPY_AGE_S]
         if old:
             copy = old[-1]
-            self.revision, self.items, self.forgotten = copy.revision, dict(copy.items), copy.forgotten
+            self.revision, self.items, self.forgotten_revision = (
+                copy.revision,
+                dict(copy.items),
+                copy.forgotten_revision,
+            )
             self.history = [change for change in self.history if change.revision <= copy.revision]
             # What was copied later is gone as well: the next restore must not bring it back.
             self._copies = old
-        self.grow_stale()
+        self.refresh_stale_view()
         self.changed.set()
         self.changed = asyncio.Event()
 
     def page(self, kind: str, after: str, stale: bool = False) -> dict[str, Any]:
         """Return a list's page; a stale one is as old as the last ``grow_stale``."""
-        revision, held = self._stale if stale else (self.revision, self.items)
-        names = sorted(name for of, name in held if of == kind and name > after)
-        items = [held[(kind, name)] for name in names[:PAGE]]
+        revision, objects = self._stale_view if stale else (self.revision, self.items)
+        names = sorted(name for of, name in objects if of == kind and name > after)
+        items = [objects[(kind, name)] for name in names[:PAGE]]
         return {"items": items, "more": len(names) > PAGE, "at": revision}
 
     async def watch(self, kind: str, revision: int, wait_s: float) -> tuple[int, Any]:
         """Return the changes after ``revision`` as soon as there is one."""
         end_s = time.monotonic() + wait_s
         while True:
-            if not self.forgotten <= revision <= self.revision:
+            if not self.forgotten_revision <= revision <= self.revision:
                 return GONE, None
             found = [x for x in self.history if x.kind == kind and x.revision > revision]
             left_s = end_s - time.monotonic()
@@ -159,9 +163,9 @@
         self.refused: set[int] = set()
         self.calls = 0
         self._log = log
-        self._heard_s: dict[str, float] = {}
+        self._last_heartbeat_s: dict[str, float] = {}
 
-    def obey(self, order: dict[str, Any]) -> None:
+    def apply_command(self, order: dict[str, Any]) -> None:
         """Take a fault on or off."""
         match order:
             case {"mode": mode}:
@@ -171,7 +175,7 @@
             case {"restore": True}:
                 self.objects.restore()
                 # The copy's servers get their three heartbeats again, also those that have gone since.
-                self._heard_s.clear()
+                self._last_heartbeat_s.clear()
                 self._log.write("store_restored", timeline=self.objects.timeline)
             case {"forget": "history"}:
                 self.objects.forget_history(time.monotonic())
@@ -212,12 +216,12 @@
         if mode == "slow" and node != OPERATOR:
             await asyncio.sleep(SLOW_S)
         answer = await self._answer(node, request)
-        if mode == "loses_answers" and node != OPERATOR and request.first[0] != "GET":
+        if mode == "loses_answers" and node != OPERATOR and request.start_line[0] != "GET":
             return None
         return answer
 
     async def _answer(self, node: int, request: HttpMessage) -> tuple[int, Any]:
-        method, target, _ = request.first
+        method, target, _ = request.start_line
         parts = urlsplit(target)
         query = {name: values[-1] for name, values in parse_qs(parts.query).items()}
         _, _, kind, *rest = [unquote(each) for each in parts.path.split("/")]
@@ -238,35 +242,38 @@
             rest = [meta["name"]]
         part = "status" if rest[1:] == ["status"] else "spec"
         revision = meta.get("revision", query.get("revision"))
-        wanted = None if revision is None else int(revision)
+        expected_revision = None if revision is None else int(revision)
         before = self.objects.revision
-        answer = self.objects.put(kind, rest[0], part, body.get(part), wanted)
+        answer = self.objects.put(kind, rest[0], part, body.get(part), expected_revision)
         if kind == "servers":
-            self._heard_s[rest[0]] = time.monotonic()
+            self._last_heartbeat_s[rest[0]] = time.monotonic()
         elif self.objects.revision != before:
-            self._note(node, kind, rest[0], part, body.get(part))
+            self._log_stored(node, kind, rest[0], part, body.get(part))
         return (CREATED, answer[1]) if method == "POST" and answer[0] == OK else answer
 
-    def _note(self, node: int, kind: str, name: str, part: str, value: Any) -> None:
+    def _log_stored(self, node: int, kind: str, name: str, part: str, value: Any) -> None:
         if kind in ("config", "rollouts"):
             self._log.write("stored", node=node, kind=kind, name=name, part=part, value=value)
 
-    def tell_calls(self) -> None:
+    def log_calls(self) -> None:
         """Record how many calls came in all."""
         self._log.write("store_calls", calls=self.calls)
 
-    async def keep_house(self) -> None:
+    async def maintain(self) -> None:
         """Remove entries of silent servers, and history that is too old."""
         for turn in itertools.count():
-            await asyncio.sleep(HOUSE_EVERY_S)
-            if turn % STALE_TURNS == 0:
-                self.objects.grow_stale()
+            await asyncio.sleep(MAINTENANCE_EVERY_S)
+            if turn % STALE_VIEW_TURNS == 0:
+                self.objects.refresh_stale_view()
             if turn % COPY_TURNS == 0 and self.mode != "down":
                 self.objects.make_copy()
             now_s = time.monotonic()
             self.objects.forget_history(now_s - HISTORY_S)
             for _, name in [key for key in self.objects.items if key[0] == "servers"]:
-                if now_s - self._heard_s.setdefault(name, now_s) > SILENT_HEARTBEATS * HEARTBEAT_S:
+                if (
+                    now_s - self._last_heartbeat_s.setdefault(name, now_s)
+                    > MAX_MISSED_HEARTBEATS * HEARTBEAT_S
+                ):
                     self.objects.remove("servers", name)
 
 
@@ -276,11 +283,11 @@
     for node in range(OPERATOR, nodes):
         port = OPERATOR_PORT if node == OPERATOR else STORE_PORT + node
         await asyncio.start_server(partial(store.serve, node), host, port)
-    house = asyncio.create_task(store.keep_house())
+    maintenance = asyncio.create_task(store.maintain())
     print("up", flush=True)
-    await follow_orders(store.obey)
-    house.cancel()
-    store.tell_calls()
+    await follow_commands(store.apply_command)
+    maintenance.cancel()
+    store.log_calls()
 
 
 if __name__ == "__main__":
--- a/soak/suspendable.py
+++ b/soak/suspendable.py
@@ -11,10 +11,10 @@
 from collections.abc import Callable
 
 SUSPENDED_VARIABLE = "SOAK_SUSPENDED_FILE"
-BYTES = 20
+FILE_BYTES = 20
 
 
-def stand_still(suspended_s: Callable[[], float]) -> None:
+def subtract_suspended_time(suspended_s: Callable[[], float]) -> None:
     """Take what ``suspended_s`` returns, in seconds, off the steady clock in all its forms."""
     monotonic, clock_gettime = time.monotonic, time.clock_gettime
 
@@ -27,8 +27,8 @@
 
 def main(arguments: list[str]) -> None:
     """Run the file that the first argument names with the others."""
-    opened = os.open(os.environ.pop(SUSPENDED_VARIABLE), os.O_RDONLY)
-    stand_still(lambda: float(os.pread(opened, BYTES, 0) or b"0"))
+    descriptor = os.open(os.environ.pop(SUSPENDED_VARIABLE), os.O_RDONLY)
+    subtract_suspended_time(lambda: float(os.pread(descriptor, FILE_BYTES, 0) or b"0"))
     sys.argv = arguments
     sys.path[0] = os.path.dirname(os.path.abspath(arguments[0]))
     runpy.run_path(arguments[0], run_name="__main__")
--- a/soak/work_checkers.py
+++ b/soak/work_checkers.py
@@ -3,7 +3,7 @@
 from collections import defaultdict
 from collections.abc import Iterator
 
-from soak.judging import PROMISES_NOT_RUN, Case, Checked, gathered, judge
+from soak.judging import PROMISES_NOT_RUN, Case, Checked, gathered_shards, judge
 from soak.layout import DESK, ROUTES
 from soak.record import Arrival, Record
 
@@ -65,7 +65,7 @@
         ask = asks[each.id]
         nodes = range(record.layout.nodes) if ask.route == "wide" else (ask.node,)
         sound = all(record.node_in_touch(node, left_s, each.at_s) for node in nodes)
-        sound = sound and record.server_sound(slots[each.server], left_s, each.at_s)
+        sound = sound and record.server_healthy(slots[each.server], left_s, each.at_s)
         return not (sound and record.core_stable(left_s, each.at_s))
 
     def cases() -> Iterator[Case]:
@@ -74,8 +74,8 @@
             if not record.core_stable(left_s, due_s):
                 continue
             late = [x for x in arrived[server] if x.at_s > due_s and not excused(x, left_s)]
-            told = [f"{x.id} {x.at_s - due_s:.2f} s after the bound" for x in late]
-            yield due_s, f"{server}: {'; '.join(told)}" if late else ""
+            detail = [f"{x.id} {x.at_s - due_s:.2f} s after the bound" for x in late]
+            yield due_s, f"{server}: {'; '.join(detail)}" if late else ""
 
     return judge("nothing_new_to_leaving", cases())
 
@@ -109,7 +109,7 @@
 
 def _due_by_service(record: Record) -> dict[str, list[float]]:
     due: dict[str, list[float]] = defaultdict(list)
-    versions = [(each.at_s, gathered(each.value)) for each in record.configurations()]
+    versions = [(each.at_s, gathered_shards(each.value)) for each in record.configurations()]
     for ask in record.asks:
         if ask.route == "wide":
             for service in next((s for at_s, s in reversed(versions) if at_s <= ask.asked_s), []):
@@ -144,11 +144,11 @@
             third_s = sorted(servers.values())[DEADLY_SERVERS - 1]
             due_s = third_s + record.bounds.contact_s
             late = [x for x in record.arrivals if x.path == path and x.at_s > due_s and counts(x, third_s)]
-            told = (
+            detail = (
                 f"{path}: {len(late)} more after {len(servers)} servers, the first {late[0].id}"
                 if late
                 else ""
             )
-            yield third_s, told if len(late) > DEADLY_SERVERS else ""
+            yield third_s, detail if len(late) > DEADLY_SERVERS else ""
 
     return judge("deadly_kept_from_servers", cases())
--- a/tests/soak/run_record.py
+++ b/tests/soak/run_record.py
@@ -4,7 +4,7 @@
 
 from soak.layout import DESK, Bounds, Layout, configuration
 from soak.record import Arrival, Ask, Record, Span, Started, Stored
-from soak.records import greatest_records, single_body
+from soak.records import single_body, top_records
 
 LAYOUT = Layout(nodes=2, shards=5, net=20)
 OPERATOR = -1
@@ -18,20 +18,20 @@
 def arrival(at_s: float, service: str, request_id: str, server: str = "", **more: Any) -> Arrival:
     path = "/wide/" if service != DESK else "/once/"
     server = server or f"i-{service}"
-    about: dict[str, Any] = {"version": "s1", "path": path + request_id, "ran": True}
-    about |= {"signature": f"{server}.{request_id}"} | more
-    return Arrival(at_s, server, service, id=request_id, **about)
+    fields: dict[str, Any] = {"version": "s1", "path": path + request_id, "ran": True}
+    fields |= {"signature": f"{server}.{request_id}"} | more
+    return Arrival(at_s, server, service, id=request_id, **fields)
 
 
 def ask(request_id: str, route: str, at_s: float = 10.0, **more: Any) -> Ask:
-    about: dict[str, Any] = {"node": 0, "path": f"/{route}/{request_id}", "ended_s": at_s + 0.1}
-    about |= {"ending": "answered", "status": 200} | more
-    return Ask(request_id, route, asked_s=at_s, **about)
+    fields: dict[str, Any] = {"node": 0, "path": f"/{route}/{request_id}", "ended_s": at_s + 0.1}
+    fields |= {"ending": "answered", "status": 200} | more
+    return Ask(request_id, route, asked_s=at_s, **fields)
 
 
 def wide(request_id: str = "w1", services: list[str] = SHARDS, missing: int = 0, **more: Any) -> Ask:
     parts = tuple(f"i-{service}.{request_id}" for service in services)
-    body = greatest_records(services, request_id, 5).hex()
+    body = top_records(services, request_id, 5).hex()
     return ask(request_id, "wide", parts=parts, missing=missing, body=body, **more)
 
 
--- a/tests/soak/test_soak_checkers.py
+++ b/tests/soak/test_soak_checkers.py
@@ -22,7 +22,7 @@
 from soak.checkers import CHECKERS, check
 from soak.layout import DESK
 from soak.record import Crash, PartFailure, Record, Started, read_record
-from soak.records import greatest_records
+from soak.records import top_records
 
 Broken = Callable[[], Record]
 
@@ -200,7 +200,7 @@
 
 
 def test_greatest_records_fall_and_are_of_all_parts() -> None:
-    body = greatest_records(["a0", "a1"], "x", 16)
+    body = top_records(["a0", "a1"], "x", 16)
     records = [body[at : at + 16] for at in range(0, len(body), 16)]
     assert len(set(records)) == 16
     assert records == sorted(records, reverse=True)
--- a/tests/soak/test_soak_report.py
+++ b/tests/soak/test_soak_report.py
@@ -13,7 +13,7 @@
 from soak.results import markdown, merge
 
 
-def told() -> dict[str, Any]:
+def results() -> dict[str, Any]:
     record = with_fault(good(), "node_pause", 9.0, 10.0, 0)
     return summary(record, check(record), {"seed": 1, "minutes": 1.0, "nodes": 2, "peak": {}})
 
@@ -26,12 +26,12 @@
 
 
 def test_a_fault_meets_the_cases_within_it_and_the_time_of_contact() -> None:
-    assert told()["injected"]["node_pause"]["at_most_once"] == [1, 1]
-    assert told()["injected"]["node_pause"]["never_older"] == [0, 0]
+    assert results()["injected"]["node_pause"]["at_most_once"] == [1, 1]
+    assert results()["injected"]["node_pause"]["never_older"] == [0, 0]
 
 
 def test_runs_add_up() -> None:
-    merged = merge([told(), told()])
+    merged = merge([results(), results()])
     assert (merged["minutes"], merged["faults"]) == (2.0, {"node_pause": 2})
     assert merged["faults_by_promise"]["node_pause"]["at_most_once"] == [2, 2]
     assert "| node_pause | 2 |" in markdown(merged)
--- a/tests/soak/test_soak_standins.py
+++ b/tests/soak/test_soak_standins.py
@@ -12,7 +12,7 @@
 
 from soak.network import Link, Mode
 from soak.server import Server
-from soak.standin import BrokenOff, EventLog, HttpMessage, encode_message, read_message
+from soak.standin import EventLog, HttpMessage, TruncatedMessageError, encode_message, read_message
 from soak.store import OPERATOR, Objects, Store
 
 LIMIT_S = 20.0
@@ -89,8 +89,8 @@
 @pytest.mark.parametrize(
     ("came", "problem"),
     [
-        (b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", BrokenOff),
-        (b"HTTP/1.1 200 OK\r\nconte", BrokenOff),
+        (b"HTTP/1.1 200 OK\r\ncontent-length: 9\r\n\r\nhalf", TruncatedMessageError),
+        (b"HTTP/1.1 200 OK\r\nconte", TruncatedMessageError),
         (b"HTTP/1.1 200 OK\r\ntransfer-encoding: chunked\r\n\r\nzz\r\n", ValueError),
     ],
 )
@@ -121,7 +121,7 @@
     writer.write(encode_message(f"{method} {target} HTTP/1.1", {}, content))
     answer = await read_message(reader)
     writer.close()
-    return answer and (int(answer.first[1]), json.loads(answer.body))
+    return answer and (int(answer.start_line[1]), json.loads(answer.body))
 
 
 def test_a_write_holds_only_on_the_revision_that_it_names(tmp_path: Path) -> None:
@@ -186,7 +186,7 @@
 def test_stale_lists_are_of_an_earlier_moment() -> None:
     objects = Objects()
     objects.put("servers", "a", "spec", {}, None)
-    objects.grow_stale()
+    objects.refresh_stale_view()
     objects.put("servers", "b", "spec", {}, None)
     stale, fresh = objects.page("servers", "", stale=True), objects.page("servers", "")
     assert [len(page["items"]) for page in (stale, fresh)] == [1, 2]
@@ -209,7 +209,7 @@
 ) -> None:
     async def scene() -> None:
         store = store_in(tmp_path)
-        store.obey(order)
+        store.apply_command(order)
         answer = await ask(store, node, "GET", "/objects/servers")
         assert answer is not None
         assert answer[0] == status
@@ -220,7 +220,7 @@
 def test_a_lost_answer_comes_after_its_effect(tmp_path: Path) -> None:
     async def scene() -> None:
         store = store_in(tmp_path)
-        store.obey({"mode": "loses_answers"})
+        store.apply_command({"mode": "loses_answers"})
         assert await ask(store, 0, "PUT", "/objects/nodes/n1", {"spec": {"a": 1}}) is None
         assert ("nodes", "n1") in store.objects.items
 
@@ -282,7 +282,7 @@
     async def scene() -> None:
         (answer,) = await answers(tmp_path, mode, headers)
         assert isinstance(answer, HttpMessage)
-        assert (answer.first[1], "x-yokesill-not-executed" in answer.headers) == (status, True)
+        assert (answer.start_line[1], "x-yokesill-not-executed" in answer.headers) == (status, True)
         assert [each["ran"] for each in events(tmp_path)] == [False]
 
     run(scene)
@@ -299,7 +299,7 @@
 def test_a_garbling_server_never_records_a_bad_answer_as_good(tmp_path: Path) -> None:
     async def scene() -> None:
         found = await answers(tmp_path, "garbles", ID, times=20)
-        whole = [each for each in found if isinstance(each, HttpMessage) and each.first[0] == "HTTP/1.1"]
+        whole = [each for each in found if isinstance(each, HttpMessage) and each.start_line[0] == "HTTP/1.1"]
         good = {each["signature"] for each in events(tmp_path) if each.get("status") == 200}
         read = {each.headers.get("x-yokesill-server-stamp") for each in whole if len(each.body) == 128}
         assert 0 < len(good) < 20
