--- a/soak/answer_checkers.py
+++ b/soak/answer_checkers.py
@@ -11,14 +11,14 @@
 def whole_own_answers(record: Record) -> Checked:
     """A success is the complete answer to its own request, from one snapshot, with its true coverage."""
     runs = {each.signature: each for each in record.arrivals if each.ran}
-    sets = [frozenset(gathered_shards(each.value)) for each in record.configurations()]
+    shard_sets = [frozenset(gathered_shards(each.value)) for each in record.configurations()]
 
     def cases() -> Iterator[Case]:
         for ask in record.asks:
             if ask.ending == "broken":
                 yield ask.ended_s, f"{ask.id}: received bytes that are not an answer"
             elif ask.succeeded and ask.route == "wide":
-                yield ask.ended_s, _wide_problem(record, ask, runs, sets)
+                yield ask.ended_s, _wide_problem(record, ask, runs, shard_sets)
             elif ask.ending == "answered" and (ask.succeeded or ask.signature):
                 yield ask.ended_s, _single_problem(record, ask, runs)
 
@@ -39,7 +39,9 @@
     return ""
 
 
-def _wide_problem(record: Record, ask: Ask, runs: dict[str, Arrival], sets: list[frozenset[str]]) -> str:
+def _wide_problem(
+    record: Record, ask: Ask, runs: dict[str, Arrival], shard_sets: list[frozenset[str]]
+) -> str:
     for signature in ask.parts:
         run = runs.get(signature)
         if run is None or run.id != ask.id or record.done.get(signature, (0.0, 0))[1] != 200:
@@ -48,7 +50,7 @@
     if len(set(services)) != len(services) or not services:
         return f"{ask.id}: no parts, or a service twice: {services}"
     total = len(services) + ask.missing
-    if not any(set(services) <= each and len(each) == total for each in sets):
+    if not any(set(services) <= each and len(each) == total for each in shard_sets):
         return f"{ask.id}: parts of {services} and {ask.missing} missing match no configuration's shards"
     terms = ROUTES["wide"]
     if len(services) < terms.min_coverage * total:
@@ -72,10 +74,10 @@
                 continue
             if not record.node_in_touch(ask.node, ask.asked_s, ask.ended_s):
                 continue
-            took_s = ask.ended_s - ask.asked_s
-            late = ask.ending == "silent" or took_s > terms.timeout_s + record.bounds.answer_slack_s
-            cut = ask.ending == "closed" and took_s > record.bounds.loss_slack_s
-            detail = f"{ask.id} ({ask.route}) at node {ask.node}: {ask.ending} after {took_s:.2f} s"
+            elapsed_s = ask.ended_s - ask.asked_s
+            late = ask.ending == "silent" or elapsed_s > terms.timeout_s + record.bounds.answer_slack_s
+            cut = ask.ending == "closed" and elapsed_s > record.bounds.loss_slack_s
+            detail = f"{ask.id} ({ask.route}) at node {ask.node}: {ask.ending} after {elapsed_s:.2f} s"
             yield ask.ended_s, detail if late or cut else ""
 
     return judge("answered_in_time", cases())
--- a/soak/callers.py
+++ b/soak/callers.py
@@ -32,7 +32,7 @@
 from yokesill.platform.names import HEADER_NAMES
 
 RATES_PER_S = {"wide": 12.0, "read": 10.0, "once": 10.0}
-PRESS_EVERY_S, HELD_EVERY_S, DEADLY_EVERY_S = 0.15, 0.25, 0.35
+LONG_REQUEST_EVERY_S, REUSE_EVERY_S, DEADLY_EVERY_S = 0.15, 0.25, 0.35
 PROBE_EVERY_S, READY_EVERY_S, MAX_READINESS_MISSES = 0.35, 1.0, 2
 CONNECT_TIMEOUT_S = 1.0
 # Longer than any bound on an answer, so that a late answer is recorded as late.
@@ -70,34 +70,34 @@
         self._prefix = f"{self._rng.getrandbits(32):08x}"
         self._version = 1
         self._factor = 1.0
-        self._pressed_node: int | None = None
+        self._stopping_node: int | None = None
         self._deadly: set[int] = set()
         self._misses = [0] * layout.nodes
         self._idle: dict[int, list[tuple[float, Connection]]] = {node: [] for node in range(layout.nodes)}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def apply_command(self, command: dict[str, Any]) -> None:
-        """Set the configuration version, the load factor, the pressed node, and the deadly requests."""
+        """Set the configuration version, the load factor, the stopping node, and the deadly requests."""
         self._version = command.get("version", self._version)
         self._factor = command.get("factor", self._factor)
-        self._pressed_node = command.get("press", self._pressed_node)
+        self._stopping_node = command.get("press", self._stopping_node)
         self._deadly |= set(command.get("deadly", ()))
         self._deadly -= set(command.get("harmless", ()))
 
     async def run(self) -> None:
         """Send load until cancelled, then wait for the requests in flight."""
         streams = [self._send_route(route, rate) for route, rate in RATES_PER_S.items()]
-        streams += [self._watch_readiness(), self._send_probes(), self._press()]
+        streams += [self._watch_readiness(), self._send_probes(), self._send_to_stopping_node()]
         streams += [self._reuse_held_connections(), self._send_deadly()]
         try:
             await asyncio.gather(*streams)
         finally:
             await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    async def _send_route(self, route: str, per_s: float) -> None:
+    async def _send_route(self, route: str, rate_per_s: float) -> None:
         due_s = time.monotonic()
         while True:
-            due_s += self._rng.expovariate(per_s * self._factor)
+            due_s += self._rng.expovariate(rate_per_s * self._factor)
             await asyncio.sleep(max(0.0, due_s - time.monotonic()))
             terms = ROUTES[route]
             self._send_unique(route, self._choose_node(), terms.path, terms.timeout_s)
@@ -111,24 +111,24 @@
                 if version > 0 and self._misses[node] < MAX_READINESS_MISSES:
                     self._send_unique(f"probe-{version}", node, f"/probe-{version}/", 2.0)
 
-    async def _press(self) -> None:
-        """Send long-running requests to the pressed node, whether or not it is ready."""
+    async def _send_to_stopping_node(self) -> None:
+        """Send long-running requests to the node that is being stopped, whether or not it is ready."""
         while True:
-            await asyncio.sleep(PRESS_EVERY_S)
-            if self._pressed_node is not None:
+            await asyncio.sleep(LONG_REQUEST_EVERY_S)
+            if self._stopping_node is not None:
                 terms = ROUTES["once"]
                 self._send_unique(
-                    "once", self._pressed_node, terms.path + LONG_PATH_MARKER.lstrip("/"), terms.timeout_s
+                    "once", self._stopping_node, terms.path + LONG_PATH_MARKER.lstrip("/"), terms.timeout_s
                 )
 
     async def _reuse_held_connections(self) -> None:
         """Reuse open connections until they end, whether or not their node is ready."""
         while True:
-            await asyncio.sleep(HELD_EVERY_S)
-            nodes_held = [node for node, kept in self._idle.items() if kept]
-            if nodes_held:
+            await asyncio.sleep(REUSE_EVERY_S)
+            nodes = [node for node, kept in self._idle.items() if kept]
+            if nodes:
                 terms = ROUTES["read"]
-                self._send_unique("read", self._rng.choice(nodes_held), terms.path, terms.timeout_s)
+                self._send_unique("read", self._rng.choice(nodes), terms.path, terms.timeout_s)
 
     async def _send_deadly(self) -> None:
         """Send the deadly requests repeatedly to random nodes, some wide and some not."""
@@ -166,10 +166,10 @@
 
     async def _request(self, route: str, node: int, path: str, request_id: str, deadline_s: float) -> None:
         request_fields = {"id": request_id, "route": route, "node": node, "path": path}
-        began_s = time.monotonic()
+        connect_started_s = time.monotonic()
         connection = await self._connect(node)
         if connection is None:
-            self._log.write("answer", **request_fields, asked_s=began_s, ending="refused", status=0)
+            self._log.write("answer", **request_fields, asked_s=connect_started_s, ending="refused", status=0)
             return
         headers = {"host": HOST, REQUEST_ID: request_id, DEADLINE: str(round(deadline_s * 1000))}
         asked_s = time.monotonic()
--- a/soak/layout.py
+++ b/soak/layout.py
@@ -94,7 +94,7 @@
 
     def slots(self) -> tuple[str, ...]:
         """Return the service of each server slot, without the slots for new versions."""
-        shards = [name for of in "ab" for name in self.shard_set(of) for _ in range(REPLICAS)]
+        shards = [name for set_name in "ab" for name in self.shard_set(set_name) for _ in range(REPLICAS)]
         return (*shards, *[DESK] * DESK_SERVERS)
 
     def new_slots(self) -> range:
--- a/soak/network.py
+++ b/soak/network.py
@@ -37,16 +37,16 @@
             writer.transport.abort()
             return
         self._writers.add(writer)
-        far_writer: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
             await self._wait_to_forward(is_answer=False)
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
-            self._writers.add(far_writer)
-            await self._forward(reader, writer, far_reader, far_writer)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
+            self._writers.add(target_writer)
+            await self._forward(reader, writer, target_reader, target_writer)
         except CONNECTION_ERRORS:
             writer.transport.abort()
         finally:
-            for each in (writer, far_writer):
+            for each in (writer, target_writer):
                 if each is not None:
                     self._writers.discard(each)
                     each.close()
@@ -55,12 +55,12 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        far_reader: asyncio.StreamReader,
-        far_writer: asyncio.StreamWriter,
+        target_reader: asyncio.StreamReader,
+        target_writer: asyncio.StreamWriter,
     ) -> None:
         pumps = (
-            asyncio.create_task(self._pump(reader, far_writer, is_answer=False)),
-            asyncio.create_task(self._pump(far_reader, writer, is_answer=True)),
+            asyncio.create_task(self._pump(reader, target_writer, is_answer=False)),
+            asyncio.create_task(self._pump(target_reader, writer, is_answer=True)),
         )
         try:
             # When one side closes, both are closed: no endpoint of the soak half-closes a connection.
@@ -91,9 +91,9 @@
 async def run(addresses: dict[str, Any]) -> None:
     """Listen on every link and apply commands of the form ``{"link": NAME, "mode": MODE}``."""
     links: dict[str, Link] = {}
-    for name, (near, far) in addresses.items():
-        links[name] = Link((far[0], far[1]))
-        await asyncio.start_server(links[name].serve, near[0], near[1], backlog=512)
+    for name, (listen, target) in addresses.items():
+        links[name] = Link((target[0], target[1]))
+        await asyncio.start_server(links[name].serve, listen[0], listen[1], backlog=512)
     print("up", flush=True)
     await follow_commands(lambda order: links[order["link"]].set_mode(order["mode"]))
 
--- a/soak/node_checkers.py
+++ b/soak/node_checkers.py
@@ -30,8 +30,10 @@
         for stop in stops:
             end_s = stop.begin_s + record.bounds.grace_s + 1.0
             for ask in record.asks:
-                mine = ask.node == stop.targets[0] and ask.ended_s >= stop.begin_s and ask.asked_s <= end_s
-                if not mine or ask.ending == "refused" or ask.asked_s < stop.begin_s - MAX_ASK_S:
+                relevant = (
+                    ask.node == stop.targets[0] and ask.ended_s >= stop.begin_s and ask.asked_s <= end_s
+                )
+                if not relevant or ask.ending == "refused" or ask.asked_s < stop.begin_s - MAX_ASK_S:
                     continue
                 if not record.node_in_touch(ask.node, ask.asked_s, ask.ended_s, excluding=stop):
                     continue
@@ -131,12 +133,12 @@
             if not in_touch or not record.core_stable(begin_s, ask.ended_s):
                 continue
             due = accepted.get(number, never) < begin_s and accepted.get(number + 2, never) > ask.ended_s
-            gone = accepted.get(number + 2, never) < begin_s
+            dropped = accepted.get(number + 2, never) < begin_s
             if due and ask.status == 404:
                 yield ask.asked_s, f"{ask.id}: node {ask.node} lacks version {number}"
-            elif gone and ask.succeeded:
+            elif dropped and ask.succeeded:
                 yield ask.asked_s, f"{ask.id}: node {ask.node} is still at version {number} or {number + 1}"
-            elif due or gone:
+            elif due or dropped:
                 yield ask.asked_s, ""
 
     return judge("configuration_in_force", cases())
--- a/soak/report.py
+++ b/soak/report.py
@@ -30,12 +30,12 @@
     for kind in sorted({span.kind for span in record.spans}):
         row = table[kind] = {}
         for name, each in checked.items():
-            met = [
+            case_counts = [
                 sum(1 for at_s in each.cases_s if span.begin_s <= at_s <= span.end_s + after_s)
                 for span in record.spans
                 if span.kind == kind
             ]
-            row[name] = [sum(1 for count in met if count), sum(met)]
+            row[name] = [sum(1 for count in case_counts if count), sum(case_counts)]
     return table
 
 
--- a/soak/run.py
+++ b/soak/run.py
@@ -76,7 +76,7 @@
         self._print_violations(checked)
         for name in STANDINS:
             if (self._folder / f"{name}.log").stat().st_size:
-                print(f"stand-in {name} wrote errors, see {self._folder / name}.log", file=sys.stderr)
+                print(f"a stand-in wrote errors, see {self._folder / name}.log", file=sys.stderr)
         return sum(len(each.violations) for each in checked.values())
 
     async def _start(self, started: list[Standin]) -> Standins:
@@ -144,8 +144,8 @@
             standins.callers.send_command(harmless=[number])
         elif kind.startswith("node_") or kind == "herd_kill":
             # Callers that have not noticed a planned stop yet go on sending, here with long-running requests.
-            pressed_node = fault.targets[0] if kind == "node_stop" else None
-            standins.callers.send_command(press=pressed_node)
+            stopping_node = fault.targets[0] if kind == "node_stop" else None
+            standins.callers.send_command(press=stopping_node)
             await asyncio.gather(*(self._inject_node_fault(node, kind, duration_s) for node in fault.targets))
             standins.callers.send_command(press=None)
         elif kind.startswith(("front_", "store_link_", "server_link_")):
--- a/soak/server.py
+++ b/soak/server.py
@@ -146,11 +146,11 @@
         work_s = (DESK_WORK_S if self.service == DESK else SHARD_WORK_S) * self._rng.lognormvariate(0, 0.4)
         work_s *= SLOW_FACTOR if self.mode == "slow" else 1.0
         work_s += LONG_WORK_S if LONG_PATH_MARKER in request.start_line[1] else 0.0
-        left_s = int(request.headers.get(DEADLINE, "60000")) / 1000
-        await asyncio.sleep(min(work_s, left_s))
+        remaining_s = int(request.headers.get(DEADLINE, "60000")) / 1000
+        await asyncio.sleep(min(work_s, remaining_s))
         failing = self.mode == "fails" and self._rng.random() < FAILING_SHARE
         failing = failing or (self.bad and self._rng.random() < BAD_VERSION_FAILING_SHARE)
-        status = 504 if work_s > left_s else 500 if failing else 200
+        status = 504 if work_s > remaining_s else 500 if failing else 200
         if self.mode == "loses_answers":
             return None
         if status != 200:
--- a/soak/servers.py
+++ b/soak/servers.py
@@ -76,7 +76,7 @@
                     if slot not in self._desk_slots or not self._servers
                     else self._desk_version()
                 )
-                await self._start(slot, self._service(slot), version)
+                await self._start(slot, self._service_of(slot), version)
             case {"rollout": version, "bad": bad}:
                 self._rollout_slots = self._spare_slots
                 for slot in self._rollout_slots:
@@ -101,7 +101,7 @@
         versions = [self._servers[slot].version for slot in self._desk_slots if slot in self._servers]
         return versions[0] if versions else FIRST_VERSION
 
-    def _service(self, slot: int) -> str:
+    def _service_of(self, slot: int) -> str:
         slots = self._layout.slots()
         return slots[slot] if slot < len(slots) else DESK
 
--- a/soak/store.py
+++ b/soak/store.py
@@ -20,7 +20,7 @@
 PAGE = 500
 HISTORY_S = 20.0
 SLOW_S = 0.6
-# The view for stale reads is refreshed every ``STALE_VIEW_TURNS``, so stale reads are up to 2 s old.
+# Stale reads are up to 2 s old: their view is refreshed every ``STALE_VIEW_TURNS`` turns of maintenance.
 MAINTENANCE_EVERY_S, STALE_VIEW_TURNS = 0.2, 10
 # The last ``COPIES_KEPT`` copies are kept; a restore uses one at least ``COPY_AGE_S`` older than the newest.
 COPY_TURNS, COPIES_KEPT, COPY_AGE_S = 5, 12, 3.0
@@ -131,7 +131,7 @@
     def page(self, kind: str, after: str, stale: bool = False) -> dict[str, Any]:
         """Return one page of a list; a stale one shows the state at the last ``refresh_stale_view``."""
         revision, objects = self._stale_view if stale else (self.revision, self.items)
-        names = sorted(name for of, name in objects if of == kind and name > after)
+        names = sorted(name for object_kind, name in objects if object_kind == kind and name > after)
         items = [objects[(kind, name)] for name in names[:PAGE]]
         return {"items": items, "more": len(names) > PAGE, "at": revision}
 
@@ -144,13 +144,13 @@
         while True:
             if not self.forgotten_revision <= revision <= self.revision:
                 return GONE, None
-            found = [x for x in self.history if x.kind == kind and x.revision > revision]
-            left_s = end_s - time.monotonic()
-            if found or left_s <= 0:
+            found = [change for change in self.history if change.kind == kind and change.revision > revision]
+            remaining_s = end_s - time.monotonic()
+            if found or remaining_s <= 0:
                 events = [{"object": change.item, "gone": change.gone} for change in found]
                 return OK, {"events": events, "at": self.revision}
             try:
-                await asyncio.wait_for(self.changed.wait(), left_s)
+                await asyncio.wait_for(self.changed.wait(), remaining_s)
             except TimeoutError:
                 continue
 
--- a/soak/work_checkers.py
+++ b/soak/work_checkers.py
@@ -39,13 +39,13 @@
 
 def right_service(record: Record) -> Checked:
     """A request runs only at services that some configuration names for its route."""
-    shards = {name for of in "ab" for name in record.layout.shard_set(of)}
+    shards = {name for set_name in "ab" for name in record.layout.shard_set(set_name)}
 
     def cases() -> Iterator[Case]:
         for each in record.arrivals:
             if each.ran:
-                wanted = shards if each.path.startswith(ROUTES["wide"].path) else {DESK}
-                wrong = each.service not in wanted
+                expected = shards if each.path.startswith(ROUTES["wide"].path) else {DESK}
+                wrong = each.service not in expected
                 yield each.at_s, f"{each.id}: {each.path} ran at service {each.service}" if wrong else ""
 
     return judge("right_service", cases())
@@ -97,8 +97,8 @@
             for at_s in extras:
                 within = sum(1 for each in extras if at_s - window_s < each <= at_s)
                 requests = max(
-                    sum(1 for each in due[service] if at_s - back - window_s < each <= at_s - back)
-                    for back in (0.0, window_s / 2, window_s)
+                    sum(1 for each in due[service] if at_s - lag_s - window_s < each <= at_s - lag_s)
+                    for lag_s in (0.0, window_s / 2, window_s)
                 )
                 allowed = bounds.budget_ratio * requests + bounds.budget_slack
                 over = f"{service}: {within} extra arrivals in {window_s:.0f} s, {allowed:.1f} allowed"
--- a/tests/soak/test_soak_standins.py
+++ b/tests/soak/test_soak_standins.py
@@ -39,10 +39,10 @@
 async def open_link() -> tuple[Link, asyncio.StreamReader, asyncio.StreamWriter]:
     """Return a link to an echo server, and an open connection over it that has already carried bytes."""
     echoed.clear()
-    far = await asyncio.start_server(echo_server, "127.0.0.1", 0)
-    link = Link(far.sockets[0].getsockname()[:2])
-    near = await asyncio.start_server(link.serve, "127.0.0.1", 0)
-    reader, writer = await asyncio.open_connection(*near.sockets[0].getsockname()[:2])
+    target = await asyncio.start_server(echo_server, "127.0.0.1", 0)
+    link = Link(target.sockets[0].getsockname()[:2])
+    proxy = await asyncio.start_server(link.serve, "127.0.0.1", 0)
+    reader, writer = await asyncio.open_connection(*proxy.sockets[0].getsockname()[:2])
     writer.write(b"one")
     assert await reader.readexactly(3) == b"one"
     return link, reader, writer
