--- a/soak/node_checkers.py
+++ b/soak/node_checkers.py
@@ -88,7 +88,7 @@
 
 
 def no_part_failed(record: Record) -> Checked:
-    """No part of a node fails through a bug, which a supervisor would hide from callers, under any fault."""
+    """Under any fault, no part of a node fails through a bug; a supervisor would hide it from callers."""
 
     def cases() -> Iterator[Case]:
         for ask in record.asks[:1]:
--- a/soak/results.py
+++ b/soak/results.py
@@ -26,22 +26,12 @@
 
 def merge(reports: list[dict[str, Any]]) -> dict[str, Any]:
     """Return the main fields of each run and the totals of all runs."""
-    copied_fields = (
-        "seed",
-        "minutes",
-        "nodes",
-        "peak",
-        "requests",
-        "probes",
-        "arrivals",
-        "cases",
-        "violations",
-    )
+    names = ("seed", "minutes", "nodes", "peak", "requests", "probes", "arrivals", "cases", "violations")
     fault_counts: Counter[str] = Counter()
     for report in reports:
         fault_counts.update(report["faults"])
     return {
-        "runs": [{name: report[name] for name in copied_fields} for report in reports],
+        "runs": [{name: report[name] for name in names} for report in reports],
         "minutes": sum(report["minutes"] for report in reports),
         "faults": dict(sorted(fault_counts.items())),
         "faults_by_promise": merge_tables([report["injected"] for report in reports]),
--- a/soak/store.py
+++ b/soak/store.py
@@ -144,7 +144,7 @@
         while True:
             if not self.forgotten_revision <= revision <= self.revision:
                 return GONE, None
-            found = [change for change in self.history if change.kind == kind and change.revision > revision]
+            found = [each for each in self.history if each.kind == kind and each.revision > revision]
             remaining_s = end_s - time.monotonic()
             if found or remaining_s <= 0:
                 events = [{"object": change.item, "gone": change.gone} for change in found]
