--- a/soak/work_checkers.py
+++ b/soak/work_checkers.py
@@ -7,7 +7,7 @@
 from soak.layout import DESK, ROUTES
 from soak.record import Arrival, Record
 
-# From the rule: once a request has crashed this many servers, at most this many more follow the bound.
+# Given by the rule: the crashed servers before the bound applies, and the arrivals allowed after it.
 DEADLY_SERVERS = 3
 
 
