--- a/soak/answer_checkers.py
+++ b/soak/answer_checkers.py
@@ -1,24 +1,24 @@
-"""Promises about what callers are answered."""
+"""Checks the promises about the answers that callers get."""
 
 from collections.abc import Iterator
 
-from soak.judging import Case, Checked, gathered, judge
+from soak.judging import Case, Checked, gathered_shards, judge
 from soak.layout import DESK, ROUTES
 from soak.record import Arrival, Ask, Record
-from soak.records import greatest_records, single_body
+from soak.records import single_body, top_records
 
 
 def whole_own_answers(record: Record) -> Checked:
-    """A success is the whole answer to this request: of one snapshot, with true coverage."""
+    """A success is the complete answer to its own request, from one snapshot, with its true coverage."""
     runs = {each.signature: each for each in record.arrivals if each.ran}
-    sets = [frozenset(gathered(each.value)) for each in record.configurations()]
+    shard_sets = [frozenset(gathered_shards(each.value)) for each in record.configurations()]
 
     def cases() -> Iterator[Case]:
         for ask in record.asks:
             if ask.ending == "broken":
-                yield ask.ended_s, f"{ask.id}: bytes that are no answer"
+                yield ask.ended_s, f"{ask.id}: received bytes that are not an answer"
             elif ask.succeeded and ask.route == "wide":
-                yield ask.ended_s, _wide_problem(record, ask, runs, sets)
+                yield ask.ended_s, _wide_problem(record, ask, runs, shard_sets)
             elif ask.ending == "answered" and (ask.succeeded or ask.signature):
                 yield ask.ended_s, _single_problem(record, ask, runs)
 
@@ -28,40 +28,43 @@
 def _single_problem(record: Record, ask: Ask, runs: dict[str, Arrival]) -> str:
     run = runs.get(ask.signature)
     if run is None or run.id != ask.id:
-        return f"{ask.id}: status {ask.status} with signature {ask.signature!r}, not of this request"
+        return f"{ask.id}: status {ask.status} with signature {ask.signature!r}, which is not of this request"
     if run.service != DESK:
-        return f"{ask.id}: answered by service {run.service}"
+        return f"{ask.id}: answered by service {run.service}, which the route does not name"
     status = record.done.get(ask.signature, (0.0, 0))[1]
     if status != ask.status:
-        return f"{ask.id}: status {ask.status}, its server gave {status}"
+        return f"{ask.id}: status {ask.status}, but its server answered {status}"
     if ask.succeeded and bytes.fromhex(ask.body) != single_body(ask.signature):
-        return f"{ask.id}: not its server's whole body"
+        return f"{ask.id}: body differs from its server's whole body"
     return ""
 
 
-def _wide_problem(record: Record, ask: Ask, runs: dict[str, Arrival], sets: list[frozenset[str]]) -> str:
+def _wide_problem(
+    record: Record, ask: Ask, runs: dict[str, Arrival], shard_sets: list[frozenset[str]]
+) -> str:
     for signature in ask.parts:
         run = runs.get(signature)
         if run is None or run.id != ask.id or record.done.get(signature, (0.0, 0))[1] != 200:
-            return f"{ask.id}: part {signature!r} is no good answer to this request"
+            return f"{ask.id}: part {signature!r} is not a successful answer to this request"
     services = [runs[signature].service for signature in ask.parts]
     if len(set(services)) != len(services) or not services:
-        return f"{ask.id}: parts of {services}"
+        return f"{ask.id}: no parts, or a service twice: {services}"
     total = len(services) + ask.missing
-    if not any(set(services) <= each and len(each) == total for each in sets):
-        return f"{ask.id}: parts of {services} and {ask.missing} missing are no configuration's shards"
+    if not any(set(services) <= each and len(each) == total for each in shard_sets):
+        return f"{ask.id}: parts of {services} and {ask.missing} missing match no configuration's shards"
     terms = ROUTES["wide"]
-    if len(services) < terms.least_coverage * total:
-        return f"{ask.id}: {len(services)} of {total} shards are under the least coverage"
-    if bytes.fromhex(ask.body) != greatest_records(services, ask.id, terms.greatest):
-        return f"{ask.id}: not the greatest records of its parts"
+    if len(services) < terms.min_coverage * total:
+        return f"{ask.id}: {len(services)} of {total} shards are below the minimum coverage"
+    if bytes.fromhex(ask.body) != top_records(services, ask.id, terms.top_k):
+        return f"{ask.id}: body differs from the greatest records of its parts"
     return ""
 
 
 def answered_in_time(record: Record) -> Checked:
-    """Every request has a final answer by its time-out.
+    """Every request gets a final answer by its timeout.
 
-    A connection that ends at once is passed over: a node may close one that rested as a request comes.
+    A connection that closes at once does not count: a node may close an idle connection just as a request
+    arrives on it.
     """
 
     def cases() -> Iterator[Case]:
@@ -71,10 +74,10 @@
                 continue
             if not record.node_in_touch(ask.node, ask.asked_s, ask.ended_s):
                 continue
-            took_s = ask.ended_s - ask.asked_s
-            late = ask.ending == "silent" or took_s > terms.timeout_s + record.bounds.answer_slack_s
-            cut = ask.ending == "closed" and took_s > record.bounds.loss_slack_s
-            told = f"{ask.id} ({ask.route}) at node {ask.node}: {ask.ending} after {took_s:.2f} s"
-            yield ask.ended_s, told if late or cut else ""
+            elapsed_s = ask.ended_s - ask.asked_s
+            late = ask.ending == "silent" or elapsed_s > terms.timeout_s + record.bounds.answer_slack_s
+            cut = ask.ending == "closed" and elapsed_s > record.bounds.loss_slack_s
+            detail = f"{ask.id} ({ask.route}) at node {ask.node}: {ask.ending} after {elapsed_s:.2f} s"
+            yield ask.ended_s, detail if late or cut else ""
 
     return judge("answered_in_time", cases())
--- a/tests/soak/run_record.py
+++ b/tests/soak/run_record.py
@@ -1,10 +1,10 @@
-"""A small sound record of a run, which tests break in one place at a time."""
+"""Builds a small valid record of a run, which tests change in one place at a time."""
 
 from typing import Any
 
 from soak.layout import DESK, Bounds, Layout, configuration
 from soak.record import Arrival, Ask, Record, Span, Started, Stored
-from soak.records import greatest_records, single_body
+from soak.records import single_body, top_records
 
 LAYOUT = Layout(nodes=2, shards=5, net=20)
 OPERATOR = -1
@@ -18,20 +18,20 @@
 def arrival(at_s: float, service: str, request_id: str, server: str = "", **more: Any) -> Arrival:
     path = "/wide/" if service != DESK else "/once/"
     server = server or f"i-{service}"
-    about: dict[str, Any] = {"version": "s1", "path": path + request_id, "ran": True}
-    about |= {"signature": f"{server}.{request_id}"} | more
-    return Arrival(at_s, server, service, id=request_id, **about)
+    fields: dict[str, Any] = {"version": "s1", "path": path + request_id, "ran": True}
+    fields |= {"signature": f"{server}.{request_id}"} | more
+    return Arrival(at_s, server, service, id=request_id, **fields)
 
 
 def ask(request_id: str, route: str, at_s: float = 10.0, **more: Any) -> Ask:
-    about: dict[str, Any] = {"node": 0, "path": f"/{route}/{request_id}", "ended_s": at_s + 0.1}
-    about |= {"ending": "answered", "status": 200} | more
-    return Ask(request_id, route, asked_s=at_s, **about)
+    fields: dict[str, Any] = {"node": 0, "path": f"/{route}/{request_id}", "ended_s": at_s + 0.1}
+    fields |= {"ending": "answered", "status": 200} | more
+    return Ask(request_id, route, asked_s=at_s, **fields)
 
 
 def wide(request_id: str = "w1", services: list[str] = SHARDS, missing: int = 0, **more: Any) -> Ask:
     parts = tuple(f"i-{service}.{request_id}" for service in services)
-    body = greatest_records(services, request_id, 5).hex()
+    body = top_records(services, request_id, 5).hex()
     return ask(request_id, "wide", parts=parts, missing=missing, body=body, **more)
 
 
@@ -51,7 +51,7 @@
 
 
 def good() -> Record:
-    """Return a run in which all is well."""
+    """Return the record of a run in which every promise holds."""
     arrivals = [arrival(10.01, service, "w1") for service in SHARDS]
     arrivals += [arrival(10.01, DESK, "o1"), arrival(10.01, DESK, "r1", path="/read/r1")]
     arrivals += [arrival(20.01, DESK, "p1", path="/probe-1/p1")]
@@ -72,7 +72,7 @@
 
 
 def with_ask(record: Record, changed: Ask) -> Record:
-    """Return the record with an ask put in the place of the one with its id, or added."""
+    """Return the record with ``changed`` in place of the ask with the same id, or added."""
     others = tuple(each for each in record.asks if each.id != changed.id)
     return record._replace(asks=(*others, changed))
 
@@ -82,7 +82,7 @@
 
 
 def with_probes(record: Record, *probes: Ask) -> Record:
-    """Return the record with probes that servers ran where they succeeded."""
+    """Return the record with probes added; a server has run each one that succeeded."""
     for each in probes:
         record = with_ask(record, each)
         if each.succeeded:
