--- a/src/yokesill/frontend/http.py
+++ b/src/yokesill/frontend/http.py
@@ -73,7 +73,7 @@
 
 def require_grant(access: Access, request: Request, namespace: str, role: Role) -> Grant:
     """Return the grant of the request's token; raise a ``JsonError`` with 401 or 403 if it lacks ``role``."""
-    grant = access.grant_of(request.headers.get("authorization"))
+    grant = access.find_grant(request.headers.get("authorization"))
     if grant is None:
         headers = {"WWW-Authenticate": "Bearer"}
         raise JsonError(401, "unauthenticated", "a valid bearer token is needed", headers=headers)
