--- a/src/yokesill/cluster/gossip.py
+++ b/src/yokesill/cluster/gossip.py
@@ -85,7 +85,7 @@
                 await self._wake.wait()
             self._wake = anyio.Event()
 
-    def received(self, datagram: bytes) -> None:
+    def handle_datagram(self, datagram: bytes) -> None:
         """Take a datagram; a forged or malformed one is counted and dropped."""
         body = self._sealer.open(datagram)
         if body is None:
--- a/src/yokesill/comm/base.py
+++ b/src/yokesill/comm/base.py
@@ -27,13 +27,13 @@
         self._on_datagram = on_datagram
         self._on_request = on_request
 
-    def received(self, datagram: bytes) -> None:
+    def deliver_datagram(self, datagram: bytes) -> None:
         """Hand a datagram to the node."""
         self.bytes_received += len(datagram)
         if self._on_datagram is not None:
             self._on_datagram(datagram)
 
-    async def requested(self, kind: str, body: bytes) -> bytes | Failure | None:
+    async def deliver_request(self, kind: str, body: bytes) -> bytes | Failure | None:
         """Hand a request to the node; ``None`` when it does not serve yet."""
         self.bytes_received += len(body)
         if self._on_request is None:
--- a/src/yokesill/comm/http_reply.py
+++ b/src/yokesill/comm/http_reply.py
@@ -8,7 +8,7 @@
 
 # Bound the memory that one reply can use.
 MAXIMUM_HEAD_BYTES = 64 * 1024
-MAXIMUM_BODY_BYTES = 32 * 1024 * 1024
+MAX_BODY_BYTES = 32 * 1024 * 1024
 # Statuses whose replies have no body whatever their headers say (RFC 9112, section 6.3).
 BODILESS_STATUS = frozenset({204, 304})
 
@@ -40,7 +40,7 @@
         self._head_done = False
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether any byte of it has come."""
         return self._received > 0
 
@@ -61,7 +61,7 @@
             if not self.complete:
                 raise ReplyError(f"not a reply: {error}") from error
             self.surplus = True
-        if self._body_bytes > MAXIMUM_BODY_BYTES:
+        if self._body_bytes > MAX_BODY_BYTES:
             raise ReplyError("the reply is too large")
         if self._head_bytes > MAXIMUM_HEAD_BYTES or self._endless_head():
             raise ReplyError("the reply's head is too large")
--- a/src/yokesill/comm/network.py
+++ b/src/yokesill/comm/network.py
@@ -35,7 +35,7 @@
         host, port = split_address(self.address)
         async with await anyio.create_udp_socket(local_host=host, local_port=port) as self._socket:
             async for data, _source in self._socket:
-                self.received(data)
+                self.deliver_datagram(data)
 
     async def send(self, address: str, datagram: bytes) -> None:
         """Send a datagram; an unreachable peer shows by its silence."""
--- a/src/yokesill/frontend/app.py
+++ b/src/yokesill/frontend/app.py
@@ -12,7 +12,7 @@
 from yokesill.frontend.http import JsonError, json_error_handler, read_body
 from yokesill.frontend.queries import QueryController
 from yokesill.node import Node
-from yokesill.replication.messages import MAXIMUM_BODY_BYTES
+from yokesill.replication.messages import MAX_BODY_BYTES
 from yokesill.verdict import Failure, Verdict
 
 
@@ -73,8 +73,8 @@
 
     async def post(self, request: Request) -> Response:
         """Hand a frame to the transport and return its answer."""
-        body = await read_body(request, MAXIMUM_BODY_BYTES)
-        answer = await self._node.transport.requested(request.path_params["kind"], body)
+        body = await read_body(request, MAX_BODY_BYTES)
+        answer = await self._node.transport.deliver_request(request.path_params["kind"], body)
         if isinstance(answer, bytes):
             return Response(answer, media_type="application/cbor")
         if isinstance(answer, Failure) and answer.verdict is not Verdict.NOT_RUN:
--- a/src/yokesill/node.py
+++ b/src/yokesill/node.py
@@ -100,7 +100,7 @@
         self.gossip.on_server = self.leaving_servers.learn
         self.gossip.known_leaving = self.leaving_servers.all
         self.gossip.on_pause = self._paused
-        transport.serve(self.gossip.received, self._peer_request)
+        transport.serve(self.gossip.handle_datagram, self._peer_request)
 
     # --- life cycle ---
 
--- a/src/yokesill/replication/messages.py
+++ b/src/yokesill/replication/messages.py
@@ -13,7 +13,7 @@
 from yokesill.membership.rumors import ServerNotice
 from yokesill.resources.objects import StoredObject, object_from_wire
 
-MAXIMUM_BODY_BYTES = 32 * 1024 * 1024
+MAX_BODY_BYTES = 32 * 1024 * 1024
 
 COMPARE, EXCHANGE, PUSH, STATUS = "compare", "exchange", "push", "status"
 
--- a/src/yokesill/upstreams/connections.py
+++ b/src/yokesill/upstreams/connections.py
@@ -70,7 +70,7 @@
     @property
     def reply_started(self) -> bool:
         """Whether any byte of the pending reply has arrived."""
-        return self._pending is not None and self._pending.reader.begun
+        return self._pending is not None and self._pending.reader.started
 
     def has_no_unread_data(self) -> bool:
         """Whether the connection is open and all received data has been delivered."""
@@ -109,10 +109,10 @@
             self._on_lost(self)
             return
         if error is not None:
-            started = pending.reader.begun
+            started = pending.reader.started
             self._end(pending, error if started else ResetBeforeReplyError(repr(error)))
             return
-        if not pending.reader.begun:
+        if not pending.reader.started:
             self._end(pending, ClosedBeforeReplyError("closed before a reply"))
             return
         try:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -49,7 +49,7 @@
     return stored.revision if stored else 0
 
 
-async def ask_many(cluster: SimulatedCluster, count: int, pause: float, **call: Any) -> list[FinalAnswer]:
+async def send_queries(cluster: SimulatedCluster, count: int, pause: float, **call: Any) -> list[FinalAnswer]:
     """Send ``count`` queries round the nodes, ``pause`` seconds apart; return the final answers."""
     finals: list[FinalAnswer] = []
 
@@ -66,7 +66,7 @@
     return finals
 
 
-def assert_whole(final: FinalAnswer, records: int = 64) -> None:
+def assert_complete_answer(final: FinalAnswer, records: int = 64) -> None:
     """One snapshot, full coverage, every entry once."""
     assert isinstance(final, Answer), final
     assert final.coverage.fraction == 1.0
@@ -81,7 +81,7 @@
     return Counter(each.query_id for model in cluster.models.values() for each in model.executions)
 
 
-def assert_not_run_is_true(cluster: SimulatedCluster, finals: list[FinalAnswer]) -> None:
+def assert_not_run_verdicts_hold(cluster: SimulatedCluster, finals: list[FinalAnswer]) -> None:
     ran = executions(cluster)
     for final in finals:
         if isinstance(final, Refuse) and final.failure.verdict is Verdict.NOT_RUN:
--- a/tests/launcher.py
+++ b/tests/launcher.py
@@ -74,10 +74,10 @@
         for part in range(BACKEND_PROCESSES):
             more = ["--store-port", "0", "--part", f"{part}/{BACKEND_PROCESSES}"]
             self._spawn(f"servers{part}", [*arguments, *more])
-        self.wait(lambda: self.store("GET", "/machines")[0] == 200)
+        self.wait_until(lambda: self.store("GET", "/machines")[0] == 200)
         last = int(self.first_server_port) + BACKEND_PROCESSES - 1
         for port in range(int(self.first_server_port), last + 1):
-            self.wait(lambda port=port: self._http("GET", f"127.0.0.1:{port}", "/health")[0] == 200)
+            self.wait_until(lambda port=port: self._http("GET", f"127.0.0.1:{port}", "/health")[0] == 200)
 
     def start_node(self, index: int) -> None:
         """Start a node, and wait until it serves."""
@@ -94,7 +94,7 @@
             + self._extra_settings
         )
         self._spawn(address, ["serve", str(path)])
-        self.wait(lambda: self._http("GET", address, "/readyz")[0] == 200)
+        self.wait_until(lambda: self._http("GET", address, "/readyz")[0] == 200)
 
     def signal(self, index: int, number: int) -> None:
         """Send a signal to a node's process."""
@@ -130,7 +130,7 @@
         all_headers = {"Authorization": f"Bearer {TOKEN}", **headers}
         return self._http(method, self.nodes[node], path, body, all_headers)
 
-    def wait(self, condition: Any, limit: float = START_LIMIT) -> None:
+    def wait_until(self, condition: Any, limit: float = START_LIMIT) -> None:
         """Wait until a condition holds."""
         end = time.monotonic() + limit
         while not condition():
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -78,7 +78,7 @@
         while target.address in self._network.paused:
             await anyio.sleep(0.05)
         if self._network.connected(self, target):
-            target.received(datagram)
+            target.deliver_datagram(datagram)
 
     async def request(self, address: str, kind: str, body: bytes, timeout: float) -> bytes | Failure:
         """Call the target's handler, with the delay both ways."""
@@ -91,7 +91,7 @@
             await anyio.sleep(network.latency(self, target))
             while target.address in network.paused:
                 await anyio.sleep(0.05)
-            answer = await target.requested(kind, body)
+            answer = await target.deliver_request(kind, body)
             await anyio.sleep(network.latency(target, self))
             if not network.connected(self, target):
                 return Failure(Reason.CONNECTION_LOST, Verdict.MAY_HAVE_RUN, f"lost {address}")
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -60,7 +60,7 @@
     deployment.cli("apply", str(deployment.documents()), node=0)
     token = {"kind": "token", "sha256": hashlib.sha256(b"viewer-secret").hexdigest(), "role": "viewer"}
     assert deployment.call(0, "PUT", "/v1/namespaces/lima/tokens/watcher", token)[0] == 200
-    deployment.wait(lambda: deployment.call(0, "POST", PATH, GOOD)[0] == 200)
+    deployment.wait_until(lambda: deployment.call(0, "POST", PATH, GOOD)[0] == 200)
 
 
 def executions(deployment: Deployment) -> int:
@@ -121,7 +121,7 @@
         _, text = deployment.call(0, "GET", "/metrics")
         return "yokesill_frames_rejected 3.0" in text and "yokesill_frames_malformed 1.0" in text
 
-    deployment.wait(counted)
+    deployment.wait_until(counted)
     assert deployment.call(0, "POST", "/internal/v1/push", b"forged")[0] == 503
 
 
--- a/tests/test_parts.py
+++ b/tests/test_parts.py
@@ -10,7 +10,7 @@
 import anyio
 import pytest
 from conftest import run_cluster
-from helpers import HOURS, ask_many
+from helpers import HOURS, send_queries
 from simulation.cluster import RunningNode, SimulatedCluster
 
 from yokesill.emulator.faults import ServerFaults
@@ -64,7 +64,7 @@
         running = cluster.start_node(NODES)
         break_part(running, part)
         await cluster.until(lambda: running.node.ready, 30.0)
-        finals = await ask_many(cluster, 60, 0.05)
+        finals = await send_queries(cluster, 60, 0.05)
         assert all(isinstance(each, Answer) for each in finals)
         assert running.node.supervisor.failures == {part: 1}
         assert f"yokesill_failures_{part} 1.0" in running.node.metrics.render().decode()
@@ -114,7 +114,7 @@
             return await call(attempt)
 
         running.backends.call = broken  # type: ignore[method-assign]
-        finals = await ask_many(cluster, 9, 0.05)
+        finals = await send_queries(cluster, 9, 0.05)
         assert all(isinstance(each, Answer) for each in finals)
         assert running.node.supervisor.failures == {"attempts": 1}
 
@@ -136,7 +136,7 @@
             fire(event)
 
         timers._fire = broken
-        finals = await ask_many(cluster, 30, 0.1)
+        finals = await send_queries(cluster, 30, 0.1)
         assert all(isinstance(each, Answer) for each in finals)
         assert node.supervisor.failures == {"timers": 1}
 
--- a/tests/test_promises_once.py
+++ b/tests/test_promises_once.py
@@ -4,7 +4,7 @@
 
 import anyio
 from conftest import make_scenario, run_cluster
-from helpers import ask_many, executions
+from helpers import executions, send_queries
 from pytest_bdd import scenario, then, when
 from simulation.cluster import SimulatedCluster
 
@@ -23,7 +23,7 @@
 
 
 async def ask_items(cluster: SimulatedCluster, count: int, **call: Any) -> list[Any]:
-    return await ask_many(
+    return await send_queries(
         cluster, count, 0.02, service="bank", request_class="next", repeatable=False, **call
     )
 
@@ -158,7 +158,7 @@
 async def load_until(cluster: SimulatedCluster, seconds: float) -> None:
     end = anyio.current_time() + seconds
     while anyio.current_time() < end:
-        await ask_many(cluster, len(cluster.nodes), 0.005)
+        await send_queries(cluster, len(cluster.nodes), 0.005)
 
 
 @scenario(FEATURE, "The machine list says that a server is leaving")
--- a/tests/test_promises_queries.py
+++ b/tests/test_promises_queries.py
@@ -4,7 +4,7 @@
 
 import anyio
 from conftest import run_cluster
-from helpers import ask_many, assert_not_run_is_true, assert_whole, executions
+from helpers import assert_complete_answer, assert_not_run_verdicts_hold, executions, send_queries
 from pytest_bdd import scenario, then, when
 from simulation.cluster import SimulatedCluster
 
@@ -47,7 +47,7 @@
 
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(move)
-            return await ask_many(cluster, 400, 0.005)
+            return await send_queries(cluster, 400, 0.005)
 
     # Two of these orders of ready tasks once left a node's queries waiting for a shard's news.
     runs = [run_cluster(body, scheduling=seed) for seed in (1, 7, 9)]
@@ -57,7 +57,7 @@
 @then("no answer mixes versions and no query is refused as long as a common version exists")
 def flipped(outcome: dict[str, Any]) -> None:
     for final in outcome["finals"]:
-        assert_whole(final)
+        assert_complete_answer(final)
     assert {final.snapshot.version for final in outcome["finals"]} == {1, 2, 3}
 
 
@@ -69,7 +69,7 @@
 def wrong_version(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         shard_models(cluster, 3)[0].set_faults(ServerFaults(answer_other_version=True))
-        return await ask_many(cluster, 100, 0.01)
+        return await send_queries(cluster, 100, 0.01)
 
     outcome["finals"] = run_cluster(body)
 
@@ -79,7 +79,7 @@
     answers = [final for final in outcome["finals"] if isinstance(final, Answer)]
     assert len(answers) >= 95
     for final in answers:
-        assert_whole(final)
+        assert_complete_answer(final)
 
 
 @scenario(FEATURE, "A service is repartitioned while queries run")
@@ -112,7 +112,7 @@
 
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(cut_anew)
-            return await ask_many(cluster, 500, 0.005)
+            return await send_queries(cluster, 500, 0.005)
 
     outcome["finals"] = run_cluster(body)
 
@@ -122,7 +122,7 @@
     answers = [final for final in outcome["finals"] if isinstance(final, Answer)]
     assert len(answers) >= 495
     for final in answers:
-        assert_whole(final)
+        assert_complete_answer(final)
     assert {final.snapshot.epoch for final in answers} == {1, 2}
 
 
@@ -135,7 +135,7 @@
     async def body(cluster: SimulatedCluster) -> Any:
         for model in shard_models(cluster, 2):
             model.set_faults(ServerFaults(dead=True))
-        partial = await ask_many(cluster, 6, 0.05, request_class="partial")
+        partial = await send_queries(cluster, 6, 0.05, request_class="partial")
         # A shard that only hangs must not delay the refusal that the lost one makes certain.
         for model in shard_models(cluster, 6):
             model.set_faults(ServerFaults(frozen=True))
@@ -173,7 +173,7 @@
     async def body(cluster: SimulatedCluster) -> Any:
         for model in shard_models(cluster, 5):
             model.set_faults(ServerFaults(answer_truncated=True))
-        return await ask_many(cluster, 6, 0.05, request_class="partial")
+        return await send_queries(cluster, 6, 0.05, request_class="partial")
 
     outcome["finals"] = run_cluster(body)
 
@@ -194,7 +194,7 @@
     async def body(cluster: SimulatedCluster) -> Any:
         model = shard_models(cluster, 1)[0]
         model.set_faults(ServerFaults(answer_other_attempt=True))
-        finals = await ask_many(cluster, 100, 0.01)
+        finals = await send_queries(cluster, 100, 0.01)
         answered = {
             a
             for node in cluster.nodes.values()
@@ -210,7 +210,7 @@
     finals = outcome["finals"]
     assert len({final.query_id for final in finals}) == len(finals) == 100
     for final in finals:
-        assert_whole(final)
+        assert_complete_answer(final)
     # A server that answers for others is not trusted with work.
     assert all(state == "ejected" for state in outcome.get("states", []))
 
@@ -222,9 +222,9 @@
 @when("one attempt in fifty is a thousand times slower")
 def late(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
-        await ask_many(cluster, 60, 0.02)
+        await send_queries(cluster, 60, 0.02)
         set_all(cluster, straggle_probability=0.02, straggle_factor=1000)
-        return await ask_many(cluster, 100, 0.05)
+        return await send_queries(cluster, 100, 0.05)
 
     outcome["finals"] = run_cluster(body)
 
@@ -234,7 +234,7 @@
     answers = [final for final in outcome["finals"] if isinstance(final, Answer)]
     assert len(answers) >= 95
     for final in answers:
-        assert_whole(final)
+        assert_complete_answer(final)
 
 
 @scenario(FEATURE, "Every server sheds")
@@ -245,7 +245,7 @@
 def shed(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         set_all(cluster, shed_probability=1.0)
-        finals = await ask_many(cluster, 20, 0.05, key="worker-7")
+        finals = await send_queries(cluster, 20, 0.05, key="worker-7")
         return finals, sum(executions(cluster).values())
 
     outcome["finals"], outcome["ran"] = run_cluster(body)
@@ -269,10 +269,10 @@
 def freeze(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         set_all(cluster, frozen=True)
-        finals = await ask_many(cluster, 20, 0.01)
+        finals = await send_queries(cluster, 20, 0.01)
         set_all(cluster)
         await anyio.sleep(2)
-        assert_not_run_is_true(cluster, finals)
+        assert_not_run_verdicts_hold(cluster, finals)
         return finals
 
     outcome["finals"] = run_cluster(body)
@@ -286,8 +286,8 @@
 def lose_replies(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         set_all(cluster, lose_reply_probability=1.0)
-        finals = await ask_many(cluster, 20, 0.05, key="worker-7")
-        assert_not_run_is_true(cluster, finals)
+        finals = await send_queries(cluster, 20, 0.05, key="worker-7")
+        assert_not_run_verdicts_hold(cluster, finals)
         return finals
 
     outcome["finals"] = run_cluster(body)
--- a/tests/test_subsetting.py
+++ b/tests/test_subsetting.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from conftest import make_scenario, run_cluster
-from helpers import HOURS, ask_many, assert_whole
+from helpers import HOURS, assert_complete_answer, send_queries
 from simulation.cluster import SimulatedCluster
 
 
@@ -30,14 +30,14 @@
             for shard in running.node.catalog.services[HOURS].maps[1].shards
             for replica in shard.replicas
         )
-        finals = await ask_many(cluster, 20, 0.01)
+        finals = await send_queries(cluster, 20, 0.01)
         cluster.kill_node(3)
         await cluster.until(lambda: all(count == 3 for node in used(cluster) for count in node), 60)
-        return nodes_of_server, finals, await ask_many(cluster, 20, 0.01)
+        return nodes_of_server, finals, await send_queries(cluster, 20, 0.01)
 
     nodes_of_server, before, after = run_cluster(body, nodes=4, scenario=scenario)
     # The bound is 3 of 4; a node that finds too few servers below it takes one above.
     assert max(nodes_of_server.values()) <= 4
     assert sum(nodes_of_server.values()) == 4 * 8 * 2
     for final in before + after:
-        assert_whole(final)
+        assert_complete_answer(final)
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -50,13 +50,13 @@
         _, status = deployment.call(0, "GET", "/v1/status")
         return status["in_force"] == {"members": 2, "of": 2}
 
-    deployment.wait(all_in_force)
+    deployment.wait_until(all_in_force)
 
 
 @then("a query over all shards through each node has full coverage and one snapshot")
 def query_each(deployment: Deployment) -> None:
     for node in range(2):
-        deployment.wait(lambda node=node: deployment.call(node, "POST", QUERY, SEARCH)[0] == 200)
+        deployment.wait_until(lambda node=node: deployment.call(node, "POST", QUERY, SEARCH)[0] == 200)
         status, body = deployment.call(node, "POST", QUERY, SEARCH)
         assert status == 200
         assert body["coverage"] == {"fraction": 1.0, "covered": 2**32, "missing": []}
@@ -82,7 +82,7 @@
     threads = [threading.Thread(target=ask) for _ in range(4)]
     for thread in threads:
         thread.start()
-    deployment.wait(lambda: len(outcome["replies"]) > 20)
+    deployment.wait_until(lambda: len(outcome["replies"]) > 20)
     process.send_signal(signal.SIGTERM)
     outcome["code"] = process.wait(timeout=60)
     for thread in threads:
