--- a/src/yokesill/admin/changes.py
+++ b/src/yokesill/admin/changes.py
@@ -9,7 +9,7 @@
 from yokesill.node import Node
 from yokesill.resources.documents import Role
 from yokesill.resources.keys import parse_key
-from yokesill.store.changes import Accepted, parse_change_id, settle
+from yokesill.store.changes import Accepted, parse_change_id, resolve
 
 
 class ChangeController:
@@ -26,7 +26,7 @@
             raise JsonError(404, "unknown_change", "this is not a change id")
         require(self._node.access, request, key.namespace, Role.EDITOR)
         with anyio.CancelScope(shield=True):
-            outcome = await settle(self._node.store, change)
+            outcome = await resolve(self._node.store, change)
             have: list[str] = []
             if isinstance(outcome, Accepted):
                 have = await self._node.take_into_force(outcome.stored)
--- a/src/yokesill/cluster/__init__.py
+++ b/src/yokesill/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Drives ``membership`` and ``replication`` over a transport and the platform's store."""
+"""Runs ``membership`` and ``replication`` over a transport and the platform's store."""
--- a/src/yokesill/cluster/gossip.py
+++ b/src/yokesill/cluster/gossip.py
@@ -1,7 +1,7 @@
-"""Drives the failure detector over datagrams and merges the rumors that arrive.
+"""Runs the failure detector over datagrams and merges the rumors that arrive.
 
-Owns what is sent between ticks, and which peers' digests differ (``sync`` brings those up to date). Notices
-when the node itself was paused. Relies on ``membership.detector`` for every decision on members.
+Owns the queue of outgoing packets and the peers whose digests differ, which ``sync`` then synchronises.
+Detects when the node itself was paused. ``membership.detector`` makes every decision on members.
 """
 
 import random
@@ -20,24 +20,26 @@
 from yokesill.replication.replica import ConfigurationReplica
 from yokesill.resources.objects import StoredObject
 
-# How often the detector runs: short against its probe interval of a second.
-TICK_S = 0.1
-# A tick later than this means that the node was paused: it confirms its configuration before it serves on;
-# above what a busy machine delays a tick.
+# Interval of the detector's ticks; short compared with its probe interval of 1 s.
+TICK_INTERVAL_S = 0.1
+# A tick that is later than this means that the node was paused, and that it must confirm its configuration
+# before it continues to serve. The threshold exceeds the tick delays of a busy machine.
 PAUSE_THRESHOLD_S = 1.0
-# Digests that still differ so long after the last change are synchronised; rumors reach every member by then.
-QUIET_BEFORE_SYNC_S = 1.5
-# More rumors than this at once are a node's catching up, known to the others, and not passed on.
-BULK_RUMORS = 8
-# A stop waits no longer than this for its announcement to be sent.
-ANNOUNCE_S = 0.5
+# A digest that still differs this long after the last change triggers a sync; rumors reach every member by
+# then.
+DIGEST_SYNC_DELAY_S = 1.5
+# A larger batch of rumors means that this node is catching up on changes that the other members already
+# have, so the batch is not forwarded.
+MAX_FORWARDED_RUMORS = 8
+# Limit on the time that a stop waits for its announcement to be sent.
+ANNOUNCE_TIMEOUT_S = 0.5
 
 
 class Gossip:
     """One node's gossip: membership, configuration and leaving servers.
 
-    ``on_change`` is called after configuration changed, ``on_server`` for each notice of a
-    leaving server, ``on_pause`` when this node notices that it was paused. ``known_leaving``
+    ``on_change`` is called after the configuration changed, ``on_server`` for each notice of a
+    leaving server, and ``on_pause`` when this node detects that it was paused. ``known_leaving``
     returns every leaving server, for nodes that have just started.
     """
 
@@ -71,22 +73,22 @@
 
     async def run(self) -> None:
         """Tick and send until cancelled."""
-        last = anyio.current_time()
+        last_tick_at = anyio.current_time()
         while True:
             now = anyio.current_time()
-            if now - last > TICK_S + PAUSE_THRESHOLD_S:
-                self._log.warning("paused", seconds=round(now - last, 1))
+            if now - last_tick_at > TICK_INTERVAL_S + PAUSE_THRESHOLD_S:
+                self._log.warning("paused", seconds=round(now - last_tick_at, 1))
                 self.detector.resumed(now)
                 self.on_pause()
-            last = now
+            last_tick_at = now
             self._outgoing.extend(self.detector.tick(now))
             await self._flush()
-            with anyio.move_on_after(TICK_S):
+            with anyio.move_on_after(TICK_INTERVAL_S):
                 await self._wake.wait()
             self._wake = anyio.Event()
 
     def handle_datagram(self, datagram: bytes) -> None:
-        """Take a datagram; a forged or malformed one is counted and dropped."""
+        """Process a datagram; a forged or malformed one is counted and dropped."""
         body = self._sealer.open(datagram)
         if body is None:
             return
@@ -103,24 +105,24 @@
             self._wake.set()
 
     def spread(self, rumors: list[Rumor]) -> None:
-        """Pass news of this node's own on."""
+        """Queue rumors for gossip to the other members."""
         for rumor in rumors:
             self.rumors.add(rumor)
 
     async def announce_leaving(self) -> None:
-        """Tell the others at once that this node is leaving; return when it is sent.
+        """Announce to the other members that this node is leaving; return when the announcement is sent.
 
-        ``run`` sends it: a socket lets one task send at a time, and a second one would fail with this
-        datagram of all.
+        Only ``run`` sends: a socket allows one sending task at a time, so a send from here could fail
+        and lose this announcement.
         """
         self._outgoing.extend(self.detector.leave(anyio.current_time()))
         sent = self._sent
         self._wake.set()
-        with anyio.move_on_after(ANNOUNCE_S):
+        with anyio.move_on_after(ANNOUNCE_TIMEOUT_S):
             await sent.wait()
 
     def merge_rumors(self, packet: Packet, now: float) -> None:
-        """Merge what a packet carries."""
+        """Merge the rumors of a packet."""
         changed = False
         for item in packet.rumors:
             rumor = rumor_from_wire(item)
@@ -131,7 +133,7 @@
             elif isinstance(rumor, StoredObject):
                 changed |= self.merge_objects([rumor], now)
             elif isinstance(rumor, ObjectNotice):
-                if self._replica.lacks(rumor):
+                if self._replica.is_behind(rumor):
                     self.notices[rumor.key] = (packet.sender, rumor.revision)
             else:
                 self.on_server(rumor)
@@ -139,31 +141,31 @@
             self.on_change()
 
     def merge_objects(self, objects: list[StoredObject], now: float) -> bool:
-        """Merge objects and pass on those that are news; return whether any was."""
+        """Merge objects and forward those that are new; return whether any was new."""
         rumors = self._replica.merge(objects, now)
-        self._spread_few(rumors)
+        self._forward_unless_bulk(rumors)
         return bool(rumors)
 
     def learn_members(self, records: list[MemberRecord], now: float) -> None:
-        """Merge member records and pass on those that are news."""
-        self._spread_few([record for record in records if self.detector.learn(record, now)])
+        """Merge member records and forward those that are new."""
+        self._forward_unless_bulk([record for record in records if self.detector.learn(record, now)])
 
-    def _spread_few(self, rumors: list[Rumor]) -> None:
-        """Pass rumors on unless they come in bulk: then this node was behind and the others know them."""
-        if len(rumors) <= BULK_RUMORS:
+    def _forward_unless_bulk(self, rumors: list[Rumor]) -> None:
+        """Forward rumors, except for a bulk batch: this node was behind, and the others already have it."""
+        if len(rumors) <= MAX_FORWARDED_RUMORS:
             self.spread(rumors)
 
     def _compare_digests(self, packet: Packet, now: float) -> None:
-        """Note a peer whose state still differs once the rumors have had time to arrive."""
+        """Record a peer whose state still differs after rumors have had time to arrive."""
         same_config = packet.config_digest == self._replica.state.digest
         same_members = packet.member_digest == self.table.digest
         if same_config and same_members:
             self.differing_peers.pop(packet.sender, None)
-        elif not same_config and now - self._replica.changed_at > QUIET_BEFORE_SYNC_S:
+        elif not same_config and now - self._replica.changed_at > DIGEST_SYNC_DELAY_S:
             self.differing_peers.setdefault(packet.sender, now)
 
     async def _flush(self) -> None:
-        """Send what is outgoing; only ``run`` calls it."""
+        """Send the outgoing packets; called only by ``run``."""
         outgoing, self._outgoing = self._outgoing, []
         sent, self._sent = self._sent, anyio.Event()
         for send in outgoing:
--- a/src/yokesill/cluster/leaving.py
+++ b/src/yokesill/cluster/leaving.py
@@ -1,4 +1,4 @@
-"""The servers that are leaving, as far as a node knows, whatever told it."""
+"""The leaving servers that a node knows of, from every source."""
 
 from collections.abc import Callable
 
@@ -7,31 +7,31 @@
 
 
 class LeavingServers:
-    """Joins the machine list, peers and the servers' own replies into one set.
+    """Merges notices from the machine list, from peers and from the servers' own replies.
 
-    ``tell_router`` is called for each news; ``incarnation_of`` returns the incarnation that a
-    server is known to have now, empty when it is not known.
+    ``notify_router`` is called for each new notice. ``incarnation_of`` returns the current incarnation
+    of a server, or an empty text when it is unknown.
     """
 
     def __init__(
         self,
         gossip: Gossip,
-        tell_router: Callable[[ServerNotice], None],
+        notify_router: Callable[[ServerNotice], None],
         incarnation_of: Callable[[str], str],
     ) -> None:
         self._gossip = gossip
-        self._tell_router = tell_router
+        self._notify_router = notify_router
         self._incarnation_of = incarnation_of
         self._notices: dict[str, ServerNotice] = {}
 
     def all(self) -> list[ServerNotice]:
-        """Return every notice, for nodes that have just started and for services that are new."""
+        """Return every notice, for nodes that have just started and for newly installed services."""
         return list(self._notices.values())
 
     def learn(self, notice: ServerNotice) -> None:
-        """Give a leaving server no new work, and pass it on the first time.
+        """Stop sending new work to a leaving server, and gossip a notice that is new.
 
-        The machine list names no incarnation: it means the one that the server has now.
+        The machine list names no incarnation, so its notices apply to the server's current one.
         """
         if not notice.incarnation:
             notice = ServerNotice(notice.address, self._incarnation_of(notice.address))
@@ -39,4 +39,4 @@
             return
         self._notices[notice.address] = notice
         self._gossip.spread([notice])
-        self._tell_router(notice)
+        self._notify_router(notice)
--- a/src/yokesill/cluster/sync.py
+++ b/src/yokesill/cluster/sync.py
@@ -1,7 +1,7 @@
 """Bulk synchronisation between nodes: on joining, after a pause, and where digests differ.
 
-Answers peers' requests for objects and members and makes this node's own. ``barrier`` is what a node waits
-for before it serves; ``push`` spreads an accepted change before rumors do. Modelled in
+Answers the requests of peers for objects and members, and sends this node's own requests. A node completes
+``barrier`` before it serves; ``push`` distributes an accepted change ahead of the rumors. Modelled in
 ``spec/configuration.pml``.
 """
 
@@ -20,20 +20,21 @@
 from yokesill.resources.objects import StoredObject
 from yokesill.verdict import Failure, Reason, Verdict
 
-# How long a peer may take to answer; a whole state is some megabytes.
+# Timeout of a request to a peer; a whole state takes some megabytes.
 SYNC_TIMEOUT_S = 2.0
-# How often peers whose digests differ are synchronised: within the 5 s of a change's bound.
+# Interval of syncs with peers whose digests differ; well within the limit of 5 s for a change to reach all
+# nodes.
 SYNC_INTERVAL_S = 0.5
-# So many peers confirm a starting node's configuration, since one may be behind.
-BARRIER_PEERS = 3
-# An operator waits for a pushed change, so less than a synchronisation.
+# Peers that confirm a starting node's configuration; a single one may be behind.
+BARRIER_CONFIRMATIONS = 3
+# Shorter than SYNC_TIMEOUT_S, since an operator waits for the push.
 PUSH_TIMEOUT_S = 1.0
-# Peers that get a change at once, in different zones first; rumors bring it to the rest.
-PUSH_PEERS = 3
+# Peers that receive a change at once, other zones first; rumors distribute it to the rest.
+MAX_PUSH_PEERS = 3
 
 
 class Synchroniser:
-    """Answers peers' requests and makes this node's own."""
+    """Answers the sync requests of peers and sends this node's own."""
 
     def __init__(
         self,
@@ -55,10 +56,10 @@
     def _table(self) -> MemberTable:
         return self._gossip.table
 
-    # --- answers to peers ---
+    # --- requests from peers ---
 
     def answer(self, kind: str, body: bytes) -> bytes | Failure | None:
-        """Answer an opened request of a peer; ``None`` when the kind is not this part's."""
+        """Answer a peer's request, already unsealed; ``None`` for a kind that is not handled here."""
         try:
             if kind == msg.COMPARE:
                 return self._compare(msg.decode_compare_request(body))
@@ -80,12 +81,12 @@
 
     def _exchange(self, request: msg.ExchangeRequest) -> bytes:
         self._merge(request.objects)
-        return msg.encode_objects(self._replica.objects_of(request.wanted))
+        return msg.encode_objects(self._replica.objects_for(request.wanted))
 
-    # --- this node's own ---
+    # --- requests to peers ---
 
     async def sync_with(self, address: str) -> bool:
-        """Exchange with one peer, both ways; return whether it succeeded."""
+        """Synchronise with one peer in both directions; return whether it succeeded."""
         own = msg.CompareRequest(self._replica.state.bucket_digests, [self._table.own])
         answer = await self._request(address, msg.COMPARE, msg.encode_compare_request(own))
         if answer is None:
@@ -110,14 +111,14 @@
             return False
         return True
 
-    async def barrier(self, seeds: list[str], confirmations: int = BARRIER_PEERS) -> int:
-        """Sync with seeds and then with peers of as many zones as possible; return how many answered."""
+    async def barrier(self, seeds: list[str], confirmations: int = BARRIER_CONFIRMATIONS) -> int:
+        """Sync with one seed, then with peers of as many zones as possible; return how many answered."""
         answered: set[str] = set()
         for address in self._random.sample(seeds, len(seeds)):
             if address != self._table.own.address and await self.sync_with(address):
                 answered.add(address)
                 break
-        for peer in self._spread_over_zones():
+        for peer in self._peers_by_zone():
             if len(answered) >= confirmations:
                 break
             if peer.address not in answered and await self.sync_with(peer.address):
@@ -125,31 +126,31 @@
         return len(answered)
 
     async def push(self, objects: list[StoredObject]) -> list[str]:
-        """Hand committed objects to a few peers, of other zones first; return who has them."""
-        targets = self._spread_over_zones()[:PUSH_PEERS]
+        """Send committed objects to a few peers, other zones first; return the addresses that have them."""
+        targets = self._peers_by_zone()[:MAX_PUSH_PEERS]
         body = msg.encode_objects(objects)
-        have: list[str] = []
+        holders: list[str] = []
 
         async def push_to(address: str) -> None:
             if await self._request(address, msg.PUSH, body, PUSH_TIMEOUT_S) is not None:
-                have.append(address)
+                holders.append(address)
 
         async with anyio.create_task_group() as task_group:
             for peer in targets:
                 task_group.start_soon(push_to, peer.address)
-        return have
+        return holders
 
     async def run(self) -> None:
-        """Fetch what notices told of and sync with peers that differ, until cancelled."""
+        """Fetch the objects that notices announced and sync with differing peers, until cancelled."""
         while True:
             await anyio.sleep(SYNC_INTERVAL_S * (0.8 + 0.4 * self._random.random()))
-            await self._fetch_noticed()
+            await self._fetch_announced()
             if self._gossip.differing_peers:
                 address = self._random.choice(list(self._gossip.differing_peers))
                 self._gossip.differing_peers.clear()
                 await self.sync_with(address)
 
-    async def _fetch_noticed(self) -> None:
+    async def _fetch_announced(self) -> None:
         notices, self._gossip.notices = self._gossip.notices, {}
         by_sender: dict[str, list[str]] = {}
         for key, (sender, _revision) in notices.items():
@@ -171,13 +172,13 @@
             return None
         return self._sealer.open(answer)
 
-    def _spread_over_zones(self) -> list[MemberRecord]:
+    def _peers_by_zone(self) -> list[MemberRecord]:
         """Return reachable peers, one of each other zone first, then the rest, each group shuffled."""
         own = self._table.own
         peers = [each for each in self._table.reachable() if each.address != own.address]
         self._random.shuffle(peers)
-        first_of_zone = {each.zone: each for each in peers if each.zone != own.zone}
-        first = list(first_of_zone.values())
+        peer_by_zone = {each.zone: each for each in peers if each.zone != own.zone}
+        first = list(peer_by_zone.values())
         return first + [each for each in peers if each not in first]
 
     def _merge(self, objects: list[StoredObject]) -> None:
--- a/src/yokesill/cluster/watcher.py
+++ b/src/yokesill/cluster/watcher.py
@@ -1,8 +1,8 @@
-"""Which nodes watch the store of ``yokesill serve``, and what a watcher does.
+"""Chooses which nodes of ``yokesill serve`` watch the store, and runs a watcher.
 
-A node watches while it is among the first of its region's reachable members by rendezvous rank. Being a
-watcher is only an optimisation: two too many, or a paused one, does no harm, because objects are merged by
-revision. So no lease guards it.
+A node watches while its rendezvous rank is among the first of its region's reachable members. This is
+only an optimisation, so no lease protects it: two extra watchers, or a paused one, do no harm, because
+objects are merged by revision.
 """
 
 import random
@@ -16,20 +16,20 @@
 from yokesill.store.base import Store
 from yokesill.verdict import Failure
 
-# Two, since one may be paused or cut off.
-WATCHERS_A_REGION = 2
-# After a failed call of the store, doubled up to the ceiling.
-RETRY_PAUSE_S = 0.5
-RETRY_CEILING_S = 10.0
-# How soon a node notices that it has become a watcher: within a change's bound of 5 s.
-RANK_CHECK_S = 1.0
-# How soon leaving machines are noticed: a server's own notice is sooner.
+# Two, since one may be paused or partitioned.
+WATCHERS_PER_REGION = 2
+# Delay after a failed call of the store, doubled up to the maximum.
+INITIAL_RETRY_DELAY_S = 0.5
+MAX_RETRY_DELAY_S = 10.0
+# Interval at which a node checks its rank; well within the limit of 5 s for a change to reach all nodes.
+RANK_CHECK_INTERVAL_S = 1.0
+# Poll interval for leaving machines; a server's own notice arrives earlier.
 MACHINE_LIST_INTERVAL_S = 1.0
 RANK_SUBJECT = "store-watcher"
 
 
 class StoreWatcher:
-    """Follows the store's objects and machine list while this node ranks as a watcher."""
+    """Follows the store's objects and machine list while this node ranks_as_watcher as a watcher."""
 
     def __init__(
         self, store: Store, gossip: Gossip, table: MemberTable, random_source: random.Random
@@ -44,15 +44,15 @@
         self._revision = 0
         self._log = get_logger("store")
 
-    def ranks(self) -> bool:
-        """Whether this node is among its region's watchers now."""
+    def ranks_as_watcher(self) -> bool:
+        """Whether this node currently ranks_as_watcher among the watchers of its region."""
         own = self._table.own
         region = [each for each in self._table.reachable() if each.region == own.region]
-        first = self._table.rank(RANK_SUBJECT, region)[:WATCHERS_A_REGION]
+        first = self._table.rank(RANK_SUBJECT, region)[:WATCHERS_PER_REGION]
         return any(each.address == own.address for each in first)
 
     async def load(self) -> bool:
-        """Read everything from the store once; return whether it answered."""
+        """Load all objects from the store once; return whether the store answered."""
         listing = await self._store.list_objects()
         if isinstance(listing, Failure):
             self._log.info("list_failed", reason=listing.reason, detail=listing.detail)
@@ -65,24 +65,24 @@
         return True
 
     async def run(self) -> None:
-        """Watch while it is this node's turn, until cancelled."""
+        """Watch the store whenever this node ranks_as_watcher as a watcher, until cancelled."""
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._follow_machines)
             while True:
-                if not self.ranks():
+                if not self.ranks_as_watcher():
                     self.watching = False
-                    await anyio.sleep(RANK_CHECK_S)
+                    await anyio.sleep(RANK_CHECK_INTERVAL_S)
                     continue
                 self.watching = True
                 await self._follow_objects()
 
     async def _follow_objects(self) -> None:
-        """List, then watch until a failure or until it is no longer this node's turn."""
-        pause = RETRY_PAUSE_S
+        """List, then watch until a failure or until this node no longer ranks_as_watcher as a watcher."""
+        delay_s = INITIAL_RETRY_DELAY_S
         while not await self.load():
-            await anyio.sleep(pause * (0.5 + self._random.random()))
-            pause = min(RETRY_CEILING_S, pause * 2)
-        while self.ranks():
+            await anyio.sleep(delay_s * (0.5 + self._random.random()))
+            delay_s = min(MAX_RETRY_DELAY_S, delay_s * 2)
+        while self.ranks_as_watcher():
             changes = await self._store.watch(self._revision)
             if isinstance(changes, Failure):
                 self._log.info("watch_failed", reason=changes.reason, detail=changes.detail)
@@ -96,7 +96,7 @@
                 self._gossip.on_change()
 
     async def _follow_machines(self) -> None:
-        """Poll the machine list and pass on which servers are leaving."""
+        """Poll the machine list and gossip which servers are leaving."""
         while True:
             await anyio.sleep(MACHINE_LIST_INTERVAL_S)
             if not self.watching:
--- a/src/yokesill/comm/__init__.py
+++ b/src/yokesill/comm/__init__.py
@@ -1,1 +1,1 @@
-"""How nodes reach each other: one file a transport behind one base, and one codec."""
+"""Communication between nodes: transports with a common base class, frame sealing and HTTP."""
--- a/src/yokesill/comm/base.py
+++ b/src/yokesill/comm/base.py
@@ -1,4 +1,4 @@
-"""The transport between nodes: datagrams that may be lost, and requests that are answered.
+"""Abstract transport between nodes: unreliable datagrams, and requests with answers.
 
 A node's address is ``IP:PORT``; datagrams use UDP and requests TCP at that same address.
 """
@@ -13,7 +13,7 @@
 
 
 class Transport(abc.ABC):
-    """Carries sealed frames between nodes; knows nothing of what they mean."""
+    """Carries sealed frames between nodes without interpreting them."""
 
     def __init__(self, address: str) -> None:
         self.address = address
@@ -23,18 +23,18 @@
         self._on_request: RequestHandler | None = None
 
     def serve(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
-        """Set who receives datagrams and requests."""
+        """Set the handlers for incoming datagrams and requests."""
         self._on_datagram = on_datagram
         self._on_request = on_request
 
     def deliver_datagram(self, datagram: bytes) -> None:
-        """Hand a datagram to the node."""
+        """Pass an incoming datagram to its handler, if one is set."""
         self.bytes_received += len(datagram)
         if self._on_datagram is not None:
             self._on_datagram(datagram)
 
     async def deliver_request(self, kind: str, body: bytes) -> bytes | Failure | None:
-        """Hand a request to the node; ``None`` when it does not serve yet."""
+        """Pass an incoming request to its handler; ``None`` when the node does not serve yet."""
         self.bytes_received += len(body)
         if self._on_request is None:
             return None
@@ -46,8 +46,8 @@
 
     @abc.abstractmethod
     async def send(self, address: str, datagram: bytes) -> None:
-        """Send a datagram; it may be lost, and errors are not told."""
+        """Send a datagram; it may be lost, and errors are not reported."""
 
     @abc.abstractmethod
     async def request(self, address: str, kind: str, body: bytes, timeout: float) -> bytes | Failure:
-        """Send a request and return its answer, or a failure with its verdict, within ``timeout`` s."""
+        """Send a request; return its answer, or a failure with a verdict, within ``timeout`` seconds."""
--- a/src/yokesill/comm/http_reply.py
+++ b/src/yokesill/comm/http_reply.py
@@ -1,26 +1,27 @@
-"""Reads one HTTP/1.1 reply with httptools, uvicorn's parser.
+"""Reads one HTTP/1.1 reply with httptools, the parser that uvicorn uses.
 
-Shared by connections to servers, coordinators and the registry. Owns the bytes of one reply until it is
-complete; anything that is not exactly one reply raises ``ReplyError`` or is marked as ``surplus``.
+Used by connections to servers, coordinators and the registry. Buffers one reply until it is complete.
+Malformed or truncated replies raise ``ReplyError``; bytes after the reply set ``surplus``.
 """
 
 import httptools
 
-# Bound the memory that one reply can use.
-MAXIMUM_HEAD_BYTES = 64 * 1024
+# Limit the memory that one reply can use.
+MAX_HEAD_BYTES = 64 * 1024
 MAX_BODY_BYTES = 32 * 1024 * 1024
-# Statuses whose replies have no body whatever their headers say (RFC 9112, section 6.3).
-BODILESS_STATUS = frozenset({204, 304})
+# Statuses whose replies have no body, regardless of their headers (RFC 9112, section 6.3).
+BODILESS_STATUSES = frozenset({204, 304})
 
 
 class ReplyError(Exception):
-    """The bytes are not a reply, or not a whole one."""
+    """The bytes are not a reply, or the reply is truncated or too large."""
 
 
 class HttpReplyReader:
-    """One reply to one request; httptools calls the ``on_`` methods.
+    """Reader of one reply to one request; httptools calls the ``on_`` methods.
 
-    ``surplus`` is set when bytes follow the reply's end: the connection must not be used again.
+    ``surplus`` is set when bytes follow the end of the reply; the connection must not be reused then.
+    ``bodiless`` says that the reply has no body, as in a reply to ``HEAD``.
     """
 
     def __init__(self, bodiless: bool = False) -> None:
@@ -41,16 +42,16 @@
 
     @property
     def started(self) -> bool:
-        """Whether any byte of it has come."""
+        """Whether any byte of the reply was received."""
         return self._received > 0
 
     @property
     def framed(self) -> bool:
-        """Whether the reply says where it ends; the others end with their connection."""
-        return self._framed or self.status in BODILESS_STATUS
+        """Whether the reply declares its end; any other reply ends when the connection closes."""
+        return self._framed or self.status in BODILESS_STATUSES
 
     def feed(self, data: bytes) -> None:
-        """Take received bytes; raises ``ReplyError`` when they are no reply or too many."""
+        """Parse received bytes; raises ``ReplyError`` when they are malformed or too many."""
         self._received += len(data)
         if self._parser is None:
             self.surplus = True
@@ -63,38 +64,38 @@
             self.surplus = True
         if self._body_bytes > MAX_BODY_BYTES:
             raise ReplyError("the reply is too large")
-        if self._head_bytes > MAXIMUM_HEAD_BYTES or self._endless_head():
+        if self._head_bytes > MAX_HEAD_BYTES or self._head_exceeds_limit():
             raise ReplyError("the reply's head is too large")
         if self.complete:
-            self._let_go()
+            self._release_parser()
 
-    def _let_go(self) -> None:
-        """Let go of the parser, and of what only it needed.
+    def _release_parser(self) -> None:
+        """Drop the parser and the body's chunks.
 
-        The parser holds this reader, too: the two, with the reply's body, would stay until the
-        interpreter looks for cycles, some thousand replies later.
+        The parser refers to this reader, so the two form a reference cycle. Without this, both would
+        hold the reply's body until the cyclic garbage collector runs, some thousand replies later.
         """
         self._parser = None
         self._chunks = []
 
-    def _endless_head(self) -> bool:
-        return not self._head_done and self._received > MAXIMUM_HEAD_BYTES
+    def _head_exceeds_limit(self) -> bool:
+        return not self._head_done and self._received > MAX_HEAD_BYTES
 
     def end_of_stream(self) -> None:
-        """The server closed orderly: that ends a reply without a length, and breaks any other off."""
+        """Handle an orderly close: it ends a reply without a declared length and truncates any other."""
         if not self._head_done or self._framed:
             raise ReplyError("the server closed within a reply")
         self._finish()
         self.keep_alive = False
-        self._let_go()
+        self._release_parser()
 
     def on_message_begin(self) -> None:
-        """A reply begins; a second one was not asked for."""
+        """Handle the start of a reply; a second reply is surplus."""
         if self.complete:
             self.surplus = True
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take one header."""
+        """Record one header."""
         if self.complete:
             return
         self._head_bytes += len(name) + len(value)
@@ -104,7 +105,7 @@
             self._framed = True
 
     def on_headers_complete(self) -> None:
-        """The head was read; interim replies (1xx) are passed over."""
+        """Record the status once the head is complete; interim replies (1xx) are skipped."""
         if self.complete or self._parser is None:
             return
         self.status = self._parser.get_status_code()
@@ -114,13 +115,13 @@
             self._finish()
 
     def on_body(self, chunk: bytes) -> None:
-        """Take a piece of the body."""
+        """Store a chunk of the body."""
         if not self.complete:
             self._chunks.append(chunk)
             self._body_bytes += len(chunk)
 
     def on_message_complete(self) -> None:
-        """The reply ends."""
+        """Complete the reply; an interim reply (1xx) is discarded instead."""
         if self.complete:
             return
         if self.status < 200:
--- a/src/yokesill/comm/http_status.py
+++ b/src/yokesill/comm/http_status.py
@@ -1,6 +1,7 @@
-"""HTTP statuses by name, as plain numbers: they go into CBOR messages, JSON logs and byte strings.
+"""HTTP status codes as plain integers, for use in CBOR messages, JSON logs and byte strings.
 
-The only copy in the package. ``http.HTTPStatus`` is an enumeration, whose members print and encode otherwise.
+The package's only definitions of them. ``http.HTTPStatus`` is not used because it is an enumeration, whose
+members are printed and encoded differently.
 """
 
 OK = 200
--- a/src/yokesill/comm/network.py
+++ b/src/yokesill/comm/network.py
@@ -1,4 +1,4 @@
-"""The real transport: UDP datagrams, and HTTP requests with CBOR bodies for everything larger.
+"""Transport over the network: UDP datagrams, and HTTP requests with CBOR bodies for larger messages.
 
 Requests arrive through the node's own HTTP server, under ``/internal/v1/{kind}``.
 """
@@ -12,22 +12,22 @@
 from yokesill.verdict import Failure, Reason, Verdict
 
 INTERNAL_PATH = "/internal/v1/"
-# To all peers together; further calls wait for one.
-MAXIMUM_PEER_CONNECTIONS = 64
+# Total over all peers; further calls wait for a free connection.
+MAX_PEER_CONNECTIONS = 64
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Split ``IP:PORT``."""
+    """Split ``IP:PORT`` into the host and the port number."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class NetworkTransport(Transport):
-    """Talks to peers over UDP and TCP at the same ``IP:PORT``."""
+    """Communicates with peers over UDP and TCP at the same ``IP:PORT``."""
 
     def __init__(self, address: str) -> None:
         super().__init__(address)
-        self._client = HttpClient(MAXIMUM_PEER_CONNECTIONS)
+        self._client = HttpClient(MAX_PEER_CONNECTIONS)
         self._socket: anyio.abc.UDPSocket | None = None
 
     async def run(self) -> None:
@@ -38,7 +38,7 @@
                 self.deliver_datagram(data)
 
     async def send(self, address: str, datagram: bytes) -> None:
-        """Send a datagram; an unreachable peer shows by its silence."""
+        """Send a datagram; errors are ignored, since membership detects an unreachable peer."""
         if self._socket is None:
             return
         host, port = split_address(address)
@@ -46,7 +46,7 @@
         try:
             await self._socket.sendto(datagram, host, port)
         except (OSError, anyio.BrokenResourceError, anyio.ClosedResourceError):
-            # Not logged: datagrams may be lost anyway; membership notices a peer that stays silent.
+            # Not logged: datagrams may be lost anyway, and membership detects a peer that does not reply.
             return
 
     async def request(self, address: str, kind: str, body: bytes, timeout: float) -> bytes | Failure:
--- a/src/yokesill/comm/sealing.py
+++ b/src/yokesill/comm/sealing.py
@@ -1,7 +1,7 @@
-"""Authentication of frames between nodes: a keyed MAC in front of the body.
+"""Authenticates frames between nodes with a keyed MAC in front of the body.
 
-The first key seals; any key opens, so that keys can be rotated without a pause: add the new key
-last everywhere, then put it first everywhere, then drop the old one.
+The first key seals and any key opens, so that keys can be rotated without downtime: append the new key
+on every node, then move it to the front on every node, then remove the old one.
 """
 
 import hashlib
@@ -12,11 +12,11 @@
 
 
 class Sealer:
-    """Seals and opens frames with a list of shared keys."""
+    """Seals and opens frames with shared keys; ``rejected`` counts frames that are not authentic."""
 
     def __init__(self, keys: Sequence[bytes]) -> None:
         if not keys:
-            raise ValueError("at least one key is needed")
+            raise ValueError("no keys given: at least one key is required")
         self._keys = tuple(keys)
         self.rejected = 0
 
@@ -25,7 +25,7 @@
         return _mac(self._keys[0], body) + body
 
     def open(self, frame: bytes) -> bytes | None:
-        """Return the body of an authentic frame; count and drop any other."""
+        """Return the body of an authentic frame; count any other frame and return ``None``."""
         mac, body = frame[:MAC_BYTES], frame[MAC_BYTES:]
         if any(hmac.compare_digest(mac, _mac(key, body)) for key in self._keys):
             return body
--- a/src/yokesill/replication/__init__.py
+++ b/src/yokesill/replication/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration state as a join of (object, revision), sans I/O: it only ever moves forward."""
+"""Replicated configuration: a sans-I/O join over (object, revision), so revisions never decrease."""
--- a/src/yokesill/replication/catalog.py
+++ b/src/yokesill/replication/catalog.py
@@ -1,8 +1,8 @@
-"""Turns the replicated objects into what is in force: compiled services, tokens and shares.
+"""Compiles the replicated objects into the services, tokens and shares that are in force.
 
-A service is compiled whole, from its own document and its replica sets, and swapped whole. A
-document that cannot be compiled here (written by a newer release, say) leaves the service as it
-was and is reported.
+A service is compiled from its own document and its replica sets, and replaced as a whole. A document
+that this node cannot use (for example one written by a newer release) leaves the service unchanged
+and is reported in ``Catalog.unusable``.
 """
 
 from collections.abc import Callable, Iterable
@@ -26,12 +26,15 @@
 
 
 def all_replicas(_subject: str, replica_set: ReplicaSet, _size: int) -> tuple[Replica, ...]:
-    """The subsetter of small deployments: every replica."""
+    """Return every replica: the subsetter for small deployments."""
     return replica_set.replicas
 
 
 class Catalog:
-    """What the configuration says, in typed form; ``refresh`` follows the replicated state."""
+    """Typed view of the configuration, updated from the replicated state by ``refresh``.
+
+    ``unusable`` maps the key of each document that cannot be used to the reason.
+    """
 
     def __init__(self, state: ReplicatedState, subsetter: Subsetter = all_replicas) -> None:
         self.services: dict[ServiceName, CompiledService] = {}
@@ -42,58 +45,60 @@
         self._documents: dict[str, AnyDocument] = {}
 
     def refresh(self, changed: Iterable[str]) -> list[ServiceName]:
-        """Follow changes of ``changed`` keys; return the services to be installed or removed."""
+        """Apply the objects at the ``changed`` keys; return the services to install or remove."""
         affected: set[ServiceName] = set()
-        for text in changed:
-            key = parse_key(text)
+        for key_text in changed:
+            key = parse_key(key_text)
             if key is None:
                 continue
-            self._read(text)
+            self._update_document(key_text)
             if key.service_name is not None:
                 affected.add(key.service_name)
             elif key.kind == "namespace":
-                affected.update(name for name in self._named_services() if name.namespace == key.namespace)
-        self._read_tokens()
-        return [name for name in sorted(affected, key=str) if self._compile(name)]
+                affected.update(name for name in self._service_names() if name.namespace == key.namespace)
+        self._index_tokens()
+        return [name for name in sorted(affected, key=str) if self._compile_service(name)]
 
     def recompile_all(self) -> list[ServiceName]:
-        """Compile every service again, after the membership (and so the subsets) changed."""
-        return [name for name in self._named_services() if self._compile(name)]
+        """Compile every service again; called when a membership change altered the subsets."""
+        return [name for name in self._service_names() if self._compile_service(name)]
 
     def namespace(self, name: str) -> Namespace | None:
         """Return a namespace's document."""
         document = self._documents.get(f"namespaces/{name}")
         return document if isinstance(document, Namespace) else None
 
-    def _read(self, text: str) -> None:
-        """Parse one object into the documents, or note why it cannot be."""
-        stored, key = self._state.get(text), parse_key(text)
-        self.unusable.pop(text, None)
+    def _update_document(self, key_text: str) -> None:
+        """Parse the object at ``key_text`` into the documents, or record why it is unusable."""
+        stored, key = self._state.get(key_text), parse_key(key_text)
+        self.unusable.pop(key_text, None)
         if stored is None or stored.value is None or key is None:
-            self._documents.pop(text, None)
+            self._documents.pop(key_text, None)
             return
         parsed = parse_document(key, stored.value)
         errors = parsed if isinstance(parsed, list) else []
         if isinstance(parsed, Service):
             errors = validate_service(parsed)
         if errors or isinstance(parsed, list):
-            self.unusable[text] = "; ".join(str(each) for each in errors)
+            self.unusable[key_text] = "; ".join(str(each) for each in errors)
             return
-        self._documents[text] = parsed
+        self._documents[key_text] = parsed
 
-    def _read_tokens(self) -> None:
+    def _index_tokens(self) -> None:
         self.tokens = {
             document.sha256: (key.namespace, document)
-            for text, document in self._documents.items()
-            if isinstance(document, Token) and (key := parse_key(text)) is not None
+            for key_text, document in self._documents.items()
+            if isinstance(document, Token) and (key := parse_key(key_text)) is not None
         }
 
-    def _named_services(self) -> list[ServiceName]:
-        names = (parse_key(text) for text, each in self._documents.items() if isinstance(each, Service))
-        return [name for key in names if key is not None and (name := key.service_name) is not None]
+    def _service_names(self) -> list[ServiceName]:
+        keys = (
+            parse_key(key_text) for key_text, each in self._documents.items() if isinstance(each, Service)
+        )
+        return [name for key in keys if key is not None and (name := key.service_name) is not None]
 
-    def _compile(self, name: ServiceName) -> bool:
-        """Compile or drop a service; return whether what is in force changed."""
+    def _compile_service(self, name: ServiceName) -> bool:
+        """Compile or remove a service; return whether ``services`` changed."""
         service = self._documents.get(name.key)
         if not isinstance(service, Service):
             return self.services.pop(name, None) is not None
--- a/src/yokesill/replication/replica.py
+++ b/src/yokesill/replication/replica.py
@@ -1,4 +1,4 @@
-"""One node's replica of the configuration: merging, comparing and deciding what to exchange."""
+"""One node's replica of the configuration: merges objects, compares state and plans exchanges."""
 
 from collections.abc import Iterable
 
@@ -7,11 +7,12 @@
 from yokesill.replication.state import ReplicatedState
 from yokesill.resources.objects import StoredObject
 
-RUMOR_OBJECT_BYTES = 900
+# A larger object does not fit a datagram: only a notice of its revision is gossiped.
+MAX_RUMOR_OBJECT_BYTES = 900
 
 
 class ConfigurationReplica:
-    """The state, and which of its keys changed since they were last taken into force."""
+    """The replicated state and the keys that changed since ``take_changed`` was last called."""
 
     def __init__(self) -> None:
         self.state = ReplicatedState()
@@ -19,44 +20,44 @@
         self._changed: set[str] = set()
 
     def merge(self, objects: Iterable[StoredObject], now: float) -> list[Rumor]:
-        """Merge objects; return the rumors to pass on about those that were news."""
+        """Merge objects; return the rumors to forward about those that were new."""
         rumors: list[Rumor] = []
         for candidate in objects:
             if self.state.merge(candidate):
                 self._changed.add(candidate.key)
                 self.changed_at = now
-                rumors.append(rumor_of(candidate))
+                rumors.append(rumor_for(candidate))
         return rumors
 
     def take_changed(self) -> set[str]:
-        """Return the keys that changed since the last call."""
+        """Return and clear the keys that changed since the last call."""
         changed, self._changed = self._changed, set()
         return changed
 
-    def lacks(self, notice: ObjectNotice) -> bool:
-        """Whether a notice tells of a revision that is not known here."""
+    def is_behind(self, notice: ObjectNotice) -> bool:
+        """Whether ``notice`` announces a newer revision than this replica holds."""
         known = self.state.get(notice.key)
         return known is None or known.revision < notice.revision
 
     def differing_buckets(self, digests: list[int]) -> list[int]:
-        """Return the buckets in which a peer's digests differ from this node's."""
+        """Return the indexes of the buckets whose digests differ from a peer's ``digests``."""
         pairs = zip(self.state.bucket_digests, digests, strict=False)
         return [index for index, (own, other) in enumerate(pairs) if own != other]
 
     def plan_exchange(self, reply: CompareReply) -> ExchangeRequest:
-        """Decide what to ask a peer for and what to hand over, after a comparison."""
+        """Return which objects to request from a peer and which to send, after a comparison."""
         own = self.state.versions_in(reply.buckets)
         wanted = [key for key, revision in reply.versions.items() if own.get(key, 0) < revision]
         newer = [key for key, revision in own.items() if reply.versions.get(key, 0) < revision]
-        return ExchangeRequest(wanted, self.objects_of(newer))
+        return ExchangeRequest(wanted, self.objects_for(newer))
 
-    def objects_of(self, keys: Iterable[str]) -> list[StoredObject]:
-        """Return the objects known under ``keys``."""
+    def objects_for(self, keys: Iterable[str]) -> list[StoredObject]:
+        """Return the objects at those of ``keys`` that this replica holds."""
         return [each for key in keys if (each := self.state.get(key)) is not None]
 
 
-def rumor_of(item: StoredObject) -> Rumor:
-    """Return the rumor that tells of ``item``: itself if it fits a datagram, else a notice."""
-    if item.size() <= RUMOR_OBJECT_BYTES:
+def rumor_for(item: StoredObject) -> Rumor:
+    """Return the rumor about ``item``: the object itself if it fits a datagram, else a notice."""
+    if item.size() <= MAX_RUMOR_OBJECT_BYTES:
         return item
     return ObjectNotice(item.key, item.revision)
--- a/src/yokesill/replication/state.py
+++ b/src/yokesill/replication/state.py
@@ -1,7 +1,7 @@
 """The replicated configuration: the newest revision of each object, tombstones included.
 
-Merging is a join: it is commutative, associative and idempotent, so objects may come from any
-source, in any order and any number of times, and no object's revision ever goes back.
+Merging is a join: it is commutative, associative and idempotent, so objects may arrive from any
+source, in any order and any number of times, and no object's revision ever decreases.
 """
 
 from collections.abc import Iterable
@@ -10,26 +10,26 @@
 
 from yokesill.resources.objects import StoredObject
 
-BUCKETS = 64
+BUCKET_COUNT = 64
 
 
 class ReplicatedState:
-    """All objects that this node knows, with hashes that make comparison cheap."""
+    """All objects that this node holds, with hashes for a cheap comparison between nodes."""
 
     def __init__(self) -> None:
         self._objects: dict[str, StoredObject] = {}
-        self._buckets = [0] * BUCKETS
+        self._bucket_hashes = [0] * BUCKET_COUNT
         self._digest = 0
 
     @property
     def digest(self) -> int:
-        """A hash of the whole state, equal at nodes with equal states."""
+        """Hash of the whole state; nodes with equal states have equal digests."""
         return self._digest
 
     @property
     def bucket_digests(self) -> list[int]:
-        """A hash for each bucket of keys."""
-        return list(self._buckets)
+        """Hash of each bucket of keys."""
+        return list(self._bucket_hashes)
 
     @property
     def revision(self) -> int:
@@ -40,7 +40,7 @@
         return len(self._objects)
 
     def get(self, key: str) -> StoredObject | None:
-        """Return the newest known revision of the object, which may be a tombstone."""
+        """Return the newest known revision of an object, which may be a tombstone."""
         return self._objects.get(key)
 
     def all(self) -> Iterable[StoredObject]:
@@ -48,15 +48,15 @@
         return self._objects.values()
 
     def merge(self, candidate: StoredObject) -> bool:
-        """Take ``candidate`` in if it is newer than what is known; return whether it was."""
+        """Store ``candidate`` if it is newer than the known revision; return whether it was."""
         known = self._objects.get(candidate.key)
         if known is not None and known.revision >= candidate.revision:
             return False
-        change = _version_hash(candidate)
+        hash_delta = _version_hash(candidate)
         if known is not None:
-            change ^= _version_hash(known)
-        self._buckets[bucket_of(candidate.key)] ^= change
-        self._digest ^= change
+            hash_delta ^= _version_hash(known)
+        self._bucket_hashes[bucket_of(candidate.key)] ^= hash_delta
+        self._digest ^= hash_delta
         self._objects[candidate.key] = candidate
         return True
 
@@ -68,7 +68,7 @@
 
 def bucket_of(key: str) -> int:
     """Return the bucket that ``key`` belongs to."""
-    return xxhash.xxh32_intdigest(key.encode()) % BUCKETS
+    return xxhash.xxh32_intdigest(key.encode()) % BUCKET_COUNT
 
 
 def _version_hash(item: StoredObject) -> int:
--- a/src/yokesill/store/__init__.py
+++ b/src/yokesill/store/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's object API: where configuration is kept and committed."""
+"""Client of the platform's object API, which stores the configuration and orders its changes."""
--- a/src/yokesill/store/base.py
+++ b/src/yokesill/store/base.py
@@ -1,7 +1,8 @@
-"""The store behind one abstract interface; nothing else knows how it is spoken to.
+"""Abstract client of the platform's object store; implementations hide the protocol.
 
-The store orders changes: each one gets the next revision, and a write names the revision that it
-replaces (compare-and-swap). It can be down or slow, and an answer can be lost after its effect.
+The store assigns the next revision to each change, and a write names the revision that it replaces
+(compare-and-swap). The store can be down or slow, and the reply to a write can be lost after the write
+took effect.
 """
 
 import abc
@@ -13,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """A write named a base revision that is not the current one; it has not run."""
+    """The write named a base revision that is not the current one, and had no effect."""
 
     current: StoredObject | None
 
@@ -28,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Machine:
-    """One line of the platform's machine list, which lags."""
+    """One entry of the platform's machine list, which may be out of date."""
 
     address: str
     kind: str
@@ -36,24 +37,25 @@
 
 
 class Store(abc.ABC):
-    """A client of the platform's object API. Every call ends within the store's time-out."""
+    """Client of the platform's object API. Every call ends within the store's timeout."""
 
     @abc.abstractmethod
     async def get(self, key: str) -> StoredObject | Failure | None:
-        """Return the current object (maybe a tombstone), ``None`` if there never was one."""
+        """Return the current object, which may be a tombstone, or ``None`` if it never existed."""
 
     @abc.abstractmethod
     async def put(
         self, key: str, base_revision: int, change_id: str, value: dict[str, object] | None
     ) -> StoredObject | Conflict | Failure:
-        """Replace revision ``base_revision`` (0: there is none) of an object; ``None`` deletes it.
+        """Replace revision ``base_revision`` of an object; a ``value`` of ``None`` deletes it.
 
-        A failure's verdict says whether the write may have taken effect.
+        A ``base_revision`` of 0 means that the object does not exist yet. The verdict of a failure says
+        whether the write may have taken effect.
         """
 
     @abc.abstractmethod
     async def history(self, key: str) -> list[StoredObject] | Failure:
-        """Return the kept revisions of an object, the oldest first."""
+        """Return the revisions of an object that the store still keeps, oldest first."""
 
     @abc.abstractmethod
     async def list_objects(self) -> Listing | Failure:
@@ -61,7 +63,7 @@
 
     @abc.abstractmethod
     async def watch(self, after_revision: int) -> list[StoredObject] | Failure:
-        """Wait for changes after ``after_revision``; an empty list when there were none for a while."""
+        """Wait for changes after ``after_revision``; return an empty list if none arrive in time."""
 
     @abc.abstractmethod
     async def machines(self) -> list[Machine] | Failure:
--- a/src/yokesill/store/changes.py
+++ b/src/yokesill/store/changes.py
@@ -1,10 +1,10 @@
-"""Committing a change, and finding out what became of one whose answer was lost.
+"""Commits a change, and resolves one whose reply was lost.
 
-A change id names the object, the base revision and the writer's own random part, so that any
-node can settle it later. When an answer is lost, the object is read back. If it still stands at
-the base, a fencing write replaces it by itself under an id of its own: from then on the lost
-write can only meet a conflict, so the change can be called rejected. If the object has moved on,
-its history tells whether the change was among its revisions.
+A change id holds the object's key, the base revision and the writer's nonce, so that any node can
+resolve the change later. When a reply is lost, the object is read back. If it is still at the base
+revision, a fencing write stores its current value again under a change id of its own: the lost write
+can then only end in a conflict, so the change is reported as rejected. If the object has a newer
+revision, its history shows whether the change was committed.
 """
 
 import base64
@@ -14,14 +14,14 @@
 from yokesill.store.base import Conflict, Store
 from yokesill.verdict import Failure, Verdict
 
-SEPARATOR = "."
+CHANGE_ID_SEPARATOR = "."
 CHANGE_ID_PARTS = 4
 FENCE_PREFIX = "fence"
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """A proposed write."""
+    """A proposed write; ``nonce`` distinguishes writes from the same base revision."""
 
     key: str
     base_revision: int
@@ -30,21 +30,21 @@
 
     @property
     def change_id(self) -> str:
-        """The id under which the change can be asked about at any node."""
+        """The id by which any node can resolve the change."""
         encoded = base64.urlsafe_b64encode(self.key.encode()).decode().rstrip("=")
-        return SEPARATOR.join(("c", encoded, str(self.base_revision), self.nonce))
+        return CHANGE_ID_SEPARATOR.join(("c", encoded, str(self.base_revision), self.nonce))
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The change is committed, as ``stored``."""
+    """The change was committed as ``stored``."""
 
     stored: StoredObject
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The change has not taken effect and never will."""
+    """The change has had no effect and never will."""
 
     detail: str
     current: StoredObject | None = None
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class InDoubt:
-    """It could not be settled now; ask again about ``change_id``."""
+    """The outcome is not known yet; resolve ``change_id`` again later."""
 
     change_id: str
     detail: str
@@ -63,8 +63,8 @@
 
 
 def parse_change_id(change_id: str) -> Change | None:
-    """Return the change that ``change_id`` names, without its value; ``None`` if it is not one."""
-    parts = change_id.split(SEPARATOR)
+    """Return the change that ``change_id`` names, without its value, or ``None`` if malformed."""
+    parts = change_id.split(CHANGE_ID_SEPARATOR)
     if len(parts) != CHANGE_ID_PARTS or parts[0] != "c" or not parts[2].isdigit():
         return None
     padded = parts[1] + "=" * (-len(parts[1]) % 4)
@@ -76,19 +76,19 @@
 
 
 async def commit(store: Store, change: Change) -> ChangeOutcome:
-    """Write a change and say what became of it; never guesses."""
+    """Write a change and return its outcome, which is never a guess."""
     result = await store.put(change.key, change.base_revision, change.change_id, change.value)
     if isinstance(result, StoredObject):
         return Accepted(result)
     if isinstance(result, Conflict):
-        return _conflict(change, result.current)
+        return _reject_conflict(change, result.current)
     if result.verdict is Verdict.NOT_RUN:
         return Rejected(f"the store cannot be written now: {result.detail or result.reason}")
-    return await settle(store, change)
+    return await resolve(store, change)
 
 
-async def settle(store: Store, change: Change) -> ChangeOutcome:
-    """Find out what became of a change whose answer was lost."""
+async def resolve(store: Store, change: Change) -> ChangeOutcome:
+    """Determine the outcome of a change whose reply was lost."""
     current = await store.get(change.key)
     if isinstance(current, Failure):
         return InDoubt(change.change_id, current.detail or str(current.reason))
@@ -100,8 +100,8 @@
 
 
 async def _fence(store: Store, change: Change, current: StoredObject | None) -> ChangeOutcome:
-    """Make the lost write impossible by a write of our own on the same base revision."""
-    fence_id = f"{FENCE_PREFIX}{SEPARATOR}{change.nonce}"
+    """Make the lost write fail by writing the current value on the same base revision."""
+    fence_id = f"{FENCE_PREFIX}{CHANGE_ID_SEPARATOR}{change.nonce}"
     value = current.value if current else None
     result = await store.put(change.key, change.base_revision, fence_id, value)
     if isinstance(result, StoredObject):
@@ -112,7 +112,7 @@
 
 
 async def _search_history(store: Store, change: Change) -> ChangeOutcome:
-    """The object moved on past the base: the change is in its history or never took effect."""
+    """Look for the change in the object's history, once the object has moved past the base."""
     history = await store.history(change.key)
     if isinstance(history, Failure):
         return InDoubt(change.change_id, history.detail or str(history.reason))
@@ -125,10 +125,10 @@
     oldest_kept = history[0].revision
     if change.base_revision and oldest_kept > change.base_revision:
         return InDoubt(change.change_id, "the store no longer keeps the revisions in question")
-    return _conflict(change, history[-1])
+    return _reject_conflict(change, history[-1])
 
 
-def _conflict(change: Change, current: StoredObject | None) -> Rejected:
+def _reject_conflict(change: Change, current: StoredObject | None) -> Rejected:
     found = f"revision {current.revision}" if current else "nothing"
     detail = f"{change.key} stands at {found}, the change was made from revision {change.base_revision}"
     return Rejected(detail, current, conflict=True)
