--- a/src/yokesill/admin/__init__.py
+++ b/src/yokesill/admin/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' HTTP API: a controller a resource."""
+"""The operators' HTTP API, with one controller per resource."""
--- a/src/yokesill/admin/changes.py
+++ b/src/yokesill/admin/changes.py
@@ -1,4 +1,4 @@
-"""The changes resource: ``GET /v1/changes/{id}`` settles a change whose outcome was in doubt."""
+"""The changes resource: ``GET /v1/changes/{id}`` resolves a change whose outcome was in doubt."""
 
 import anyio
 from starlette.requests import Request
@@ -13,13 +13,13 @@
 
 
 class ChangeController:
-    """Finds out what became of a change; any node can be asked."""
+    """Reports the outcome of a change; any node can resolve any change."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def get(self, request: Request) -> Response:
-        """Settle the change: accepted, rejected for good, or still in doubt."""
+        """Resolve the change: accepted, permanently rejected, or still in doubt."""
         change = parse_change_id(request.path_params["change_id"])
         key = parse_key(change.key) if change else None
         if change is None or key is None:
@@ -27,7 +27,7 @@
         require(self._node.access, request, key.namespace, Role.EDITOR)
         with anyio.CancelScope(shield=True):
             outcome = await resolve(self._node.store, change)
-            have: list[str] = []
+            holders: list[str] = []
             if isinstance(outcome, Accepted):
-                have = await self._node.take_into_force(outcome.stored)
-        return outcome_reply(self._node, change.change_id, outcome, have)
+                holders = await self._node.take_into_force(outcome.stored)
+        return outcome_reply(self._node, change.change_id, outcome, holders)
--- a/src/yokesill/admin/objects.py
+++ b/src/yokesill/admin/objects.py
@@ -1,4 +1,4 @@
-"""The documents' resource: ``GET``, ``PUT`` and ``DELETE`` of ``/v1/{key}``, and their history."""
+"""The documents resource: ``GET``, ``PUT`` and ``DELETE`` of ``/v1/{key}``, and document histories."""
 
 import uuid
 from typing import Any
@@ -18,11 +18,12 @@
 from yokesill.store.changes import Accepted, Change, commit
 from yokesill.verdict import Failure
 
-EDITORS_KINDS = frozenset({"service", "replicaset"})
+# Kinds of documents that an editor may change; all others need an administrator.
+EDITOR_KINDS = frozenset({"service", "replicaset"})
 
 
 class ObjectController:
-    """Reads and changes documents; every change is checked whole before it is committed."""
+    """Reads and changes documents; a change is fully validated before it is committed."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
@@ -42,8 +43,8 @@
         return JSONResponse({"objects": dict(sorted(keys.items()))})
 
     async def get(self, request: Request) -> Response:
-        """Return a document and its revision, as this node has it in force."""
-        key = self._key(request)
+        """Return a document and its revision as held by this node."""
+        key = self._require_key(request)
         require(self._node.access, request, key.namespace, Role.VIEWER)
         stored = self._node.replica.state.get(key.text)
         if stored is None or stored.deleted:
@@ -52,7 +53,7 @@
 
     async def history(self, request: Request) -> Response:
         """Return the revisions that the store keeps of a document."""
-        key = self._key(request)
+        key = self._require_key(request)
         require(self._node.access, request, key.namespace, Role.VIEWER)
         revisions = await self._node.store.history(key.text)
         if isinstance(revisions, Failure):
@@ -60,11 +61,11 @@
         return JSONResponse({"key": key.text, "revisions": [_describe(each) for each in revisions]})
 
     async def put(self, request: Request) -> Response:
-        """Check a document, whole, and commit it."""
-        key = self._key(request)
+        """Validate a document completely and commit it."""
+        key = self._require_key(request)
         self._authorise_change(request, key)
         value, _ = await read_json(request, self._node.settings.limits.body_bytes)
-        errors = _check(key, value)
+        errors = _validate(key, value)
         if errors:
             raise JsonError(400, "invalid_document", f"{len(errors)} errors; nothing was changed", errors)
         base = self._base_revision(request, key)
@@ -73,8 +74,8 @@
         return await self._commit(Change(key.text, base, uuid.uuid4().hex, value))
 
     async def delete(self, request: Request) -> Response:
-        """Delete a document; a tombstone with a revision of its own takes its place."""
-        key = self._key(request)
+        """Delete a document; a tombstone with its own revision replaces it."""
+        key = self._require_key(request)
         self._authorise_change(request, key)
         stored = self._node.replica.state.get(key.text)
         if stored is None or stored.deleted:
@@ -83,26 +84,26 @@
         return await self._commit(Change(key.text, base, uuid.uuid4().hex, None))
 
     async def _commit(self, change: Change) -> Response:
-        """Commit, take into force here, and hand to peers before saying that it is accepted."""
+        """Commit a change, apply it here and push it to peers before replying that it is accepted."""
         with anyio.CancelScope(shield=True):
             outcome = await commit(self._node.store, change)
-            have: list[str] = []
+            holders: list[str] = []
             if isinstance(outcome, Accepted):
-                have = await self._node.take_into_force(outcome.stored)
-        return outcome_reply(self._node, change.change_id, outcome, have)
+                holders = await self._node.take_into_force(outcome.stored)
+        return outcome_reply(self._node, change.change_id, outcome, holders)
 
-    def _key(self, request: Request) -> ObjectKey:
+    def _require_key(self, request: Request) -> ObjectKey:
         key = parse_key(request.path_params["key"])
         if key is None:
             raise JsonError(404, "unknown_resource", f"there is no resource {request.url.path}")
         return key
 
     def _authorise_change(self, request: Request, key: ObjectKey) -> None:
-        role = Role.EDITOR if key.kind in EDITORS_KINDS else Role.ADMIN
+        role = Role.EDITOR if key.kind in EDITOR_KINDS else Role.ADMIN
         require(self._node.access, request, key.namespace, role)
 
     def _base_revision(self, request: Request, key: ObjectKey) -> int:
-        """Return the revision that the change is made from."""
+        """Return the revision on which the change is based, from ``If-Match`` or the current state."""
         stored = self._node.replica.state.get(key.text)
         header = request.headers.get("if-match")
         if header is not None:
@@ -122,7 +123,7 @@
     return int(text)
 
 
-def _check(key: ObjectKey, value: Any) -> list[DocumentError]:
+def _validate(key: ObjectKey, value: Any) -> list[DocumentError]:
     parsed = parse_document(key, value)
     if isinstance(parsed, list):
         return parsed
--- a/src/yokesill/admin/replies.py
+++ b/src/yokesill/admin/replies.py
@@ -1,4 +1,4 @@
-"""Replies that tell an operator what became of a change."""
+"""HTTP replies that report the outcome of a change to an operator."""
 
 from typing import Any
 
@@ -10,25 +10,25 @@
 RETRY_AFTER_MS = 1000
 
 
-def outcome_reply(node: Node, change_id: str, outcome: ChangeOutcome, have: list[str]) -> JSONResponse:
-    """Return the reply for a change's outcome; ``have`` are the peers that have it by now."""
+def outcome_reply(node: Node, change_id: str, outcome: ChangeOutcome, holders: list[str]) -> JSONResponse:
+    """Return the reply for a change's outcome; ``holders`` lists the peers that already hold the change."""
     match outcome:
         case Accepted():
-            return _accepted(node, change_id, outcome, have)
+            return _accepted(node, change_id, outcome, holders)
         case Rejected():
             return _rejected(change_id, outcome)
         case InDoubt():
             return _in_doubt(outcome)
 
 
-def _accepted(node: Node, change_id: str, outcome: Accepted, have: list[str]) -> JSONResponse:
+def _accepted(node: Node, change_id: str, outcome: Accepted, holders: list[str]) -> JSONResponse:
     revision = outcome.stored.revision
     body: dict[str, Any] = {
         "outcome": "accepted",
         "revision": revision,
         "change_id": change_id,
-        "in_force_on": [node.table.own.address, *have],
-        "propagating": not node.reached_another_zone(have),
+        "in_force_on": [node.table.own.address, *holders],
+        "propagating": not node.reached_another_zone(holders),
     }
     return JSONResponse(body, headers={"ETag": f'"{revision}"'})
 
--- a/src/yokesill/admin/status.py
+++ b/src/yokesill/admin/status.py
@@ -1,4 +1,4 @@
-"""The status resource: members, what each has in force, servers that are leaving; and the stop."""
+"""The status resource: members, the configuration that each has in force, leaving servers; and the stop."""
 
 from typing import Any
 
@@ -12,26 +12,26 @@
 from yokesill.resources.documents import Role
 from yokesill.verdict import Failure
 
-SWEEP_TIMEOUT_S = 1.0
-SWEEP_AT_ONCE = 32
+STATUS_TIMEOUT_S = 1.0
+MAX_CONCURRENT_REQUESTS = 32
 
 
 class StatusController:
-    """Asks the members when an operator asks: at rest, status costs no traffic."""
+    """Reports the state of the cluster, querying members only on request: idle, it costs no traffic."""
 
     def __init__(self, node: Node) -> None:
         self._node = node
 
     async def get(self, request: Request) -> Response:
-        """Return the state of the cluster as this node can learn it now."""
+        """Return the state of the cluster, from the members that reply now."""
         node = self._node
         grant = node.access.grant_of(request.headers.get("authorization"))
         if grant is None or not grant.allows(grant.namespace, Role.VIEWER):
             raise JsonError(403 if grant else 401, "forbidden", "a viewer's token is needed")
-        replies = await self._sweep()
+        replies = await self._collect_statuses()
         own = node.own_status()
         in_force = sum(1 for each in replies.values() if each and each.digest == own.digest)
-        members = [self._member(record.address, replies) for record in node.table.all()]
+        members = [self._describe_member(record.address, replies) for record in node.table.all()]
         return JSONResponse(
             {
                 "node": own.address,
@@ -49,28 +49,28 @@
         )
 
     async def stop(self, request: Request) -> Response:
-        """Begin a planned stop of this node."""
+        """Start a planned stop of this node."""
         require(self._node.access, request, "*", Role.ADMIN)
         self._node.stop()
         return JSONResponse({"state": "stopping"}, 202)
 
-    async def _sweep(self) -> dict[str, StatusReply | None]:
+    async def _collect_statuses(self) -> dict[str, StatusReply | None]:
         node = self._node
         replies: dict[str, StatusReply | None] = {node.table.own.address: node.own_status()}
-        limiter = anyio.Semaphore(SWEEP_AT_ONCE)
+        limiter = anyio.Semaphore(MAX_CONCURRENT_REQUESTS)
         frame = node.sealer.seal(b"")
 
-        async def ask(address: str) -> None:
+        async def fetch(address: str) -> None:
             async with limiter:
-                answer = await node.transport.request(address, STATUS, frame, SWEEP_TIMEOUT_S)
-            replies[address] = None if isinstance(answer, Failure) else _read(node, answer)
+                answer = await node.transport.request(address, STATUS, frame, STATUS_TIMEOUT_S)
+            replies[address] = None if isinstance(answer, Failure) else _open_status(node, answer)
 
         async with anyio.create_task_group() as task_group:
             for peer in node.table.peers():
-                task_group.start_soon(ask, peer.address)
+                task_group.start_soon(fetch, peer.address)
         return replies
 
-    def _member(self, address: str, replies: dict[str, StatusReply | None]) -> dict[str, Any]:
+    def _describe_member(self, address: str, replies: dict[str, StatusReply | None]) -> dict[str, Any]:
         node = self._node
         record = node.table.get(address)
         reply = replies.get(address)
@@ -85,7 +85,7 @@
         }
 
 
-def _read(node: Node, answer: bytes) -> StatusReply | None:
+def _open_status(node: Node, answer: bytes) -> StatusReply | None:
     body = node.sealer.open(answer)
     try:
         return None if body is None else decode_status(body)
--- a/src/yokesill/charts/__init__.py
+++ b/src/yokesill/charts/__init__.py
@@ -1,1 +1,1 @@
-"""State charts in YAML files, which the code interprets or flattens to transition tables."""
+"""Statecharts in YAML files, either interpreted or flattened to transition tables."""
--- a/src/yokesill/charts/flatten.py
+++ b/src/yokesill/charts/flatten.py
@@ -1,15 +1,15 @@
-"""Writes ``transitions.json`` from the charts: ``python -m yokesill.charts.flatten``."""
+"""Generates ``transitions.json`` from the charts: ``python -m yokesill.charts.flatten``."""
 
 import json
 
-from yokesill.charts.flat import FLAT_FILE
+from yokesill.charts.flat import TRANSITIONS_FILE
 from yokesill.charts.tables import flatten_chart
 
 FLAT_CHARTS = ("attempt", "gateway", "server")
 
 
-def flat_text() -> str:
-    """Return the file's text, as the charts are now."""
+def render_transitions() -> str:
+    """Return the content of ``transitions.json`` for the current charts."""
     charts = {
         name: [[source, event, target] for (source, event), target in sorted(flatten_chart(name).items())]
         for name in FLAT_CHARTS
@@ -18,4 +18,4 @@
 
 
 if __name__ == "__main__":
-    FLAT_FILE.write_text(flat_text())
+    TRANSITIONS_FILE.write_text(render_transitions())
--- a/src/yokesill/charts/lifecycle.py
+++ b/src/yokesill/charts/lifecycle.py
@@ -1,4 +1,4 @@
-"""Slow charts, interpreted by sismic: a life cycle that steps a few times in a process's life."""
+"""Runs charts in sismic's interpreter: life cycles that step only a few times per process."""
 
 from sismic.interpreter import Interpreter
 
@@ -23,7 +23,7 @@
         return str(active[-1])
 
     def handle(self, event: str) -> str:
-        """Step the chart with ``event`` (ignored where no transition takes it); return the state."""
+        """Process ``event``, which is ignored if no transition matches; return the new state."""
         self._interpreter.queue(event)
         self._interpreter.execute()
         return self.state
--- a/src/yokesill/charts/tables.py
+++ b/src/yokesill/charts/tables.py
@@ -1,7 +1,7 @@
-"""Charts read by sismic, and the hot ones flattened to transition tables.
+"""Loads charts with sismic and flattens those that step often to transition tables.
 
-sismic's interpreter needs about 200 us an event, too much for charts that step thousands of
-times a second. Only flat charts without guards or actions can be flattened; others are refused.
+sismic's interpreter needs about 200 us per event, too much for charts that step thousands of times a
+second. Only charts without nested states, guards or actions can be flattened.
 """
 
 from importlib import resources
@@ -13,7 +13,7 @@
 
 
 def load_chart(name: str) -> Statechart:
-    """Read and check the chart ``name`` that ships with the package."""
+    """Load and validate the chart ``name`` of this package."""
     text = resources.files("yokesill.charts").joinpath(f"{name}.yaml").read_text()
     chart = import_from_yaml(text)
     chart.validate()
@@ -30,6 +30,9 @@
     table: TransitionTable = {}
     for transition in chart.transitions:
         if transition.guard or transition.action or chart.parent_for(transition.source) != root:
-            raise ValueError(f"chart {name} is not flat at {transition.source}")
+            raise ValueError(
+                f"chart {name!r} cannot be flattened: the transition from {transition.source!r} has a guard,"
+                " an action or a nested source state"
+            )
         table[(transition.source, transition.event)] = transition.target
     return table
--- a/src/yokesill/cluster/watcher.py
+++ b/src/yokesill/cluster/watcher.py
@@ -29,7 +29,7 @@
 
 
 class StoreWatcher:
-    """Follows the store's objects and machine list while this node ranks_as_watcher as a watcher."""
+    """Follows the store's objects and machine list while this node ranks as a watcher."""
 
     def __init__(
         self, store: Store, gossip: Gossip, table: MemberTable, random_source: random.Random
@@ -45,7 +45,7 @@
         self._log = get_logger("store")
 
     def ranks_as_watcher(self) -> bool:
-        """Whether this node currently ranks_as_watcher among the watchers of its region."""
+        """Whether this node currently ranks among the watchers of its region."""
         own = self._table.own
         region = [each for each in self._table.reachable() if each.region == own.region]
         first = self._table.rank(RANK_SUBJECT, region)[:WATCHERS_PER_REGION]
@@ -65,7 +65,7 @@
         return True
 
     async def run(self) -> None:
-        """Watch the store whenever this node ranks_as_watcher as a watcher, until cancelled."""
+        """Watch the store whenever this node ranks as a watcher, until cancelled."""
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(self._follow_machines)
             while True:
@@ -77,7 +77,7 @@
                 await self._follow_objects()
 
     async def _follow_objects(self) -> None:
-        """List, then watch until a failure or until this node no longer ranks_as_watcher as a watcher."""
+        """List, then watch until a failure or until this node no longer ranks as a watcher."""
         delay_s = INITIAL_RETRY_DELAY_S
         while not await self.load():
             await anyio.sleep(delay_s * (0.5 + self._random.random()))
--- a/src/yokesill/resources/__init__.py
+++ b/src/yokesill/resources/__init__.py
@@ -1,1 +1,1 @@
-"""Typed, immutable documents that operators write, and the revisions they have."""
+"""Typed, immutable configuration documents, their keys and their stored revisions."""
--- a/src/yokesill/resources/documents.py
+++ b/src/yokesill/resources/documents.py
@@ -1,8 +1,8 @@
-"""The documents of the configuration: namespaces, tokens, services and replica sets.
+"""The configuration documents: namespaces, tokens, services and replica sets.
 
-A service and its policies are one document, so that a policy takes hold with the service it
-belongs to, whole or not at all. The replicas of each shard are a document of their own: a
-changed server costs about a kilobyte, not the whole service.
+A service and its policies form one document, so that they take effect together or not at all. The
+replicas of each shard form a separate document, so that a change to one server transfers about a
+kilobyte instead of the whole service.
 """
 
 import enum
@@ -29,13 +29,13 @@
 
 
 class Document(BaseModel):
-    """Base of all documents: immutable, and unknown keys are refused."""
+    """Base class of all documents: immutable, with unknown keys rejected."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
 
 class Role(enum.StrEnum):
-    """What a token's holder may do in its namespace."""
+    """Permissions of a token's holder in its namespace."""
 
     CALLER = "caller"
     VIEWER = "viewer"
@@ -44,7 +44,7 @@
 
 
 class Namespace(Document):
-    """A team's own space; ``share`` weighs it against others when capacity is short."""
+    """A team's namespace; ``share`` is its weight relative to others when capacity is short."""
 
     kind: Literal["namespace"] = "namespace"
     description: str = ""
@@ -60,20 +60,20 @@
 
 
 class Shard(Document):
-    """One shard: a name and the range of keys it holds."""
+    """One shard: its id and the range of key hashes that it holds."""
 
     id: Name
     range: HashRange
 
 
 class ShardMap(Document):
-    """How the key space is cut into shards in one epoch; covers it once, without gaps."""
+    """Partition of the key space into shards in one epoch, without gaps or overlaps."""
 
     epoch: int = Field(ge=1)
     shards: tuple[Shard, ...] = Field(min_length=1, max_length=4096)
 
     @model_validator(mode="after")
-    def _covers_key_space_once(self) -> "ShardMap":
+    def _check_key_space_coverage(self) -> "ShardMap":
         position = 0
         for shard in sorted(self.shards, key=lambda each: each.range.start):
             if shard.range.start != position:
@@ -92,25 +92,29 @@
 
 
 class Hedge(Document):
-    """When a second replica is asked: once the ``quantile`` of recent latency has passed."""
+    """When a request is hedged to a second replica.
+
+    The hedge is sent once the ``quantile`` of recent latency has passed, and no earlier than
+    ``minimum_delay_ms``.
+    """
 
     quantile: float = Field(default=0.95, ge=0.5, lt=1)
     minimum_delay_ms: float = Field(default=2, ge=0)
 
 
 class ZonePreference(enum.StrEnum):
-    """Which replicas are asked first."""
+    """Which replicas are tried first."""
 
     NEAR = "near"
     ANY = "any"
 
 
 class Serve(Document):
-    """A rule's outcome: serve the request within these bounds.
+    """A rule's outcome: serve the request within these limits.
 
-    ``wait_ms`` is the longest wait (the caller's deadline may be shorter). After
-    ``soft_wait_ms`` an answer that covers ``soft_minimum_coverage`` is returned; at the end of
-    the wait one that covers ``minimum_coverage``.
+    ``wait_ms`` is the maximum wait (the caller's deadline may be shorter). After ``soft_wait_ms`` an
+    answer that covers at least ``soft_minimum_coverage`` is returned; at the end of the wait, one that
+    covers at least ``minimum_coverage``.
     """
 
     wait_ms: float = Field(default=140, gt=0, le=600_000)
@@ -121,7 +125,7 @@
     soft_minimum_coverage: float | None = Field(default=None, ge=0, le=1)
 
     @model_validator(mode="after")
-    def _limits_agree(self) -> "Serve":
+    def _check_limits(self) -> "Serve":
         if (self.soft_wait_ms is None) != (self.soft_minimum_coverage is None):
             raise ValueError("soft_wait_ms and soft_minimum_coverage go together")
         if self.soft_wait_ms is not None and self.soft_wait_ms >= self.wait_ms:
@@ -136,31 +140,31 @@
 
 
 class Refuse(Document):
-    """A rule's outcome: refuse at once, and say when to come back."""
+    """A rule's outcome: refuse the request at once, with the delay before a retry."""
 
     refuse: Annotated[str, StringConstraints(min_length=1, max_length=200)]
     retry_after_ms: int = Field(default=1000, ge=0, le=3_600_000)
 
 
-def _kind_of_outcome(value: Any) -> str:
-    """Return which outcome is meant, so that a mistake in it is told once, not for each alternative."""
+def _outcome_tag(value: Any) -> str:
+    """Return the tag of the intended outcome, so that an error is reported once, not per alternative."""
     refuses = "refuse" in value if isinstance(value, dict) else isinstance(value, Refuse)
     return "Refuse" if refuses else "Serve"
 
 
 class Rule(Document):
-    """One rule: a CEL condition over request facts and live facts, and its outcome."""
+    """One rule: a CEL condition over facts of the request and live facts, and its outcome."""
 
     when: Annotated[str, StringConstraints(min_length=1, max_length=500)] = "true"
     then: Annotated[
-        Annotated[Serve, Tag("Serve")] | Annotated[Refuse, Tag("Refuse")], Discriminator(_kind_of_outcome)
+        Annotated[Serve, Tag("Serve")] | Annotated[Refuse, Tag("Refuse")], Discriminator(_outcome_tag)
     ]
 
 
 class RequestClass(Document):
-    """A class of requests and its policy: the first rule whose condition holds answers.
+    """A class of requests and its policy: the first rule whose condition holds applies.
 
-    Of higher ``priority`` is what is refused last when capacity is short.
+    When capacity is short, classes of higher ``priority`` are refused last.
     """
 
     priority: int = Field(default=5, ge=0, le=9)
@@ -168,14 +172,14 @@
 
 
 class WhenIsolated(enum.StrEnum):
-    """What a node does that can confirm with nobody that its configuration is fresh."""
+    """Behaviour of a node that cannot confirm with any other that its configuration is fresh."""
 
     SERVE = "serve"
     REFUSE = "refuse"
 
 
 class Service(Document):
-    """A service: its shard maps (several while it is repartitioned) and its request classes."""
+    """A service: its shard maps (several during a repartitioning) and its request classes."""
 
     kind: Literal["service"] = "service"
     shard_maps: tuple[ShardMap, ...] = Field(min_length=1, max_length=4)
@@ -186,7 +190,7 @@
 
     @field_validator("shard_maps")
     @classmethod
-    def _epochs_differ(cls, maps: tuple[ShardMap, ...]) -> tuple[ShardMap, ...]:
+    def _check_unique_epochs(cls, maps: tuple[ShardMap, ...]) -> tuple[ShardMap, ...]:
         if len({each.epoch for each in maps}) != len(maps):
             raise ValueError("two shard maps share an epoch")
         return maps
@@ -201,21 +205,21 @@
 
     @field_validator("address")
     @classmethod
-    def _address_is_ip_and_port(cls, address: str) -> str:
+    def _check_address(cls, address: str) -> str:
         if not ADDRESS_PATTERN.match(address):
             raise ValueError(f"{address!r} is not of the form IP:PORT")
         return address
 
 
 class ReplicaSet(Document):
-    """The servers that hold one shard of one epoch."""
+    """The servers that hold one shard in one epoch."""
 
     kind: Literal["replicaset"] = "replicaset"
     replicas: tuple[Replica, ...] = Field(max_length=256)
 
     @field_validator("replicas")
     @classmethod
-    def _addresses_differ(cls, replicas: tuple[Replica, ...]) -> tuple[Replica, ...]:
+    def _check_unique_addresses(cls, replicas: tuple[Replica, ...]) -> tuple[Replica, ...]:
         if len({each.address for each in replicas}) != len(replicas):
             raise ValueError("two replicas share an address")
         return replicas
--- a/src/yokesill/resources/hashing.py
+++ b/src/yokesill/resources/hashing.py
@@ -1,4 +1,4 @@
-"""The key space: 32-bit hashes and half-open ranges of them."""
+"""The key space of 32-bit hashes, and half-open ranges of it."""
 
 import itertools
 
@@ -9,12 +9,12 @@
 
 
 def hash_key(key: str) -> int:
-    """Return the place of ``key`` in the key space, in ``[0, KEY_SPACE)``."""
+    """Return the hash of ``key`` in the key space ``[0, KEY_SPACE)``."""
     return xxhash.xxh32_intdigest(key.encode())
 
 
 def rendezvous_weight(member: str, subject: str) -> int:
-    """Return the 64-bit rendezvous weight of ``member`` for ``subject``; the highest wins."""
+    """Return the 64-bit rendezvous weight of ``member`` for ``subject``; the highest weight wins."""
     return xxhash.xxh64_intdigest(f"{member}\x00{subject}".encode())
 
 
@@ -27,7 +27,7 @@
     end: int = Field(gt=0, le=KEY_SPACE)
 
     @model_validator(mode="after")
-    def _not_empty(self) -> "HashRange":
+    def _check_not_empty(self) -> "HashRange":
         if self.start >= self.end:
             raise ValueError(f"range start {self.start} is not below its end {self.end}")
         return self
--- a/src/yokesill/resources/keys.py
+++ b/src/yokesill/resources/keys.py
@@ -1,4 +1,4 @@
-"""Object keys: where each document lives in the platform's store.
+"""Object keys: the path of each document in the platform's store.
 
 ``namespaces/{ns}``, ``namespaces/{ns}/tokens/{name}``, ``namespaces/{ns}/services/{svc}`` and
 ``namespaces/{ns}/services/{svc}/replicas/{epoch}/{shard}``.
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceName:
-    """A service's full name."""
+    """A service's name, qualified by its namespace."""
 
     namespace: str
     service: str
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObjectKey:
-    """A parsed key; ``kind`` is the kind of document that lives there."""
+    """A parsed key; ``kind`` is the kind of the document stored at it."""
 
     text: str
     kind: str
@@ -46,7 +46,7 @@
 
     @property
     def service_name(self) -> ServiceName | None:
-        """The service that the document is part of, if any."""
+        """The service that the document belongs to, if any."""
         return None if self.service is None else ServiceName(self.namespace, self.service)
 
 
--- a/src/yokesill/resources/objects.py
+++ b/src/yokesill/resources/objects.py
@@ -1,4 +1,4 @@
-"""Stored objects: a document's bytes with the revision that the store gave it."""
+"""Stored objects: a document with the revision that the store assigned to it."""
 
 import json
 from dataclasses import dataclass
@@ -9,9 +9,8 @@
 class StoredObject:
     """One revision of one object.
 
-    ``revision`` is the store's, and rises with every change to any object. ``change_id`` is the
-    writer's own, so that it can recognise its write. ``value`` is the document, ``None`` in a
-    tombstone.
+    The store assigns ``revision``, which increases with every change to any object. The writer chooses
+    ``change_id`` to recognise its own write. ``value`` is the document, or ``None`` in a tombstone.
     """
 
     key: str
@@ -25,7 +24,7 @@
         return self.value is None
 
     def to_wire(self) -> list[Any]:
-        """Return the form in which peers exchange it."""
+        """Return the form that peers exchange."""
         return [self.key, self.revision, self.change_id, self.value]
 
     def size(self) -> int:
@@ -34,11 +33,11 @@
 
 
 def object_from_wire(item: Any) -> StoredObject | None:
-    """Read ``to_wire``'s form; ``None`` when it is malformed."""
+    """Parse the form that ``to_wire`` returns; ``None`` when it is malformed."""
     if not isinstance(item, list) or len(item) != 4:
         return None
     key, revision, change_id, value = item
-    shapes_hold = isinstance(key, str) and isinstance(revision, int) and isinstance(change_id, str)
-    if not shapes_hold or not (value is None or isinstance(value, dict)):
+    types_match = isinstance(key, str) and isinstance(revision, int) and isinstance(change_id, str)
+    if not types_match or not (value is None or isinstance(value, dict)):
         return None
     return StoredObject(key, revision, change_id, value)
--- a/src/yokesill/resources/validation.py
+++ b/src/yokesill/resources/validation.py
@@ -1,4 +1,4 @@
-"""Checks of documents: every error at once, each with its place."""
+"""Validates documents, reporting every error at once, each with its place."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass
@@ -29,16 +29,16 @@
 
 
 def parse_document(key: ObjectKey, value: Any) -> AnyDocument | list[DocumentError]:
-    """Check ``value`` against the schema of the kind that lives at ``key``.
+    """Validate ``value`` against the schema of the kind that is stored at ``key``.
 
-    Returns the document, or every error found. Policies' expressions are checked by
-    ``policy.compiler``, on top of this.
+    Returns the document, or every error found. The expressions of policies are not checked here but by
+    ``policy.compiler``.
     """
     try:
         document: AnyDocument = _ADAPTERS[key.kind].validate_python(value)
     except ValidationError as error:
         errors = error.errors()
-        return [_describe(each) for each in errors if not _follows_from_another(each, errors)]
+        return [_describe(each) for each in errors if not _is_consequence(each, errors)]
     return document
 
 
@@ -47,8 +47,11 @@
     return DocumentError(place or "(document)", str(error["msg"]).removeprefix("Value error, "))
 
 
-def _follows_from_another(error: Any, errors: Sequence[Any]) -> bool:
-    """Whether a list only counts as too short because items in it are wrong, which is told anyway."""
+def _is_consequence(error: Any, errors: Sequence[Any]) -> bool:
+    """Whether a list counts as too short only because some of its items are invalid.
+
+    Those items have errors of their own.
+    """
     place = error["loc"]
     within = (each for each in errors if each["loc"][: len(place)] == place and len(each["loc"]) > len(place))
     return error["type"] == "too_short" and any(within)
--- a/tests/test_charts.py
+++ b/tests/test_charts.py
@@ -2,13 +2,13 @@
 
 import pytest
 
-from yokesill.charts.flat import FLAT_FILE, transition_table
-from yokesill.charts.flatten import FLAT_CHARTS, flat_text
+from yokesill.charts.flat import TRANSITIONS_FILE, transition_table
+from yokesill.charts.flatten import FLAT_CHARTS, render_transitions
 from yokesill.charts.tables import flatten_chart, load_chart
 
 
 def test_the_committed_file_is_generated_from_the_charts() -> None:
-    assert FLAT_FILE.read_text() == flat_text(), "run python -m yokesill.charts.flatten"
+    assert TRANSITIONS_FILE.read_text() == render_transitions(), "run python -m yokesill.charts.flatten"
 
 
 @pytest.mark.parametrize("name", FLAT_CHARTS)
