--- a/tests/check_guards.py
+++ b/tests/check_guards.py
@@ -1,4 +1,4 @@
-"""Takes each guard out of a scratch copy of the sources and expects its scenario to fail."""
+"""Removes each guard from a temporary copy of the sources and checks that its test fails then."""
 
 import os
 import shutil
@@ -12,12 +12,12 @@
 
 TESTS = Path(__file__).parent
 SOURCES = TESTS.parent / "src"
-FAILED = 1
-LIMIT = 300
+TESTS_FAILED = 1
+TIMEOUT_S = 300
 
 
 def check(entry: dict[str, str]) -> str | None:
-    """Return what is wrong, or None when the scenario fails without its guard."""
+    """Return a description of the problem, or ``None`` if the test fails without its guard."""
     with tempfile.TemporaryDirectory() as folder:
         copy = Path(folder) / "src"
         shutil.copytree(SOURCES, copy)
@@ -27,30 +27,28 @@
             path = copy / "yokesill" / entry[prefix + "file"]
             text = path.read_text()
             if entry[prefix + "find"] not in text:
-                return "the guard is not in the sources any more"
+                return f"the text to remove is not in {entry[prefix + 'file']}: {entry[prefix + 'find']!r}"
             path.write_text(text.replace(entry[prefix + "find"], entry[prefix + "replace"]))
         command = [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", str(TESTS / entry["test"])]
         environment = {**os.environ, "PYTHONPATH": str(copy)}
         try:
             done = subprocess.run(
-                command, env=environment, capture_output=True, text=True, timeout=LIMIT, check=False
+                command, env=environment, capture_output=True, text=True, timeout=TIMEOUT_S, check=False
             )
         except subprocess.TimeoutExpired:
-            return "the scenario did not end"
-    if done.returncode != FAILED:
-        return f"the scenario exited with {done.returncode} without its guard\n{done.stdout[-2000:]}"
+            return f"the test did not end within {TIMEOUT_S} s without its guard"
+    if done.returncode != TESTS_FAILED:
+        return f"pytest exited with {done.returncode}, expected {TESTS_FAILED}\n{done.stdout[-2000:]}"
     return None
 
 
 def main() -> int:
-    """Check every guard; return 1 when one proves nothing."""
+    """Check every guard; return 1 if any test does not fail without its guard."""
     entries = yaml.safe_load((TESTS / "guards.yaml").read_text())
     with ThreadPoolExecutor(max_workers=max(1, (os.cpu_count() or 2) // 2)) as pool:
         results = list(pool.map(check, entries))
     for entry, problem in zip(entries, results, strict=True):
-        print(
-            f"{'fails without' if problem is None else 'PROVES NOTHING'}: {entry['guard']} ({entry['test']})"
-        )
+        print(f"{'fails without' if problem is None else 'NOT DETECTED'}: {entry['guard']} ({entry['test']})")
         if problem is not None:
             print(f"  {problem}")
     return 0 if not any(results) else 1
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures: virtual time, seeded clusters, and the scenario that most tests use."""
+"""Shared fixtures: virtual time, seeded clusters and the default scenario."""
 
 import random
 from collections.abc import Awaitable, Callable, Iterator
@@ -16,7 +16,7 @@
 from yokesill.supervision import Supervisor
 
 KNOWN_RED = Path(__file__).resolve().parents[1] / "KNOWN-RED.txt"
-MOST_KNOWN_RED = 3
+MAX_KNOWN_RED = 3
 SCHEDULING_SEED = 1
 SCENARIO = """
 name: test
@@ -47,23 +47,25 @@
 
 
 def known_red() -> list[str]:
-    """Return the lines on tests that fail for a known fault; each begins with its test's node id."""
+    """Return the entries of tests that fail for a known fault; each starts with the test's node id."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     return [line for line in lines if line.strip() and not line.startswith("#")]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Skip just the tests that are listed as known to fail."""
+    """Skip exactly the tests that are listed as known to fail."""
     listed = {line.split()[0]: line for line in known_red()}
-    if len(listed) > MOST_KNOWN_RED:
-        raise pytest.UsageError(f"{KNOWN_RED.name}: {len(listed)} tests; {MOST_KNOWN_RED} at most")
+    if len(listed) > MAX_KNOWN_RED:
+        raise pytest.UsageError(
+            f"{KNOWN_RED.name} lists {len(listed)} tests, expected at most {MAX_KNOWN_RED}"
+        )
     for item in items:
         if item.nodeid in listed:
             item.add_marker(pytest.mark.skip(reason=listed[item.nodeid]))
 
 
 def pytest_terminal_summary(terminalreporter: Any) -> None:
-    """Print what is known to fail at the end of every run."""
+    """Print the tests that are known to fail at the end of every run."""
     for line in known_red():
         terminalreporter.write_line(f"KNOWN RED: {line}")
 
@@ -73,9 +75,10 @@
 
 
 def run_virtual(main: Callable[[], Awaitable[Any]], scheduling: int = SCHEDULING_SEED) -> Any:
-    """Run ``main`` in virtual time: sleeping costs nothing and every run takes the same course.
+    """Run ``main`` in virtual time, so that sleeping takes no time and every run is the same.
 
-    trio shuffles the tasks that are ready; what it offers Hypothesis makes that the same each time.
+    trio shuffles the tasks that are ready; the hook that it provides for Hypothesis makes the order
+    deterministic.
     """
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True  # type: ignore[misc]
     trio._core._run._r.seed(scheduling)
@@ -91,7 +94,7 @@
     settings: dict[str, dict[str, Any]] | None = None,
     scheduling: int = SCHEDULING_SEED,
 ) -> Any:
-    """Run ``body`` against a settled cluster in virtual time and return what it returns."""
+    """Run ``body`` on a settled cluster in virtual time and return its result."""
 
     async def main() -> Any:
         async with anyio.create_task_group() as task_group:
@@ -111,22 +114,22 @@
 
 @pytest.fixture(autouse=True)
 def _no_part_fails(request: pytest.FixtureRequest, monkeypatch: pytest.MonkeyPatch) -> Iterator[None]:
-    """Fail a test in which a part of a node failed: a supervisor would hide it."""
+    """Fail a test in which a part of a node failed; the supervisor would hide the failure."""
     failed: list[tuple[str, Exception]] = []
     report = Supervisor.report
 
-    def watched(self: Supervisor, part: str, error: Exception, **details: object) -> None:
+    def recording_report(self: Supervisor, part: str, error: Exception, **details: object) -> None:
         failed.append((part, error))
         report(self, part, error, **details)
 
-    monkeypatch.setattr(Supervisor, "report", watched)
+    monkeypatch.setattr(Supervisor, "report", recording_report)
     yield
     if failed and request.node.get_closest_marker("part_failures") is None:
         part, error = failed[0]
-        raise AssertionError(f"{len(failed)} failures of parts, the first one of {part}") from error
+        raise AssertionError(f"{len(failed)} failures of node parts, the first in part {part!r}") from error
 
 
 @pytest.fixture
 def outcome() -> dict[str, Any]:
-    """What the steps of one scenario hand to each other."""
+    """Values that the steps of one scenario pass to each other."""
     return {}
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""What the promise tests share: changes by operators, and checks of answers against server logs."""
+"""Helpers of the promise tests: operator changes, and checks of answers against server logs."""
 
 import copy
 from collections import Counter
@@ -19,7 +19,7 @@
 
 
 def changed_policy(cluster: SimulatedCluster, mark: int) -> dict[str, Any]:
-    """The hours service with another wait, so that a change can be recognised."""
+    """Return the hours service with a wait of ``1000 + mark`` ms, which identifies the change."""
     value = copy.deepcopy(cluster.documents[HOURS.key])
     value["classes"]["search"]["rules"][-1]["then"]["wait_ms"] = 1000 + mark
     return value
@@ -28,7 +28,7 @@
 async def change_service(
     node: Node, value: dict[str, Any], nonce: str = "n1", base: int | None = None
 ) -> ChangeOutcome:
-    """What the administration API does: commit, take into force here, push to peers."""
+    """Commit a change, apply it at ``node`` and push it to peers, as the administration API does."""
     stored = node.replica.state.get(HOURS.key)
     assert stored is not None
     change = Change(HOURS.key, stored.revision if base is None else base, nonce, value)
@@ -39,7 +39,7 @@
 
 
 def wait_in_force(node: Node) -> float:
-    """The wait that the node's compiled policy has now."""
+    """Return the wait of the node's current compiled policy, in ms."""
     rules = node.catalog.services[HOURS].policies["search"].rules
     return rules[-1].outcome.wait_ms  # type: ignore[union-attr]
 
@@ -50,10 +50,10 @@
 
 
 async def send_queries(cluster: SimulatedCluster, count: int, pause: float, **call: Any) -> list[FinalAnswer]:
-    """Send ``count`` queries round the nodes, ``pause`` seconds apart; return the final answers."""
+    """Send ``count`` queries to the nodes in turn, ``pause`` seconds apart; return the final answers."""
     finals: list[FinalAnswer] = []
 
-    async def one(number: int) -> None:
+    async def send(number: int) -> None:
         service = call.get("service", "hours")
         rest = {name: value for name, value in call.items() if name not in ("service", "request_class")}
         request = cluster.call(service, call.get("request_class", "search"), **rest)
@@ -61,13 +61,13 @@
 
     async with anyio.create_task_group() as task_group:
         for number in range(count):
-            task_group.start_soon(one, number)
+            task_group.start_soon(send, number)
             await anyio.sleep(pause)
     return finals
 
 
 def assert_complete_answer(final: FinalAnswer, records: int = 64) -> None:
-    """One snapshot, full coverage, every entry once."""
+    """Assert that the answer has one snapshot, full coverage and every entry exactly once."""
     assert isinstance(final, Answer), final
     assert final.coverage.fraction == 1.0
     assert {entry["version"] for entry in final.results} == {final.snapshot.version}
@@ -77,7 +77,7 @@
 
 
 def executions(cluster: SimulatedCluster) -> Counter[str]:
-    """How many attempts of each query ran, by query id."""
+    """Return how many attempts of each query ran, by query id."""
     return Counter(each.query_id for model in cluster.models.values() for each in model.executions)
 
 
@@ -88,5 +88,5 @@
             assert ran[final.query_id] == 0, final
 
 
-def old_object(revision: int = 1) -> StoredObject:
+def stale_object(revision: int = 1) -> StoredObject:
     return StoredObject(HOURS.key, revision, "old", {"kind": "service"})
--- a/tests/launcher.py
+++ b/tests/launcher.py
@@ -1,6 +1,6 @@
-"""Starts and ends the processes of a deployment, for the features that need real ones.
+"""Starts and stops the processes of a deployment, for tests that need real ones.
 
-Nothing in the product starts a process; this launcher stands in for the machines' own.
+The product itself starts no processes; this launcher replaces the process manager of the machines.
 """
 
 import hashlib
@@ -15,10 +15,10 @@
 from typing import Any
 
 TOKEN = "first-operator"
-START_LIMIT = 60.0
-POLL = 0.05
-PORTS = 120
-BACKEND_PROCESSES = 3
+START_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.05
+PORT_BLOCK_SIZE = 120
+SERVER_PROCESSES = 3
 SETTINGS = """
 [node]
 address = "{address}"
@@ -34,7 +34,7 @@
 
 
 def free_port_block(size: int) -> int:
-    """Return the first of ``size`` consecutive ports that are free now."""
+    """Return the first of ``size`` consecutive ports that are currently free."""
     for first in range(20000, 60000, 97):
         sockets = []
         try:
@@ -47,17 +47,17 @@
             for each in sockets:
                 each.close()
         return first
-    raise RuntimeError("no free ports")
+    raise RuntimeError(f"no {size} consecutive free ports between 20000 and 60000")
 
 
 class Deployment:
-    """A scenario's stand-ins and some nodes as separate processes on loopback."""
+    """A scenario's emulated servers and store, and some nodes, as separate processes on loopback."""
 
     def __init__(self, folder: Path, scenario: Path, zones: list[str], extra_settings: str = "") -> None:
         self.folder = folder
         self.scenario = scenario
         self.zones = zones
-        self.first = free_port_block(PORTS)
+        self.first = free_port_block(PORT_BLOCK_SIZE)
         self.nodes = [f"127.0.0.1:{self.first + 1 + index}" for index in range(len(zones))]
         self.processes: dict[str, subprocess.Popen[bytes]] = {}
         self._extra_settings = extra_settings
@@ -68,19 +68,19 @@
         return str(self.first + 20)
 
     def start_stand_ins(self) -> None:
-        """Start the platform and the back ends, and wait until they answer."""
+        """Start the emulated platform and back ends, and wait until they answer."""
         arguments = ["emulate", str(self.scenario), "--first-port", self.first_server_port]
         self._spawn("platform", [*arguments, "--store-port", str(self.first), "--no-backends"])
-        for part in range(BACKEND_PROCESSES):
-            more = ["--store-port", "0", "--part", f"{part}/{BACKEND_PROCESSES}"]
+        for part in range(SERVER_PROCESSES):
+            more = ["--store-port", "0", "--part", f"{part}/{SERVER_PROCESSES}"]
             self._spawn(f"servers{part}", [*arguments, *more])
         self.wait_until(lambda: self.store("GET", "/machines")[0] == 200)
-        last = int(self.first_server_port) + BACKEND_PROCESSES - 1
+        last = int(self.first_server_port) + SERVER_PROCESSES - 1
         for port in range(int(self.first_server_port), last + 1):
             self.wait_until(lambda port=port: self._http("GET", f"127.0.0.1:{port}", "/health")[0] == 200)
 
     def start_node(self, index: int) -> None:
-        """Start a node, and wait until it serves."""
+        """Start a node and wait until it is ready."""
         address = self.nodes[index]
         path = self.folder / f"node{index}.toml"
         path.write_text(
@@ -101,11 +101,11 @@
         self.processes[self.nodes[index]].send_signal(number)
 
     def store(self, method: str, path: str, body: Any = None) -> tuple[int, Any]:
-        """Call the platform's stand-in."""
+        """Call the emulated platform."""
         return self._http(method, f"127.0.0.1:{self.first}", path, body)
 
     def server(self, address: str, body: Any) -> tuple[int, Any]:
-        """Give a back end's stand-in an order."""
+        """Send a control request to an emulated back end."""
         return self._http("POST", address, "/control", body)
 
     def documents(self) -> Path:
@@ -116,29 +116,31 @@
         return path
 
     def cli(self, *arguments: str, node: int | None = None, check: bool = True) -> str:
-        """Run the command line and return its output."""
+        """Run a command of the command line interface and return its output."""
         command = [sys.executable, "-m", "yokesill.cli.main", *arguments]
         if node is not None:
             command += ["--node", self.nodes[node], "--token", TOKEN]
-        done = subprocess.run(command, capture_output=True, text=True, timeout=START_LIMIT, check=False)
+        completed = subprocess.run(
+            command, capture_output=True, text=True, timeout=START_TIMEOUT_S, check=False
+        )
         if check:
-            assert done.returncode == 0, done.stdout + done.stderr
-        return done.stdout
+            assert completed.returncode == 0, completed.stdout + completed.stderr
+        return completed.stdout
 
     def call(self, node: int, method: str, path: str, body: Any = None, **headers: str) -> tuple[int, Any]:
-        """Call a node's API; status 0 is a refused connection, -1 one that was cut."""
+        """Call a node's API; status 0 means a refused connection, -1 any other connection error."""
         all_headers = {"Authorization": f"Bearer {TOKEN}", **headers}
         return self._http(method, self.nodes[node], path, body, all_headers)
 
-    def wait_until(self, condition: Any, limit: float = START_LIMIT) -> None:
-        """Wait until a condition holds."""
+    def wait_until(self, condition: Any, limit: float = START_TIMEOUT_S) -> None:
+        """Wait until ``condition()`` holds, for at most ``limit`` seconds."""
         end = time.monotonic() + limit
         while not condition():
-            assert time.monotonic() < end, f"not within {limit} s"
-            time.sleep(POLL)
+            assert time.monotonic() < end, f"condition not met within {limit} s"
+            time.sleep(POLL_INTERVAL_S)
 
     def stop(self) -> None:
-        """End every process."""
+        """Kill every process."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.kill()
--- a/tests/simulation/__init__.py
+++ b/tests/simulation/__init__.py
@@ -1,1 +1,1 @@
-"""Whole clusters in one process, in virtual time: the real node code over in-memory edges."""
+"""Whole clusters in one process and in virtual time: real node code with in-memory networking and stores."""
--- a/tests/simulation/cluster.py
+++ b/tests/simulation/cluster.py
@@ -1,4 +1,4 @@
-"""A simulated deployment: nodes, servers, store and network, with their faults."""
+"""A simulated deployment of nodes, servers, store and network, with fault injection."""
 
 import random
 from collections.abc import Callable
@@ -22,13 +22,13 @@
 SERVER_HOST = "10.1.0.0"
 FIRST_SERVER_PORT = 1
 NODE_PORT = 7101
-WAIT_STEP = 0.05
-KEY = "5a" * 32
+POLL_INTERVAL_S = 0.05
+CLUSTER_KEY = "5a" * 32
 
 
 @dataclass(slots=True)
 class RunningNode:
-    """A node with its edges and the scope that kills it."""
+    """A node with its clients and the cancel scope that kills it."""
 
     node: Node
     store: MemoryStore
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class SimulatedCluster:
-    """Everything of one simulated deployment; create it within a running task group."""
+    """One simulated deployment; create it within a running task group."""
 
     scenario: Scenario
     task_group: anyio.abc.TaskGroup
@@ -79,7 +79,7 @@
         return self.scenario.zones[index % len(self.scenario.zones)]
 
     def start_node(self, index: int) -> RunningNode:
-        """Start a node, or start it again with nothing kept and a higher incarnation."""
+        """Start or restart a node, without any retained state and with a higher incarnation."""
         address, zone = self.address_of(index), self.zone_of(index)
         self._incarnation += 1000
         source = random.Random(self.random_source.random())
@@ -95,7 +95,7 @@
         return running
 
     def kill_node(self, index: int) -> None:
-        """End a node at once, as a lost machine would."""
+        """Stop a node abruptly, like the loss of its machine."""
         address = self.address_of(index)
         self.network.down.add(address)
         self.nodes.pop(address).scope.cancel()
@@ -105,7 +105,7 @@
         return self.nodes[self.address_of(index)].node
 
     def cut(self, zone: str) -> None:
-        """Cut a zone off from every other zone and from the store (which stands outside of all)."""
+        """Cut a zone off from every other zone and from the store, which belongs to no zone."""
         for other in self.scenario.zones:
             if other != zone:
                 self.network.cut(zone, other)
@@ -118,7 +118,7 @@
                 running.backends.cut_zones.add(zone)
 
     def heal(self) -> None:
-        """Undo every cut."""
+        """Remove every cut."""
         self.network.heal()
         for running in self.nodes.values():
             running.store.reachable = True
@@ -134,25 +134,28 @@
         values: dict[str, dict[str, Any]] = {
             "node": {"address": address, "zone": zone, "seeds": [self.address_of(0), self.address_of(1)]},
             "store": {"url": "http://store"},
-            "cluster": {"keys": [KEY]},
+            "cluster": {"keys": [CLUSTER_KEY]},
             "administration": {"token_sha256": "0" * 64},
         }
         for section, changes in self.settings_changes.items():
             values.setdefault(section, {}).update(changes)
         return Settings.model_validate(values)
 
-    # --- conveniences ---
+    # --- helpers ---
 
     async def until(self, condition: Callable[[], object], limit: float) -> float:
-        """Wait until ``condition()`` holds; return how long it took. Raises ``TimeoutError``."""
+        """Wait until ``condition()`` holds; return the seconds waited.
+
+        Raises ``TimeoutError`` after ``limit`` seconds.
+        """
         started = anyio.current_time()
         with anyio.fail_after(limit):
             while not condition():
-                await anyio.sleep(WAIT_STEP)
+                await anyio.sleep(POLL_INTERVAL_S)
         return anyio.current_time() - started
 
     async def start(self, count: int, limit: float = 30.0) -> None:
-        """Write the configuration, start ``count`` nodes and wait until all serve and know all servers."""
+        """Write the configuration, start ``count`` nodes and wait until all of them are settled."""
         for key, value in self.documents.items():
             await self.store_model.put(key, 0, f"setup-{key}", value)
         for index in range(count):
@@ -160,7 +163,7 @@
         await self.until(self.settled, limit)
 
     def settled(self) -> bool:
-        """Whether every node serves, knows every other, and knows what its servers hold."""
+        """Whether every node is ready, lists every other, is up to date, and has its servers' holdings."""
         return all(
             running.node.ready
             and len(running.node.table.serving()) == len(self.nodes)
--- a/tests/simulation/edges.py
+++ b/tests/simulation/edges.py
@@ -1,4 +1,4 @@
-"""In-memory ways to back ends and to the store, for real nodes in virtual time."""
+"""In-memory clients of back ends and of the store, for real nodes in virtual time."""
 
 import json
 import random
@@ -17,15 +17,15 @@
 from yokesill.store.base import Conflict, Listing, Machine, Store
 from yokesill.verdict import Failure, Reason, Verdict
 
-HEALTH_TIMEOUT = 1.0
-WATCH_WAIT = 2.0
-TIMEOUT_GRACE = 0.05
+HEALTH_TIMEOUT_S = 1.0
+WATCH_WAIT_S = 2.0
+TIMEOUT_GRACE_S = 0.05
 
 Result = TypeVar("Result")
 
 
 class MemoryBackendClient(BackendClient):
-    """Calls ``ServerModel`` objects, through the real wire's encoding, with drawn delays."""
+    """Calls ``ServerModel`` objects in the real wire encoding, with random delays."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         model = self._reachable(attempt.address)
         if model is None:
             return _failed(attempt, Reason.CONNECT_FAILED, Verdict.NOT_RUN)
-        with anyio.move_on_after(attempt.deadline_at_s - anyio.current_time() + TIMEOUT_GRACE):
+        with anyio.move_on_after(attempt.deadline_at_s - anyio.current_time() + TIMEOUT_GRACE_S):
             await anyio.sleep(self._latency(model))
             body = json.loads(encode_attempt(attempt, attempt.deadline_at_s - anyio.current_time()))
             reply = await model.execute(body)
@@ -62,7 +62,7 @@
         model = self._reachable(address)
         if model is None:
             return None
-        with anyio.move_on_after(HEALTH_TIMEOUT):
+        with anyio.move_on_after(HEALTH_TIMEOUT_S):
             await anyio.sleep(self._latency(model))
             reply = await model.health()
             return decode_health(json.dumps(reply.body).encode()) if reply.status == HTTP_OK else None
@@ -80,7 +80,7 @@
 
 
 class MemoryStore(Store):
-    """A client of a ``StoreModel``, with the verdicts that the real client would give."""
+    """Client of a ``StoreModel`` that returns the same verdicts as the real client."""
 
     def __init__(self, model: StoreModel, timeout: float = 2.0) -> None:
         self.reachable = True
@@ -107,7 +107,7 @@
 
     async def watch(self, after_revision: int) -> list[StoredObject] | Failure:
         """See ``Store.watch``."""
-        return await self._call(lambda: self._model.watch(after_revision, WATCH_WAIT), WATCH_WAIT)
+        return await self._call(lambda: self._model.watch(after_revision, WATCH_WAIT_S), WATCH_WAIT_S)
 
     async def machines(self) -> list[Machine] | Failure:
         """See ``Store.machines``."""
--- a/tests/simulation/network.py
+++ b/tests/simulation/network.py
@@ -1,7 +1,7 @@
 """An in-memory network with faults, for tests and simulations.
 
-Delays, losses, duplicates and cuts are drawn from the seeded random source that it is given, so
-that a run under virtual time gives the same verdict every time.
+Delays, losses and duplicates are drawn from the given seeded random source, so that a run in virtual
+time has the same result every time.
 """
 
 import random
@@ -16,7 +16,7 @@
 
 @dataclass(slots=True)
 class Network:
-    """The network that connects ``MemoryTransport`` objects; times in seconds."""
+    """Network that connects ``MemoryTransport`` objects; times are in seconds."""
 
     random_source: random.Random
     task_group: anyio.abc.TaskGroup
@@ -30,27 +30,27 @@
     paused: set[str] = field(default_factory=set)
 
     def cut(self, zone: str, other: str) -> None:
-        """Cut two zones off from each other."""
+        """Cut the connection between two zones."""
         self.cut_zones.add(frozenset((zone, other)))
 
     def heal(self) -> None:
-        """Undo every cut."""
+        """Remove every cut."""
         self.cut_zones.clear()
 
     def connected(self, source: "MemoryTransport", target: "MemoryTransport") -> bool:
-        """Whether a packet can pass between two transports now."""
+        """Whether a packet can currently pass between two transports."""
         if source.address in self.down or target.address in self.down:
             return False
         return frozenset((source.zone, target.zone)) not in self.cut_zones
 
     def latency(self, source: "MemoryTransport", target: "MemoryTransport") -> float:
-        """Draw the delay of one packet."""
+        """Draw the random delay of one packet."""
         base = self.delay if source.zone == target.zone else self.delay + self.zone_delay
         return base * (0.5 + self.random_source.random())
 
 
 class MemoryTransport(Transport):
-    """A node's end of a ``Network``."""
+    """A node's connection to a ``Network``."""
 
     def __init__(self, address: str, zone: str, network: Network) -> None:
         super().__init__(address)
@@ -59,11 +59,11 @@
         network.transports[address] = self
 
     async def run(self) -> None:
-        """Nothing to receive on: the network delivers."""
+        """Sleep forever, since the network delivers incoming packets."""
         await anyio.sleep_forever()
 
     async def send(self, address: str, datagram: bytes) -> None:
-        """Deliver after a drawn delay, unless lost."""
+        """Deliver the datagram after a random delay, unless it is lost."""
         self.bytes_sent += len(datagram)
         network = self._network
         target = network.transports.get(address)
@@ -81,7 +81,7 @@
             target.deliver_datagram(datagram)
 
     async def request(self, address: str, kind: str, body: bytes, timeout: float) -> bytes | Failure:
-        """Call the target's handler, with the delay both ways."""
+        """Call the target's handler, with a delay in each direction."""
         network = self._network
         target = network.transports.get(address)
         self.bytes_sent += len(body)
--- a/tests/simulation/outcomes.py
+++ b/tests/simulation/outcomes.py
@@ -1,11 +1,11 @@
-"""Turns an in-process final answer into the record that the checkers read."""
+"""Converts an in-process final answer to the record that the checkers read."""
 
 from yokesill.loadgen.outcomes import Outcome
 from yokesill.routing.events import Answer, Refuse
 
 
 def fill_from_final(outcome: Outcome, final: Answer | Refuse) -> None:
-    """Take an in-process final answer in."""
+    """Fill ``outcome`` from an in-process final answer."""
     outcome.query_id = final.query_id
     if isinstance(final, Answer):
         outcome.answered, outcome.verdict = True, "ran"
--- a/tests/test_charts.py
+++ b/tests/test_charts.py
@@ -1,4 +1,4 @@
-"""The flattened charts are the charts."""
+"""Tests that the flattened transition tables match the charts."""
 
 import pytest
 
@@ -7,12 +7,12 @@
 from yokesill.charts.tables import flatten_chart, load_chart
 
 
-def test_the_committed_file_is_generated_from_the_charts() -> None:
+def test_transitions_file_matches_the_charts() -> None:
     assert TRANSITIONS_FILE.read_text() == render_transitions(), "run python -m yokesill.charts.flatten"
 
 
 @pytest.mark.parametrize("name", FLAT_CHARTS)
-def test_every_flat_chart_starts_at_its_initial_state_and_reaches_every_state(name: str) -> None:
+def test_transition_table_matches_its_chart_and_reaches_every_state(name: str) -> None:
     chart = load_chart(name)
     table = transition_table(name)
     assert table == flatten_chart(name)
--- a/tests/test_promises_configuration.py
+++ b/tests/test_promises_configuration.py
@@ -1,10 +1,10 @@
-"""Steps of promises.feature: configuration."""
+"""Steps of the configuration scenarios in ``promises.feature``."""
 
 from typing import Any
 
 import anyio
 from conftest import run_cluster
-from helpers import HOURS, change_service, changed_policy, old_object, revision_of, wait_in_force
+from helpers import HOURS, change_service, changed_policy, revision_of, stale_object, wait_in_force
 from pytest_bdd import scenario, then, when
 from simulation.cluster import SimulatedCluster
 
@@ -22,7 +22,7 @@
 
 
 @scenario(FEATURE, "A change is in force everywhere within seconds")
-def test_in_force() -> None: ...
+def test_change_is_in_force_on_every_node_within_5_seconds() -> None: ...
 
 
 @when("an operator changes the policy on one of seven nodes")
@@ -43,7 +43,7 @@
 
 
 @scenario(FEATURE, "The network loses and doubles a third of all datagrams")
-def test_lossy() -> None: ...
+def test_change_is_in_force_within_5_seconds_despite_datagram_loss_and_duplication() -> None: ...
 
 
 @when("an operator changes the policy while datagrams are lost and doubled")
@@ -59,7 +59,7 @@
 
 
 @scenario(FEATURE, "Operators race each other")
-def test_race() -> None: ...
+def test_concurrent_changes_accept_exactly_one() -> None: ...
 
 
 @when("five operators change the same service at once through different nodes")
@@ -90,7 +90,7 @@
 
 
 @scenario(FEATURE, "The store's answer is lost after its effect")
-def test_answer_lost() -> None: ...
+def test_change_with_lost_reply_is_reported_accepted() -> None: ...
 
 
 @when("the answer to a write is lost after its effect")
@@ -112,7 +112,7 @@
 
 
 @scenario(FEATURE, "A write is lost and comes late")
-def test_late_write() -> None: ...
+def test_write_arriving_after_its_rejection_has_no_effect() -> None: ...
 
 
 @when("a write is delayed beyond the time-out and arrives after the operator was answered")
@@ -120,7 +120,7 @@
     async def body(cluster: SimulatedCluster) -> Any:
         model, node = cluster.store_model, cluster.node(1)
         base = revision_of(node)
-        # The request is lost on the way as far as the node can tell ...
+        # To the node, the request appears to be lost on the way ...
         model.set_faults(StoreFaults(lose_requests=1))
         result = await change_service(node, changed_policy(cluster, 9), "late")
         # ... and arrives once the operator has been answered.
@@ -140,14 +140,14 @@
 
 
 @scenario(FEATURE, "A node is paused while the configuration changes")
-def test_paused() -> None: ...
+def test_paused_node_synchronises_before_it_answers() -> None: ...
 
 
 @when("a node is paused for 30 seconds and the policy changes meanwhile")
 def pause(outcome: dict[str, Any]) -> None:
     async def body(cluster: SimulatedCluster) -> Any:
         running = cluster.nodes[cluster.address_of(2)]
-        # While it stands still nothing reaches it; then its clock jumps between two ticks.
+        # While the node is paused nothing reaches it; afterwards its clock jumps between two ticks.
         cluster.network.down.add(cluster.address_of(2))
         running.store.reachable = False
         await change_service(cluster.node(0), changed_policy(cluster, 3))
@@ -172,7 +172,7 @@
 
 
 @scenario(FEATURE, "A node restarts while the store is down")
-def test_store_down() -> None: ...
+def test_node_restarted_while_store_is_down_uses_peer_configuration() -> None: ...
 
 
 @when("the store goes down and a node is killed and started again")
@@ -208,7 +208,7 @@
 
 
 @scenario(FEATURE, "An older revision comes late from any source")
-def test_older() -> None: ...
+def test_older_revision_does_not_replace_newer_one() -> None: ...
 
 
 @when("old revisions come by gossip, by bulk sync and from a stale read of the store")
@@ -220,9 +220,9 @@
         revisions = [revision_of(running.node) for running in cluster.nodes.values()]
         for running in cluster.nodes.values():
             node = running.node
-            node.gossip.merge_objects([old_object()], anyio.current_time())
-            node.sync._merge([old_object(2)])
-            await node.take_into_force(old_object(3))
+            node.gossip.merge_objects([stale_object()], anyio.current_time())
+            node.sync._merge([stale_object(2)])
+            await node.take_into_force(stale_object(3))
             await node.watcher.load()
         await anyio.sleep(3)
         after = [revision_of(running.node) for running in cluster.nodes.values()]
@@ -239,7 +239,7 @@
 
 
 @scenario(FEATURE, "A zone is cut off for a minute")
-def test_zone_cut() -> None: ...
+def test_reconnected_zone_gets_change_within_5_seconds() -> None: ...
 
 
 @when("a zone is cut off, the policy changes, and the cut heals")
@@ -253,7 +253,7 @@
         dead = [
             r for n in cluster.nodes.values() for r in n.node.table.all() if r.status is MemberStatus.DEAD
         ]
-        # Only peers can tell the zone now, and their rumors of the change have long died down.
+        # Now only peers can inform the zone, and their rumors of the change have long expired.
         cluster.store_model.set_faults(StoreFaults(down=True))
         cluster.heal()
         seconds = await cluster.until(lambda: in_force(cluster, 1004), 60)
--- a/tests/test_random_faults.py
+++ b/tests/test_random_faults.py
@@ -1,4 +1,4 @@
-"""Everything at once: random faults of every kind, many seeds, and the checkers of the promises."""
+"""Runs a cluster under random faults of every kind, with several seeds, and checks every promise."""
 
 import random
 from typing import Any
@@ -16,7 +16,7 @@
 from yokesill.store.base import Machine
 from yokesill.store.changes import Accepted
 
-SECONDS = 20.0
+LOAD_SECONDS = 20.0
 NODES = 6
 RECORDS = {"hours": 64, "bank": 64}
 SERVER_FAULTS = (
@@ -38,28 +38,28 @@
 
 
 async def load(cluster: SimulatedCluster, source: random.Random, outcomes: list[Outcome]) -> None:
-    async def one(number: int) -> None:
-        items = number % 4 == 0
-        service, request_class = ("bank", "next") if items else ("hours", "search")
-        key = f"once-{source.randrange(60)}" if items and number % 8 == 0 else None
-        call = cluster.call(service, request_class, repeatable=not items, idempotency_key=key)
+    async def send(number: int) -> None:
+        item_request = number % 4 == 0
+        service, request_class = ("bank", "next") if item_request else ("hours", "search")
+        key = f"once-{source.randrange(60)}" if item_request and number % 8 == 0 else None
+        call = cluster.call(service, request_class, repeatable=not item_request, idempotency_key=key)
         address = source.choice(sorted(cluster.nodes))
         sent = anyio.current_time()
-        # A killed node never answers: its callers are not among the outcomes, its runs are.
+        # A killed node never answers: its queries are missing from the outcomes, but not from the executions.
         with anyio.move_on_after(5):
             final = await cluster.nodes[address].node.query(call)
             latency = anyio.current_time() - sent
-            outcome = Outcome(service, request_class, not items, False, sent, latency, "")
+            outcome = Outcome(service, request_class, not item_request, False, sent, latency, "")
             fill_from_final(outcome, final)
             if key is None:
                 outcomes.append(outcome)
 
     async with anyio.create_task_group() as task_group:
-        end = anyio.current_time() + SECONDS
+        end = anyio.current_time() + LOAD_SECONDS
         number = 0
         while anyio.current_time() < end:
             number += 1
-            task_group.start_soon(one, number)
+            task_group.start_soon(send, number)
             await anyio.sleep(0.01 + 0.02 * source.random())
 
 
@@ -109,7 +109,7 @@
             cluster.store_model.set_faults(StoreFaults())
 
 
-async def operators(cluster: SimulatedCluster, source: random.Random, accepted: list[int]) -> None:
+async def change_policies(cluster: SimulatedCluster, source: random.Random, accepted: list[int]) -> None:
     number = 0
     while True:
         await anyio.sleep(source.random())
@@ -135,7 +135,7 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_nothing_is_broken(seed: int) -> None:
+def test_random_faults_violate_no_promise(seed: int) -> None:
     outcomes: list[Outcome] = []
     accepted: list[int] = []
     reverted: list[str] = []
@@ -145,7 +145,7 @@
         async with anyio.create_task_group() as task_group:
             task_group.start_soon(server_faults, cluster, source)
             task_group.start_soon(node_faults, cluster, source)
-            task_group.start_soon(operators, cluster, source, accepted)
+            task_group.start_soon(change_policies, cluster, source, accepted)
             task_group.start_soon(watch_revisions, cluster, reverted)
             await load(cluster, source, outcomes)
             task_group.cancel_scope.cancel()
--- a/tests/test_whole_path.py
+++ b/tests/test_whole_path.py
@@ -1,3 +1,5 @@
+"""Steps of ``whole_path.feature``, which runs a deployment of real processes."""
+
 import signal
 import threading
 from collections.abc import Iterator
@@ -12,20 +14,20 @@
 
 EXAMPLE = Path(__file__).parent.parent / "examples" / "scenario.yaml"
 QUERY = "/v1/namespaces/lima/services/hours/query"
-# Longer than a query takes on a starved machine: with a wait of 0.5 s, 24 of 133 were answered 504 though
-# nobody stopped the node (16 busy processes beside all of these on one core). A query that a stop held would
-# still be answered so: a stop waits 60 s.
-PATIENCE_MS = 20_000
-POLICY = "wait_ms: 500"
-SEARCH = {"class": "weekly-search", "query": {}, "deadline_ms": PATIENCE_MS}
+# Longer than a query takes on an overloaded machine: with a wait of 0.5 s, 24 of 133 queries were answered
+# 504 although the node was not stopped (16 busy processes alongside all of these on one core). A query that
+# a stop blocks is still answered 504, since a stop waits 60 s.
+QUERY_TIMEOUT_MS = 20_000
+EXAMPLE_WAIT = "wait_ms: 500"
+SEARCH = {"class": "weekly-search", "query": {}, "deadline_ms": QUERY_TIMEOUT_MS}
 
 
 @pytest.fixture
 def deployment(tmp_path: Path) -> Iterator[Deployment]:
     scenario = tmp_path / "scenario.yaml"
     example = EXAMPLE.read_text()
-    assert example.count(POLICY) == 1
-    scenario.write_text(example.replace(POLICY, f"wait_ms: {PATIENCE_MS}"))
+    assert example.count(EXAMPLE_WAIT) == 1
+    scenario.write_text(example.replace(EXAMPLE_WAIT, f"wait_ms: {QUERY_TIMEOUT_MS}"))
     running = Deployment(tmp_path, scenario, ["z1", "z2"])
     yield running
     running.stop()
@@ -75,11 +77,11 @@
     outcome["replies"] = []
     process = deployment.processes[deployment.nodes[1]]
 
-    def ask() -> None:
+    def send_queries() -> None:
         while process.poll() is None:
             outcome["replies"].append(deployment.call(1, "POST", QUERY, SEARCH))
 
-    threads = [threading.Thread(target=ask) for _ in range(4)]
+    threads = [threading.Thread(target=send_queries) for _ in range(4)]
     for thread in threads:
         thread.start()
     deployment.wait_until(lambda: len(outcome["replies"]) > 20)
@@ -95,5 +97,5 @@
     served = [status for status, _ in outcome["replies"] if status == 200]
     assert len(served) > 20
     for status, body in outcome["replies"]:
-        # 0 is a connection refused: the listener is closed and nothing was sent.
+        # Status 0 is a refused connection: the listener is closed and nothing was sent.
         assert status in (0, 200) or (status == 503 and body["verdict"] == "not_run"), (status, body)
