--- a/src/yokesill/admin/status.py
+++ b/src/yokesill/admin/status.py
@@ -1,4 +1,4 @@
-"""The status resource: members, the configuration that each has in force, leaving servers; and the stop."""
+"""The status resource (members, their configuration, leaving servers) and the planned stop of a node."""
 
 from typing import Any
 
@@ -17,7 +17,10 @@
 
 
 class StatusController:
-    """Reports the state of the cluster, querying members only on request: idle, it costs no traffic."""
+    """Reports the state of the cluster.
+
+    Members are queried only when an operator asks, so that status costs no traffic otherwise.
+    """
 
     def __init__(self, node: Node) -> None:
         self._node = node
--- a/src/yokesill/cluster/gossip.py
+++ b/src/yokesill/cluster/gossip.py
@@ -112,8 +112,8 @@
     async def announce_leaving(self) -> None:
         """Announce to the other members that this node is leaving; return when the announcement is sent.
 
-        Only ``run`` sends: a socket allows one sending task at a time, so a send from here could fail
-        and lose this announcement.
+        The announcement is left to ``run`` to send: a socket allows one sending task at a time, and a
+        second one would fail and lose this very datagram.
         """
         self._outgoing.extend(self.detector.leave(anyio.current_time()))
         sent = self._sent
--- a/src/yokesill/comm/http_status.py
+++ b/src/yokesill/comm/http_status.py
@@ -1,7 +1,7 @@
 """HTTP status codes as plain integers, for use in CBOR messages, JSON logs and byte strings.
 
-The package's only definitions of them. ``http.HTTPStatus`` is not used because it is an enumeration, whose
-members are printed and encoded differently.
+Shared definitions, so that other modules need no copies. ``http.HTTPStatus`` is not used because it is an
+enumeration, whose members are printed and encoded differently.
 """
 
 OK = 200
