--- a/src/yokesill/store/http_store.py
+++ b/src/yokesill/store/http_store.py
@@ -1,4 +1,4 @@
-"""Maps the store's HTTP and JSON protocol to typed values; only this module depends on it.
+"""Client of the store's HTTP and JSON protocol; another platform needs only another such module.
 
 ``GET /objects/{key}``, ``GET /objects`` (all), ``PUT /objects/{key}?base=REVISION`` with
 ``{change_id, value}`` (409 carries the current object), ``GET /history/{key}``,
