--- a/src/yokesill/admin/changes.py
+++ b/src/yokesill/admin/changes.py
@@ -5,7 +5,7 @@
 from starlette.responses import Response
 
 from yokesill.admin.replies import outcome_reply
-from yokesill.frontend.http import JsonError, require
+from yokesill.frontend.http import JsonError, require_grant
 from yokesill.node import Node
 from yokesill.resources.documents import Role
 from yokesill.resources.keys import parse_key
@@ -24,10 +24,10 @@
         key = parse_key(change.key) if change else None
         if change is None or key is None:
             raise JsonError(404, "unknown_change", "this is not a change id")
-        require(self._node.access, request, key.namespace, Role.EDITOR)
+        require_grant(self._node.access, request, key.namespace, Role.EDITOR)
         with anyio.CancelScope(shield=True):
             outcome = await resolve(self._node.store, change)
             holders: list[str] = []
             if isinstance(outcome, Accepted):
-                holders = await self._node.take_into_force(outcome.stored)
+                holders = await self._node.apply_committed(outcome.stored)
         return outcome_reply(self._node, change.change_id, outcome, holders)
--- a/src/yokesill/admin/objects.py
+++ b/src/yokesill/admin/objects.py
@@ -8,7 +8,7 @@
 from starlette.responses import JSONResponse, Response
 
 from yokesill.admin.replies import outcome_reply
-from yokesill.frontend.http import JsonError, read_json, require
+from yokesill.frontend.http import JsonError, read_json, require_grant
 from yokesill.node import Node
 from yokesill.policy.compiler import validate_service
 from yokesill.resources.documents import Role, Service
@@ -30,7 +30,7 @@
 
     async def list(self, request: Request) -> Response:
         """List the keys that the token may see, with their revisions."""
-        grant = self._node.access.grant_of(request.headers.get("authorization"))
+        grant = self._node.access.find_grant(request.headers.get("authorization"))
         if grant is None:
             raise JsonError(401, "unauthenticated", "a valid bearer token is needed")
         keys = {
@@ -45,7 +45,7 @@
     async def get(self, request: Request) -> Response:
         """Return a document and its revision as held by this node."""
         key = self._require_key(request)
-        require(self._node.access, request, key.namespace, Role.VIEWER)
+        require_grant(self._node.access, request, key.namespace, Role.VIEWER)
         stored = self._node.replica.state.get(key.text)
         if stored is None or stored.deleted:
             raise JsonError(404, "unknown_object", f"there is no {key.kind} at {key.text}")
@@ -54,7 +54,7 @@
     async def history(self, request: Request) -> Response:
         """Return the revisions that the store keeps of a document."""
         key = self._require_key(request)
-        require(self._node.access, request, key.namespace, Role.VIEWER)
+        require_grant(self._node.access, request, key.namespace, Role.VIEWER)
         revisions = await self._node.store.history(key.text)
         if isinstance(revisions, Failure):
             raise JsonError(503, "store_unavailable", revisions.detail, headers={"Retry-After": "1"})
@@ -89,7 +89,7 @@
             outcome = await commit(self._node.store, change)
             holders: list[str] = []
             if isinstance(outcome, Accepted):
-                holders = await self._node.take_into_force(outcome.stored)
+                holders = await self._node.apply_committed(outcome.stored)
         return outcome_reply(self._node, change.change_id, outcome, holders)
 
     def _require_key(self, request: Request) -> ObjectKey:
@@ -100,7 +100,7 @@
 
     def _authorise_change(self, request: Request, key: ObjectKey) -> None:
         role = Role.EDITOR if key.kind in EDITOR_KINDS else Role.ADMIN
-        require(self._node.access, request, key.namespace, role)
+        require_grant(self._node.access, request, key.namespace, role)
 
     def _base_revision(self, request: Request, key: ObjectKey) -> int:
         """Return the revision on which the change is based, from ``If-Match`` or the current state."""
--- a/src/yokesill/admin/replies.py
+++ b/src/yokesill/admin/replies.py
@@ -28,7 +28,7 @@
         "revision": revision,
         "change_id": change_id,
         "in_force_on": [node.table.own.address, *holders],
-        "propagating": not node.reached_another_zone(holders),
+        "propagating": not node.reaches_another_zone(holders),
     }
     return JSONResponse(body, headers={"ETag": f'"{revision}"'})
 
--- a/src/yokesill/admin/status.py
+++ b/src/yokesill/admin/status.py
@@ -6,7 +6,7 @@
 from starlette.requests import Request
 from starlette.responses import JSONResponse, Response
 
-from yokesill.frontend.http import JsonError, require
+from yokesill.frontend.http import JsonError, require_grant
 from yokesill.node import Node
 from yokesill.replication.messages import STATUS, StatusReply, decode_status
 from yokesill.resources.documents import Role
@@ -28,7 +28,7 @@
     async def get(self, request: Request) -> Response:
         """Return the state of the cluster, from the members that reply now."""
         node = self._node
-        grant = node.access.grant_of(request.headers.get("authorization"))
+        grant = node.access.find_grant(request.headers.get("authorization"))
         if grant is None or not grant.allows(grant.namespace, Role.VIEWER):
             raise JsonError(403 if grant else 401, "forbidden", "a viewer's token is needed")
         replies = await self._collect_statuses()
@@ -42,7 +42,7 @@
                 "revision": own.revision,
                 "in_force": {"members": in_force, "of": len(node.table.serving())},
                 "isolated": node.isolated,
-                "zones_cut": sorted(node.table.cut_zones),
+                "zones_cut": sorted(node.table.unreachable_zones),
                 "members": sorted(members, key=lambda each: str(each["address"])),
                 "watchers": sorted(each.address for each in replies.values() if each and each.watcher),
                 "leaving_servers": sorted(each.address for each in node.leaving_servers.all()),
@@ -53,7 +53,7 @@
 
     async def stop(self, request: Request) -> Response:
         """Start a planned stop of this node."""
-        require(self._node.access, request, "*", Role.ADMIN)
+        require_grant(self._node.access, request, "*", Role.ADMIN)
         self._node.stop()
         return JSONResponse({"state": "stopping"}, 202)
 
--- a/src/yokesill/cluster/gossip.py
+++ b/src/yokesill/cluster/gossip.py
@@ -78,7 +78,7 @@
             now = anyio.current_time()
             if now - last_tick_at > TICK_INTERVAL_S + PAUSE_THRESHOLD_S:
                 self._log.warning("paused", seconds=round(now - last_tick_at, 1))
-                self.detector.resumed(now)
+                self.detector.resume(now)
                 self.on_pause()
             last_tick_at = now
             self._outgoing.extend(self.detector.tick(now))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -34,7 +34,7 @@
     change = Change(HOURS.key, stored.revision if base is None else base, nonce, value)
     outcome = await commit(node.store, change)
     if isinstance(outcome, Accepted):
-        await node.take_into_force(outcome.stored)
+        await node.apply_committed(outcome.stored)
     return outcome
 
 
--- a/tests/test_promises_configuration.py
+++ b/tests/test_promises_configuration.py
@@ -222,7 +222,7 @@
             node = running.node
             node.gossip.merge_objects([stale_object()], anyio.current_time())
             node.sync._merge([stale_object(2)])
-            await node.take_into_force(stale_object(3))
+            await node.apply_committed(stale_object(3))
             await node.watcher.load()
         await anyio.sleep(3)
         after = [revision_of(running.node) for running in cluster.nodes.values()]
