--- a/src/yokesill/cli/__init__.py
+++ b/src/yokesill/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The ``yokesill`` command: one file a subcommand."""
+"""The ``yokesill`` command: one module per subcommand."""
--- a/src/yokesill/cli/admin_client.py
+++ b/src/yokesill/cli/admin_client.py
@@ -1,7 +1,7 @@
-"""Calls the administration API of the product's own query nodes: JSON over HTTP with a bearer token.
+"""Client of the query nodes' administration API: JSON over HTTP with a bearer token.
 
-Not the client of the registry and of gateway nodes, ``registry.api_client``, which is made for long polls and
-little memory: this one uses httpcore's pool, which serving nodes don't load.
+Separate from ``registry.api_client``, the client of the registry and of gateway nodes, which is optimised for
+long polls and low memory use. This client uses httpcore's pool, which serving nodes don't load.
 """
 
 import json
@@ -12,13 +12,13 @@
 from yokesill.comm.http_client import HttpClient
 from yokesill.verdict import Failure
 
-# A person waits for the reply; a node bounds its own work far below that.
+# An operator waits for the reply; a node's own timeouts are far shorter.
 CALL_TIMEOUT_S = 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class AdminReply:
-    """A node's reply; ``body`` is the decoded JSON."""
+    """Reply of a node; ``body`` is the decoded JSON."""
 
     status: int
     headers: dict[str, str]
@@ -26,12 +26,12 @@
 
     @property
     def ok(self) -> bool:
-        """Whether the call did what was asked for."""
+        """Whether the call succeeded."""
         return self.status == http_status.OK
 
 
 class AdminClient:
-    """Calls one node with one token."""
+    """Client of one node with one bearer token."""
 
     def __init__(self, node: str, token: str) -> None:
         self.node = node
@@ -41,7 +41,7 @@
     async def call(
         self, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
     ) -> AdminReply | Failure:
-        """Send one request; a failure means that no reply came."""
+        """Send one request; a ``Failure`` means that no reply was received."""
         content = b"" if body is None else json.dumps(body).encode()
         all_headers = {"Authorization": f"Bearer {self.token}", **(headers or {})}
         reply = await self._client.call(
--- a/src/yokesill/cli/apply.py
+++ b/src/yokesill/cli/apply.py
@@ -12,7 +12,7 @@
 
 
 class ApplyCommand(BaseCommand):
-    """Submits every document of a file, each taking hold fully or rejected."""
+    """Submits the documents of a file one by one; each is applied as a whole or rejected."""
 
     name = "apply"
     description = "Submit documents (YAML) through a node"
@@ -48,7 +48,7 @@
 
 
 async def apply_document(client: AdminClient, each: KeyedDocument, dry_run: bool) -> AdminReply | Failure:
-    """Replace whatever stands at the document's key now."""
+    """Create the document or replace its current revision."""
     current = await client.call("GET", f"/v1/{each.key}")
     if isinstance(current, Failure):
         return current
--- a/src/yokesill/cli/base.py
+++ b/src/yokesill/cli/base.py
@@ -1,7 +1,7 @@
-"""What the subcommands share: exit codes, options that name a node, one-line errors, tables and JSON.
+"""Base of the subcommands: exit codes, options that select a node, one-line errors, tables and JSON.
 
-Exit codes, option names and environment variables are relied on by operators' scripts (``tests/forms``).
-Calls to a node are made by ``admin_client``.
+Operators' scripts rely on the exit codes, option names and environment variables (``tests/forms``).
+``admin_client`` makes the calls to a node.
 """
 
 import enum
@@ -44,17 +44,17 @@
 
 
 class BaseCommand(Command):
-    """A subcommand; errors go to standard error on one line that says what to do."""
+    """A subcommand; prints each error as one line on standard error, with advice where there is any."""
 
     def client(self) -> AdminClient:
-        """Return a client of the node that was named by flag or environment."""
+        """Return a client of the node given by flag or environment."""
         node = self.option("node") or os.environ.get(NODE_VARIABLE) or DEFAULT_NODE
         token = self.option("token") or os.environ.get(TOKEN_VARIABLE) or ""
         return AdminClient(node, token)
 
     @property
     def wants_json(self) -> bool:
-        """Whether the output is for programs."""
+        """Whether the output is JSON."""
         return bool(self.option("output") == "json")
 
     def fail(self, code: ExitCode, message: str) -> int:
@@ -63,18 +63,18 @@
         return int(code)
 
     def fail_with_errors(self, source: str, errors: Sequence[DocumentError]) -> int:
-        """Print every error with its place."""
+        """Print each error with its location."""
         for each in errors:
             self.line_error(f"<error>error:</error> {source}: {each}")
         return int(ExitCode.INVALID)
 
     def fail_unreachable(self, client: AdminClient, failure: Failure) -> int:
-        """Say that no reply came, and what can be done."""
+        """Report that the node did not reply, and suggest another one."""
         message = f"node {client.node} does not answer ({failure.reason}); try another with --node"
         return self.fail(ExitCode.UNREACHABLE, message)
 
     def fail_with_reply(self, what: str, reply: AdminReply) -> int:
-        """Say what a node refused and why."""
+        """Report a refusal by a node with its reason."""
         body = reply.body if isinstance(reply.body, dict) else {}
         for each in body.get("errors", []):
             self.line_error(f"<error>error:</error> {what}: {each['place']}: {each['message']}")
@@ -87,11 +87,11 @@
         return self.fail(ExitCode.REFUSED, message)
 
     def print_json(self, value: Any) -> None:
-        """Print a value for programs."""
+        """Print a value as JSON."""
         self.line(json.dumps(value, indent=2, sort_keys=True))
 
     def print_table(self, headers: list[str], rows: list[list[str]]) -> None:
-        """Print a table for people."""
+        """Print a table."""
         table = Table(self.io)
         table.set_headers(list(headers))
         table.set_rows([list(row) for row in rows])
--- a/src/yokesill/cli/delete.py
+++ b/src/yokesill/cli/delete.py
@@ -7,7 +7,7 @@
 
 
 class DeleteCommand(BaseCommand):
-    """Deletes one document, at the revision that stands now."""
+    """Deletes one document, at its current revision."""
 
     name = "delete"
     description = "Delete a document"
@@ -15,7 +15,7 @@
     options = list(NODE_OPTIONS)
 
     def handle(self) -> int:
-        """Ask a node to delete."""
+        """Send the deletion to a node."""
         return self.run_async(self._delete)
 
     async def _delete(self) -> int:
--- a/src/yokesill/cli/demo_queries.py
+++ b/src/yokesill/cli/demo_queries.py
@@ -1,4 +1,4 @@
-"""``yokesill demo-queries``: the product's own queries in one process, stand-ins and a node."""
+"""``yokesill demo-queries``: runs stand-ins and a query node in one process and sends queries."""
 
 import random
 from importlib import resources
@@ -27,13 +27,13 @@
 
 HOST = "127.0.0.1"
 DEMO_TOKEN = "demo-administrator"
-QUERIES_A_CLASS = 3
+QUERIES_PER_CLASS = 3
 READY_POLL_S = 0.05
 READY_TIMEOUT_S = 10.0
 
 
 class DemoQueriesCommand(BaseCommand):
-    """Runs everything once and prints the answers."""
+    """Runs the demonstration once and prints the answers."""
 
     name = "demo-queries"
     description = "Run stand-ins and a node in one process and send a few of the product's own queries"
@@ -62,15 +62,17 @@
             servers.append(await start_server(create_app(node), HOST, node_port, task_group))
             async with anyio.create_task_group() as node_task_group:
                 node_task_group.start_soon(node.run)
-                failed += await self._use(node, scenario, documents_of(scenario, placed))
+                failed += await self._apply_and_query(node, scenario, documents_of(scenario, placed))
                 node.stop()
             store.close()
             for server in servers:
                 server.should_exit = True
         return int(ExitCode.FAILED if failed else ExitCode.OK)
 
-    async def _use(self, node: Node, scenario: Scenario, documents: dict[str, dict[str, Any]]) -> int:
-        """Apply the configuration and query; return how many calls failed."""
+    async def _apply_and_query(
+        self, node: Node, scenario: Scenario, documents: dict[str, dict[str, Any]]
+    ) -> int:
+        """Apply the configuration and send the queries; return the number of failed calls."""
         client = AdminClient(node.settings.node.address, DEMO_TOKEN)
         with anyio.fail_after(READY_TIMEOUT_S):
             while not node.ready:
@@ -103,7 +105,7 @@
         rows = []
         for service in scenario.services:
             for load in service.load:
-                for number in range(QUERIES_A_CLASS):
+                for number in range(QUERIES_PER_CLASS):
                     body = {
                         "class": load.request_class,
                         "query": {"demo": number},
@@ -122,7 +124,7 @@
 
 
 def demo_settings(address: str, store_url: str) -> Settings:
-    """Return settings of a single node for demonstrations."""
+    """Return settings of the single node of a demonstration."""
     return Settings.model_validate(
         {
             "node": {"address": address, "zone": "z1", "seed": 1},
--- a/src/yokesill/cli/documents.py
+++ b/src/yokesill/cli/documents.py
@@ -1,4 +1,4 @@
-"""Files of documents: YAML, several to a file, each with the ``key`` that it is for."""
+"""Reads YAML files of documents; each document carries its ``key``."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyedDocument:
-    """A checked document with its key, as written and as parsed."""
+    """A valid document with its key, as written and as parsed."""
 
     key: str
     value: dict[str, Any]
@@ -22,7 +22,7 @@
 
 
 def read_documents(path: Path) -> tuple[list[KeyedDocument], list[DocumentError]]:
-    """Read and check every document of a file; return them and every error with its place."""
+    """Read and validate the documents of a file; return the valid ones and the errors with locations."""
     try:
         items = [each for each in yaml.safe_load_all(path.read_text()) if each is not None]
     except (OSError, yaml.YAMLError) as error:
--- a/src/yokesill/cli/emulate.py
+++ b/src/yokesill/cli/emulate.py
@@ -26,9 +26,9 @@
 
 
 class EmulateCommand(BaseCommand):
-    """Runs the platform's stand-in, the back ends' stand-ins, or both, until a signal.
+    """Runs stand-ins for the platform, the back ends, or both, until SIGTERM or SIGINT.
 
-    For a gateway's file (TOML) it runs the servers that the file names.
+    Given a gateway file (TOML), runs stand-ins for the servers that it lists.
     """
 
     name = "emulate"
@@ -76,17 +76,17 @@
         return int(ExitCode.OK)
 
     def _handle_gateway(self, path: Path) -> int:
-        described = read_gateway_file(path)
-        if isinstance(described, list):
-            for problem in described:
+        gateway_file = read_gateway_file(path)
+        if isinstance(gateway_file, list):
+            for problem in gateway_file:
                 self.line_error(f"<error>error:</error> {path}: {problem}")
             return int(ExitCode.INVALID)
-        return self.run_async(lambda: self._run_servers(described))
+        return self.run_async(lambda: self._run_servers(gateway_file))
 
-    async def _run_servers(self, described: GatewayFile) -> int:
+    async def _run_servers(self, gateway_file: GatewayFile) -> int:
         source = random.Random(int(self.option("seed")))
         servers = {
-            each.address: RecordServer(each.instance, each.service, source) for each in described.servers
+            each.address: RecordServer(each.instance, each.service, source) for each in gateway_file.servers
         }
         async with anyio.create_task_group() as task_group:
             await start_record_servers(servers, task_group)
--- a/src/yokesill/cli/explain.py
+++ b/src/yokesill/cli/explain.py
@@ -1,4 +1,4 @@
-"""``yokesill explain``: one request's story, from the logs of one or several nodes."""
+"""``yokesill explain``: the log lines that explain one request, from the logs of one or more nodes."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -11,13 +11,13 @@
 from yokesill.cli.base import BaseCommand, ExitCode
 
 CONTEXT_EVENTS = frozenset({"server_state", "server_entry", "rollout_obeyed"})
-JUDGED = "request_judged"
-LEFT_OUT = frozenset({"event", "timestamp", "level", "component", "request"})
+VERDICT_EVENT = "request_judged"
+HIDDEN_FIELDS = frozenset({"event", "timestamp", "level", "component", "request"})
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """One JSON line: when (ISO time), in which file, and what it says."""
+    """One JSON log line with its time (ISO 8601) and the machine or file that it comes from."""
 
     time: str
     source: str
@@ -25,33 +25,35 @@
 
     @property
     def event(self) -> str:
-        """The name of what happened."""
+        """Name of the logged event."""
         return str(self.fields.get("event", ""))
 
     def __str__(self) -> str:
-        """The line for people."""
-        details = " ".join(f"{name}={value}" for name, value in self.fields.items() if name not in LEFT_OUT)
+        """Format the line for the terminal."""
+        details = " ".join(
+            f"{name}={value}" for name, value in self.fields.items() if name not in HIDDEN_FIELDS
+        )
         return f"{self.time}  {self.source}  {self.event}  {details}"
 
 
 def read_lines(source: str, text: Iterable[str]) -> Iterator[LogLine]:
-    """Read JSON lines; whatever stands before the first brace (a time, a machine) names the source."""
+    """Parse JSON log lines; the last word before the first brace, if any, names the source."""
     for line in text:
         prefix, brace, rest = line.partition("{")
         try:
             fields = json.loads(brace + rest)
         except ValueError:
-            # Not ours: log files also hold lines of the machine, and a last line that was cut off.
+            # Log files also hold lines of other programs, and the last line may be truncated.
             continue
         machine = prefix.split()[-1] if prefix.split() else source
         yield LogLine(str(fields.get("timestamp", "")), machine, fields)
 
 
-def story(lines: Iterable[LogLine], request: str) -> list[LogLine]:
-    """Return the request's own lines and what was believed of its servers on the same node before.
+def lines_about(lines: Iterable[LogLine], request: str) -> list[LogLine]:
+    """Return the lines of a request and those that give their context, in order of time.
 
-    With what any node found of requests like it. In the order of time; of each server, and of each service's
-    roll-out, only the last change before the request's last line.
+    The context is the state of its servers and roll-outs on the same nodes, of which only the last change up
+    to the request's last line is kept, and the verdicts of any node on requests with the same fingerprint.
     """
     ordered = sorted(lines, key=lambda line: line.time)
     own = [line for line in ordered if line.fields.get("request") == request]
@@ -63,20 +65,22 @@
     services = {service for names in named for service in names}
     services |= {line.fields.get("service") for line in own} - {None}
     fingerprints = {line.fields.get("fingerprint") for line in own} - {None}
-    # Any node may have found what holds for a request that comes again.
-    judged = [line for line in ordered if line.event == JUDGED and line.fields["fingerprint"] in fingerprints]
-    beliefs: dict[tuple[str, str], LogLine] = {}
+    # The verdict on a repeated request may come from any node.
+    verdicts = [
+        line for line in ordered if line.event == VERDICT_EVENT and line.fields["fingerprint"] in fingerprints
+    ]
+    last_states: dict[tuple[str, str], LogLine] = {}
     for line in ordered:
         if line.time > own[-1].time or line.event not in CONTEXT_EVENTS or line.source not in sources:
             continue
         instance = line.fields.get("instance")
         if instance in servers or line.fields.get("service") in services:
-            beliefs[(line.source, str(instance))] = line
-    return sorted([*own, *judged, *beliefs.values()], key=lambda line: line.time)
+            last_states[(line.source, str(instance))] = line
+    return sorted([*own, *verdicts, *last_states.values()], key=lambda line: line.time)
 
 
 class ExplainCommand(BaseCommand):
-    """Prints one request's story in order."""
+    """Prints the log lines that explain one request, in order of time."""
 
     name = "explain"
     description = "Print one request's story from nodes' logs"
@@ -93,7 +97,7 @@
                 lines.extend(read_lines(name, Path(name).read_text().splitlines()))
             except OSError as error:
                 return self.fail(ExitCode.FAILED, f"{name}: {error.strerror or 'cannot be read'}")
-        found = story(lines, self.argument("request"))
+        found = lines_about(lines, self.argument("request"))
         if not found:
             request = self.argument("request")
             return self.fail(ExitCode.FAILED, f"no line names request {request}; give the logs of all nodes")
--- a/src/yokesill/cli/gateway.py
+++ b/src/yokesill/cli/gateway.py
@@ -22,7 +22,7 @@
 
 
 class FileFeed(Feed):
-    """Events from a file; ``publish`` tells new ones."""
+    """Feed of one event that ``publish`` replaces."""
 
     def __init__(self, name: str, event: Event) -> None:
         self.name = name
@@ -31,7 +31,7 @@
         self._changed = anyio.Event()
 
     def publish(self, event: Event) -> None:
-        """Tell the follower of a new state."""
+        """Replace the event and wake up the follower."""
         self._event = event
         self._position = Position(0, self._position.revision + 1)
         self._changed.set()
@@ -49,8 +49,8 @@
         return Batch(self._position, (self._event,) if position != self._position else ())
 
 
-class OneNode(NodeDirectory):
-    """A gateway that shares with nobody."""
+class SingleNodeDirectory(NodeDirectory):
+    """Directory of a gateway that consists of one node."""
 
     def __init__(self, node: str) -> None:
         self._node = node
@@ -65,25 +65,25 @@
 
 
 class FileGateway:
-    """A gateway whose configuration and servers stand in a file."""
-
-    def __init__(self, described: GatewayFile, output: logs.LogOutput) -> None:
-        settings = described.settings()
-        self._configuration = FileFeed("configuration", ConfigurationReceived(described.configuration()))
-        self._servers = FileFeed("servers", ServersReplaced(described.records()))
-        around = Dependencies(
-            self._configuration, self._servers, OneNode(settings.node), HeaderNames(), READY_PATH
+    """Gateway that takes its configuration and servers from a file."""
+
+    def __init__(self, gateway_file: GatewayFile, output: logs.LogOutput) -> None:
+        settings = gateway_file.settings()
+        self._configuration = FileFeed("configuration", ConfigurationReceived(gateway_file.configuration()))
+        self._servers = FileFeed("servers", ServersReplaced(gateway_file.records()))
+        dependencies = Dependencies(
+            self._configuration, self._servers, SingleNodeDirectory(settings.node), HeaderNames(), READY_PATH
         )
-        self.process = GatewayProcess(settings, around, random.Random(), output)
+        self.process = GatewayProcess(settings, dependencies, random.Random(), output)
 
-    def reload(self, described: GatewayFile) -> None:
-        """Take a changed file; the node's own addresses stay as they are."""
-        self._configuration.publish(ConfigurationReceived(described.configuration()))
-        self._servers.publish(ServersReplaced(described.records()))
+    def reload(self, gateway_file: GatewayFile) -> None:
+        """Apply a changed file; the node keeps its own addresses."""
+        self._configuration.publish(ConfigurationReceived(gateway_file.configuration()))
+        self._servers.publish(ServersReplaced(gateway_file.records()))
 
 
 class GatewayCommand(BaseCommand):
-    """Runs a gateway until SIGTERM or SIGINT; SIGHUP reads the file again."""
+    """Runs a gateway until SIGTERM or SIGINT; SIGHUP reloads the file."""
 
     name = "gateway"
     description = "Run a gateway node from a file of routes and servers"
@@ -92,33 +92,33 @@
     def handle(self) -> int:
         """Check the file and serve."""
         path = Path(self.argument("file"))
-        described = read_gateway_file(path)
-        if isinstance(described, list):
-            for problem in described:
+        gateway_file = read_gateway_file(path)
+        if isinstance(gateway_file, list):
+            for problem in gateway_file:
                 self.line_error(f"<error>error:</error> {path}: {problem}")
             return int(ExitCode.INVALID)
-        gateway = FileGateway(described, logs.configure())
+        gateway = FileGateway(gateway_file, logs.configure())
         return self.run_async(lambda: _serve(gateway, path))
 
 
 async def _serve(gateway: FileGateway, path: Path) -> int:
     async with anyio.create_task_group() as task_group:
-        task_group.start_soon(_follow_signals, gateway, path)
+        task_group.start_soon(_handle_signals, gateway, path)
         await gateway.process.run()
         task_group.cancel_scope.cancel()
     return int(ExitCode.OK)
 
 
-async def _follow_signals(gateway: FileGateway, path: Path) -> None:
+async def _handle_signals(gateway: FileGateway, path: Path) -> None:
     log = logs.get_logger("settings")
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         async for number in signals:
             if number != signal.SIGHUP:
                 gateway.process.stop()
                 continue
-            described = read_gateway_file(path)
-            if isinstance(described, list):
-                log.error("settings_rejected", problems=[str(each) for each in described])
+            gateway_file = read_gateway_file(path)
+            if isinstance(gateway_file, list):
+                log.error("settings_rejected", problems=[str(each) for each in gateway_file])
             else:
-                gateway.reload(described)
-                log.info("settings_reloaded", version=described.version)
+                gateway.reload(gateway_file)
+                log.info("settings_reloaded", version=gateway_file.version)
--- a/src/yokesill/cli/gateway_file.py
+++ b/src/yokesill/cli/gateway_file.py
@@ -1,4 +1,4 @@
-"""A gateway described by one TOML file: the node, its routes and its servers; no registry is needed."""
+"""Schema of a gateway file (TOML): node, routes and servers of a gateway that runs without a registry."""
 
 import tomllib
 from pathlib import Path
@@ -19,17 +19,17 @@
 from yokesill.serving.settings import Address, GatewaySettings, SettingsProblem
 
 IpAndPort = Annotated[str, StringConstraints(pattern=r"^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$")]
-NOWHERE = Address("0.0.0.0", 0)
+UNUSED_ADDRESS = Address("0.0.0.0", 0)
 
 
 class Table(BaseModel):
-    """Base of all tables: immutable, unknown keys refused."""
+    """Base of all tables: immutable, rejects unknown keys."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
 
 class NodeTable(Table):
-    """The node itself."""
+    """Name, zone and addresses of the node."""
 
     name: str = Field(min_length=1, description="the node's name in logs")
     zone: str = Field(default="main", description="the zone that it stands in")
@@ -39,7 +39,7 @@
 
 
 class BudgetTable(Table):
-    """Extra attempts a service: ``ratio`` of its requests and ``allowance`` in any window."""
+    """Budget of extra attempts per service: ``ratio`` of its requests plus ``allowance`` per window."""
 
     ratio: float = Field(default=0.1, ge=0, le=10)
     allowance: float = Field(default=10.0, ge=0, le=1_000_000)
@@ -47,7 +47,7 @@
 
 
 class SplitTable(Table):
-    """One part of a split."""
+    """One weighted service of a split."""
 
     service: str
     weight: float = Field(gt=0)
@@ -70,7 +70,7 @@
     split: tuple[SplitTable, ...] = ()
 
     def document(self) -> Route:
-        """Return the route as the gateway knows it."""
+        """Return the gateway's document of this route."""
         destination: Gather | Split
         if self.gather:
             destination = Gather(self.gather, self.greatest, self.minimum_coverage)
@@ -84,7 +84,7 @@
 
 
 class ServerTable(Table):
-    """One server."""
+    """One server instance."""
 
     instance: str = Field(min_length=1)
     service: str
@@ -93,13 +93,13 @@
     slots: int = Field(default=2, ge=1)
 
     def document(self) -> ServerRecord:
-        """Return the server as the gateway knows it."""
+        """Return the gateway's record of this server."""
         host, _, port = self.address.rpartition(":")
         return ServerRecord(self.instance, self.service, host, int(port), self.zone, self.slots)
 
 
 class GatewayFile(Table):
-    """The whole file; ``version`` must rise for a change to take hold."""
+    """The whole file; a change takes effect only with a higher ``version``."""
 
     version: int = Field(ge=1)
     node: NodeTable
@@ -115,24 +115,24 @@
             zone=self.node.zone,
             callers=_address(self.node.callers),
             probes=_address(self.node.probes),
-            registry=NOWHERE,
+            registry=UNUSED_ADDRESS,
             budget=BudgetLimits(self.budget.ratio, self.budget.allowance, self.budget.window_seconds),
             stop_grace_s=self.node.stop_grace_seconds,
         )
 
     def configuration(self) -> Configuration:
-        """Return the routes and limits."""
+        """Return the configuration: routes and limits per service."""
         routes = tuple(route.document() for route in self.routes)
         limits = {name: ServiceLimits(self.connections_a_server) for each in routes for name in each.services}
         return Configuration(self.version, routes, limits)
 
     def records(self) -> tuple[ServerRecord, ...]:
-        """Return the servers."""
+        """Return the records of all servers."""
         return tuple(server.document() for server in self.servers)
 
 
 def read_gateway_file(path: Path) -> GatewayFile | list[SettingsProblem]:
-    """Read and check a file; return every mistake with its place."""
+    """Read and validate a file; return all problems with their locations."""
     try:
         parsed = GatewayFile.model_validate(tomllib.loads(path.read_text()))
     except OSError as error:
@@ -145,14 +145,14 @@
 
 
 def _check_routes(parsed: GatewayFile) -> list[SettingsProblem]:
-    served = {server.service for server in parsed.servers}
+    listed_services = {server.service for server in parsed.servers}
     problems = []
     for index, route in enumerate(parsed.routes):
         place = f"routes.{index}"
         if bool(route.gather) == bool(route.split):
             problems.append(SettingsProblem(place, "exactly one of gather and split is needed"))
         names = {*route.gather, *(part.service for part in route.split)}
-        for name in sorted(names - served):
+        for name in sorted(names - listed_services):
             problems.append(SettingsProblem(place, f"no server of service {name!r} is listed"))
     return problems
 
--- a/src/yokesill/cli/get.py
+++ b/src/yokesill/cli/get.py
@@ -1,4 +1,4 @@
-"""``yokesill get``: show documents, their history, or what became of a change."""
+"""``yokesill get``: show documents, their history, or the outcome of a change."""
 
 import yaml
 from cleo.helpers import argument, option
@@ -21,7 +21,7 @@
     ]
 
     def handle(self) -> int:
-        """Ask a node and print."""
+        """Query a node and print the reply."""
         return self.run_async(self._get)
 
     async def _get(self) -> int:
--- a/src/yokesill/cli/load.py
+++ b/src/yokesill/cli/load.py
@@ -1,4 +1,4 @@
-"""``yokesill load``: a scenario's open-loop load on nodes, with the promises checked."""
+"""``yokesill load``: sends a scenario's open-loop load to nodes and checks their guarantees."""
 
 import json
 from dataclasses import asdict
@@ -22,7 +22,7 @@
 
 
 class LoadCommand(BaseCommand):
-    """Sends load, gathers the back ends' logs, checks and prints."""
+    """Sends the load, collects the executions of the back ends, checks them and prints a summary."""
 
     name = "load"
     description = "Send a scenario's load to nodes and check the promises"
@@ -56,11 +56,13 @@
         executions = await self._executions(scenario)
         records = {service.name: service.records for service in scenario.services}
         violations = check_outcomes(load.outcomes, executions, scenario.namespace, records)
-        asked = {service.name: service.shards for service in scenario.services}
+        shard_counts = {service.name: service.shards for service in scenario.services}
         answered = {each.query_id for each in load.outcomes if each.answered}
-        needed = sum(1 if o.keyed else asked[o.service] for o in load.outcomes if o.answered)
-        ran = sum(1 for each in executions if each.query_id in answered)
-        summary = summarise(scenario.name, seconds, load.outcomes, ran, needed, violations)
+        needed_requests = sum(1 if o.keyed else shard_counts[o.service] for o in load.outcomes if o.answered)
+        executed_requests = sum(1 for each in executions if each.query_id in answered)
+        summary = summarise(
+            scenario.name, seconds, load.outcomes, executed_requests, needed_requests, violations
+        )
         for violation in violations[:10]:
             self.line_error(f"violation: {violation}")
         self._write(summary, load)
@@ -72,7 +74,7 @@
             self.line_error(f"sent {sent} of {total}")
 
     async def _executions(self, scenario: Scenario) -> list[Execution]:
-        """Gather what every back end logged that it ran."""
+        """Collect the logged executions of all back ends."""
         client = HttpClient()
         executions: list[Execution] = []
         for placed in place_servers(scenario, HOST, int(self.option("first-port"))):
--- a/src/yokesill/cli/main.py
+++ b/src/yokesill/cli/main.py
@@ -29,7 +29,7 @@
 
 
 def _factory(name: str) -> Callable[[], Command]:
-    """Return what makes a subcommand; its module is read when it is used, so a node loads no plots."""
+    """Return a factory that imports the subcommand on use, so that a node does not load matplotlib."""
 
     def make() -> Command:
         words = name.split("-")
--- a/src/yokesill/cli/query.py
+++ b/src/yokesill/cli/query.py
@@ -9,7 +9,7 @@
 
 
 class QueryCommand(BaseCommand):
-    """Sends one query and prints its answer with its coverage and snapshot."""
+    """Sends one query and prints the number of results, the coverage and the snapshot."""
 
     name = "query"
     description = "Send one query"
--- a/src/yokesill/cli/report.py
+++ b/src/yokesill/cli/report.py
@@ -1,4 +1,4 @@
-"""``yokesill report``: a self-contained page of a results file."""
+"""``yokesill report``: renders a results file as a self-contained page."""
 
 import json
 from pathlib import Path
@@ -10,7 +10,7 @@
 
 
 class ReportCommand(BaseCommand):
-    """Turns the JSON that ``load`` or the bench wrote into one page."""
+    """Renders the JSON results of ``load`` or of a benchmark as one HTML page."""
 
     name = "report"
     description = "Write a page of a load run's results"
@@ -18,7 +18,7 @@
     options = [option("page", None, "file to write", flag=False, default="report.html")]
 
     def handle(self) -> int:
-        """Read, render and write."""
+        """Read the results and write the page."""
         source = Path(self.argument("results"))
         try:
             page = render_page(json.loads(source.read_text()))
--- a/src/yokesill/cli/rollouts.py
+++ b/src/yokesill/cli/rollouts.py
@@ -1,4 +1,4 @@
-"""``yokesill rollouts``: the roll-outs that a gateway node knows, with stage, share, counts and time left."""
+"""``yokesill rollouts``: the roll-outs on a gateway node, with stage, share, counts and time left."""
 
 from typing import Any
 
@@ -23,14 +23,14 @@
 
 
 class RolloutsCommand(BaseCommand):
-    """Lists roll-outs; the node is named by the address of its readiness and figures."""
+    """Lists roll-outs; ``--node`` is the address where the node serves readiness and metrics."""
 
     name = "rollouts"
     description = "List the roll-outs that a gateway node knows"
     options = list(NODE_OPTIONS)
 
     def handle(self) -> int:
-        """Ask a node and print."""
+        """Query a node and print its roll-outs."""
         return self.run_async(self._list)
 
     async def _list(self) -> int:
--- a/src/yokesill/cli/serve.py
+++ b/src/yokesill/cli/serve.py
@@ -23,7 +23,7 @@
 
 
 class ServeCommand(BaseCommand):
-    """Runs a node until SIGTERM or SIGINT, which begin a planned stop."""
+    """Runs a node until SIGTERM or SIGINT, which start a planned stop."""
 
     name = "serve"
     description = "Run a node"
@@ -34,7 +34,7 @@
     ]
 
     def handle(self) -> int:
-        """Check the settings and serve."""
+        """Load the settings and run the node."""
         settings = load_settings(Path(self.argument("settings")))
         if isinstance(settings, list):
             return self.fail_with_errors(self.argument("settings"), settings)
@@ -46,7 +46,7 @@
 
 
 async def serve(settings: Settings) -> int:
-    """Run a node to the end of its planned stop."""
+    """Run a node until its planned stop is complete."""
     node = build_node(settings)
     host, port = split_address(settings.node.address)
     server = create_server(create_app(node), host, port)
@@ -64,7 +64,7 @@
 
 
 def build_node(settings: Settings) -> Node:
-    """Return a node that talks to the real outside."""
+    """Return a node with the real store, transport and back-end clients."""
     return Node(
         settings=settings,
         store=HttpStore(settings.store.url, settings.store.timeout_seconds),
--- a/src/yokesill/cli/status.py
+++ b/src/yokesill/cli/status.py
@@ -1,4 +1,4 @@
-"""``yokesill status``: members, what each has in force, and servers that are leaving."""
+"""``yokesill status``: members, the revision each has in force, and leaving servers."""
 
 from typing import Any
 
@@ -9,14 +9,14 @@
 
 
 class StatusCommand(BaseCommand):
-    """Shows the cluster as one node learns it now; or stops that node."""
+    """Shows the cluster as seen by one node, or stops that node."""
 
     name = "status"
     description = "Show members and what is in force"
     options = [*NODE_OPTIONS, option("stop", None, "begin a planned stop of the node instead")]
 
     def handle(self) -> int:
-        """Ask a node and print."""
+        """Query a node and print the reply."""
         return self.run_async(self._status)
 
     async def _status(self) -> int:
--- a/src/yokesill/cli/validate.py
+++ b/src/yokesill/cli/validate.py
@@ -1,4 +1,4 @@
-"""``yokesill validate``: check documents offline, and show which rule answers for a request."""
+"""``yokesill validate``: check documents offline, and show which rule applies to a request."""
 
 import json
 from pathlib import Path
@@ -26,7 +26,7 @@
     ]
 
     def handle(self) -> int:
-        """Check, and explain the request if there is one."""
+        """Check the file; with ``--request``, print the rule that applies."""
         source = self.argument("file")
         documents, errors = read_documents(Path(source))
         if errors:
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -177,7 +177,7 @@
     assert "gap at 0" in str(read_documents(path)[1][0])
 
 
-def test_each_mistake_in_an_outcome_is_told_once_at_its_place(tmp_path: Path) -> None:
+def test_each_invalid_outcome_field_is_reported_once_with_its_location(tmp_path: Path) -> None:
     documents = yaml.safe_load(DOCUMENT)
     rules = documents["classes"]["c"]["rules"]
     rules[0]["then"] = {"wait_msec": 5, "wait_ms": "long"}
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demonstration and the example that the README begins with."""
+"""Tests of ``yokesill demo`` and of the gateway example at the start of the README."""
 
 import asyncio
 import re
@@ -18,7 +18,7 @@
 
 
 @pytest.fixture(scope="module")
-def told() -> str:
+def output() -> str:
     tester = CommandTester(DemoCommand())
     try:
         assert tester.execute("--first-port 17900") == 0, tester.io.fetch_error()
@@ -27,36 +27,36 @@
     return tester.io.fetch_output()
 
 
-def test_every_request_of_the_demo_is_answered(told: str) -> None:
-    statuses = re.findall(r"\| (?:search|gate|book)-\d+ +\| \d +\| (\d+)", told)
+def test_demo_requests_are_all_answered(output: str) -> None:
+    statuses = re.findall(r"\| (?:search|gate|book)-\d+ +\| \d +\| (\d+)", output)
     assert len(statuses) == 24
     assert set(statuses) == {"200"}
 
 
-def test_the_demos_booking_ran_once(told: str) -> None:
-    assert "servers that ran it: 1\n" in told
+def test_demo_booking_runs_once(output: str) -> None:
+    assert "servers that ran it: 1\n" in output
 
 
-def test_the_demos_slow_server_is_gone_around(told: str) -> None:
-    tried = re.search(r"was tried in (\d+) of (\d+) searches", told)
+def test_demo_slow_server_gets_less_than_half_of_the_searches(output: str) -> None:
+    tried = re.search(r"was tried in (\d+) of (\d+) searches", output)
     assert tried is not None
     assert int(tried[1]) < int(tried[2]) / 2
 
 
-def test_nothing_goes_to_the_server_that_left(told: str) -> None:
-    leaving = re.search(r"(\S+) leaves: a newer configuration is without it", told)
-    story = re.search(r"\nThe story of (\S+), as", told)
+def test_demo_server_that_left_gets_no_request(output: str) -> None:
+    leaving = re.search(r"(\S+) leaves: a newer configuration is without it", output)
+    story = re.search(r"\nThe story of (\S+), as", output)
     assert leaving is not None and story is not None
-    assert leaving[1] not in told[leaving.end() : story.start()]
-    # The story is of a search from before the server left, which may have hedged to it.
-    assert f"| {story[1]} " in told[: leaving.start()]
+    assert leaving[1] not in output[leaving.end() : story.start()]
+    # The printed log lines belong to a search sent before the server left, which may have hedged to it.
+    assert f"| {story[1]} " in output[: leaving.start()]
 
 
-def test_the_demo_ends_with_the_story_of_a_request(told: str) -> None:
-    assert "request_ended" in told.rpartition("The story of ")[2]
+def test_demo_ends_with_the_log_lines_of_a_request(output: str) -> None:
+    assert "request_ended" in output.rpartition("The story of ")[2]
 
 
-def test_the_example_answers_with_records_beside_its_stand_ins(tmp_path: Path) -> None:
+def test_example_gateway_with_emulated_servers_returns_records(tmp_path: Path) -> None:
     callers, probes, first, second = free_ports(4)
     ports = {"7301": callers, "7302": probes, "7401": first, "7402": second}
     file = tmp_path / "gateway.toml"
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,11 +1,11 @@
-"""One request's story out of several nodes' logs."""
+"""Tests of ``yokesill explain``: the log lines of one request, from the logs of several nodes."""
 
 import json
 from pathlib import Path
 
 from cleo.testers.command_tester import CommandTester
 
-from yokesill.cli.explain import ExplainCommand, read_lines, story
+from yokesill.cli.explain import ExplainCommand, lines_about, read_lines
 
 
 def line(time: str, event: str, **fields: object) -> str:
@@ -22,14 +22,18 @@
 NODE_2 = [f" 12.5 node-2 {line('03', 'request_ended', request='r0', outcome='answered')}", "not JSON"]
 
 
-def test_a_request_is_told_with_what_was_believed_of_its_servers() -> None:
+def test_lines_of_a_request_include_the_last_states_of_its_servers() -> None:
     lines = [*read_lines("node-1", NODE_1), *read_lines("x", NODE_2)]
-    assert [each.event for each in story(lines, "r1")] == ["server_state", "attempt_added", "request_ended"]
-    assert story(lines, "r1")[0].fields["instance"] == "i-1"
-    assert [each.source for each in story(lines, "r0")] == ["node-2"]
+    assert [each.event for each in lines_about(lines, "r1")] == [
+        "server_state",
+        "attempt_added",
+        "request_ended",
+    ]
+    assert lines_about(lines, "r1")[0].fields["instance"] == "i-1"
+    assert [each.source for each in lines_about(lines, "r0")] == ["node-2"]
 
 
-def test_a_canary_is_told_with_its_version_and_what_its_node_obeyed_of_the_roll_out() -> None:
+def test_lines_of_a_canary_request_include_the_roll_out_state_of_its_node() -> None:
     lines = [
         line("01", "rollout_obeyed", service="s4", target="v2", state="canary"),
         line(
@@ -43,11 +47,11 @@
         ),
         line("03", "request_ended", request="r4", outcome="answered"),
     ]
-    told = story(read_lines("node-1", lines), "r4")
-    assert [each.event for each in told] == ["rollout_obeyed", "attempt_added", "request_ended"]
+    found = lines_about(read_lines("node-1", lines), "r4")
+    assert [each.event for each in found] == ["rollout_obeyed", "attempt_added", "request_ended"]
 
 
-def test_the_command_prints_the_story_or_says_what_to_give(tmp_path: Path) -> None:
+def test_command_prints_the_lines_or_an_error(tmp_path: Path) -> None:
     file = tmp_path / "node-1.log"
     file.write_text("\n".join(NODE_1))
     tester = CommandTester(ExplainCommand())
@@ -58,7 +62,7 @@
     assert tester.execute(f"r1 {tmp_path / 'none'}") != 0
 
 
-def test_services_that_were_left_out_are_told_with_what_was_believed_of_their_servers() -> None:
+def test_lines_of_a_partial_answer_include_the_states_of_left_out_services() -> None:
     ended = line("07", "request_ended", request="r2", outcome="partial", left_out=["s2"], waited_ms=80.0)
-    told = story(read_lines("node-1", [*NODE_1, ended]), "r2")
-    assert [each.fields.get("instance") for each in told] == ["i-2", None]
+    found = lines_about(read_lines("node-1", [*NODE_1, ended]), "r2")
+    assert [each.fields.get("instance") for each in found] == ["i-2", None]
--- a/tests/test_gateway_command.py
+++ b/tests/test_gateway_command.py
@@ -1,4 +1,4 @@
-"""A gateway from a file: checked, served, and taken over when the file changes."""
+"""Tests of ``yokesill gateway``: the gateway file is validated, served, and reloaded."""
 
 import asyncio
 import tomllib
@@ -16,10 +16,10 @@
 EXAMPLE = Path(__file__).parent.parent / "examples" / "gateway.toml"
 
 
-def test_the_example_is_valid() -> None:
-    described = read_gateway_file(EXAMPLE)
-    assert isinstance(described, GatewayFile)
-    assert [route.name for route in described.configuration().routes] == ["weekly-search", "single-file"]
+def test_example_file_is_valid() -> None:
+    gateway_file = read_gateway_file(EXAMPLE)
+    assert isinstance(gateway_file, GatewayFile)
+    assert [route.name for route in gateway_file.configuration().routes] == ["weekly-search", "single-file"]
 
 
 @pytest.mark.parametrize(
@@ -34,7 +34,7 @@
         ("[[routes]]", "[[routes", "(file)"),
     ],
 )
-def test_every_mistake_names_its_place(before: str, after: str, place: str, tmp_path: Path) -> None:
+def test_invalid_file_reports_the_location(before: str, after: str, place: str, tmp_path: Path) -> None:
     file = tmp_path / "gateway.toml"
     file.write_text(EXAMPLE.read_text().replace(before, after))
     problems = read_gateway_file(file)
@@ -45,7 +45,7 @@
     assert place in tester.io.fetch_error()
 
 
-def test_a_file_is_served_and_a_newer_one_takes_hold() -> None:
+def test_reload_of_a_newer_file_replaces_the_routes() -> None:
     async def main() -> None:
         backend = Backend()
         server = await asyncio.start_server(backend.serve, LOOPBACK, 0)
@@ -53,10 +53,10 @@
         callers, probes = free_ports(2)
         text = EXAMPLE.read_text().replace(":7401", f":{port}").replace(":7301", f":{callers}")
         text = text.replace(":7302", f":{probes}").replace("records.example", "shop.example")
-        described = GatewayFile.model_validate(tomllib.loads(text))
-        gateway = FileGateway(described, LogOutput(1))
+        gateway_file = GatewayFile.model_validate(tomllib.loads(text))
+        gateway = FileGateway(gateway_file, LogOutput(1))
         node = Node(backend, port)
-        node.settings, node.process = described.settings(), gateway.process
+        node.settings, node.process = gateway_file.settings(), gateway.process
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(gateway.process.run)
             await asyncio.sleep(0.2)
@@ -65,10 +65,10 @@
             changed = text.replace("version = 1", "version = 2").replace("/file/", "/files/")
             gateway.reload(GatewayFile.model_validate(tomllib.loads(changed)))
 
-            async def taken() -> bool:
+            async def reloaded() -> bool:
                 return (await node.ask("/files/x")).startswith(b"HTTP/1.1 200")
 
-            await node.until(taken)
+            await node.until(reloaded)
             assert (await node.ask("/file/x")).startswith(b"HTTP/1.1 404")
             tasks.cancel_scope.cancel()
         server.close()
