--- a/src/yokesill/cli/demo.py
+++ b/src/yokesill/cli/demo.py
@@ -126,7 +126,9 @@
     """Runs the demonstration once and prints the replies to callers."""
 
     name = "demo"
-    description = "Run servers and two gateway nodes in one process; show answers, and trouble gone around"
+    description = (
+        "Run servers and two gateway nodes in one process; show how they avoid slow and leaving servers"
+    )
     options = [
         option("first-port", None, "first of the ports to use", flag=False, default=str(DEFAULT_FIRST_PORT))
     ]
@@ -155,11 +157,13 @@
         return int(ExitCode.OK if all(each.status == 200 for each in asked) else ExitCode.FAILED)
 
     async def _show_normal_operation(self, deployment: DemoDeployment) -> list[ObservedReply]:
-        self.line("Searches ask one server of each of 4 shards, gate checks one desk. All may be repeated.")
+        self.line(
+            "Searches ask one server of each of 4 shards, gate checks one desk server. Both may be repeated."
+        )
         asked = [await deployment.ask(f"/search/crew-{number}") for number in range(SEARCH_COUNT)]
         asked += [await deployment.ask(f"/gate/worker-{number}") for number in range(GATE_CHECK_COUNT)]
         self.print_table(TABLE_HEADERS, [each.row() for each in asked])
-        self.line("\nA booking must not run twice: it is sent again only if it surely did not run.")
+        self.line("\nA booking must not run twice: it is retried only if it certainly did not run.")
         booking = await deployment.ask("/book/shift-7", "POST")
         self.print_table(TABLE_HEADERS, [booking.row()])
         ran = sum(each.ran.count(booking.request) for each in deployment.servers.values())
@@ -171,9 +175,9 @@
         slow = next(each for each in used.servers if each.startswith("hours-1"))
         deployment.servers[slow].slow_s = ADDED_DELAY_S
         self.line(
-            f"{slow} turns slow: each answer takes {ADDED_DELAY_S * 1000:.0f} ms more. Its part is asked"
+            f"{slow} becomes slow: each answer takes {ADDED_DELAY_S * 1000:.0f} ms longer. Nodes first hedge"
         )
-        self.line("for at the shard's other server, and then it is gone around.")
+        self.line("its part to the shard's other server, then stop using the slow one.")
         before = len(deployment.servers[slow].ran)
         asked = [await deployment.ask(f"/search/slow-{number}") for number in range(SLOW_SEARCH_COUNT)]
         self.print_table(TABLE_HEADERS, [each.row() for each in asked])
@@ -186,7 +190,7 @@
         used = await deployment.ask("/search/before")
         leaving = next(each for each in used.servers if each.startswith("hours-2"))
         await deployment.remove_server(leaving)
-        self.line(f"{leaving} leaves: a newer configuration is without it.")
+        self.line(f"{leaving} leaves: the new configuration no longer lists it.")
         asked = [await deployment.ask(f"/search/left-{number}") for number in range(SEARCH_COUNT)]
         self.print_table(TABLE_HEADERS, [each.row() for each in asked])
         return asked
--- a/src/yokesill/cli/get.py
+++ b/src/yokesill/cli/get.py
@@ -17,7 +17,7 @@
     options = [
         *NODE_OPTIONS,
         option("history", None, "show the document's kept revisions"),
-        option("change", None, "show what became of this change id", flag=False),
+        option("change", None, "show the outcome of the change with this id", flag=False),
     ]
 
     def handle(self) -> int:
--- a/src/yokesill/cli/load.py
+++ b/src/yokesill/cli/load.py
@@ -25,12 +25,12 @@
     """Sends the load, collects the executions of the back ends, checks them and prints a summary."""
 
     name = "load"
-    description = "Send a scenario's load to nodes and check the promises"
+    description = "Send a scenario's load to nodes and check the guarantees"
     arguments = [argument("scenario", "scenario file (YAML)")]
     options = [
         *NODE_OPTIONS,
         option("nodes", None, "IP:PORT of all nodes, comma-separated", flag=False),
-        option("seconds", None, "how long", flag=False, default="10"),
+        option("seconds", None, "duration in seconds", flag=False, default="10"),
         option("factor", None, "multiplies the scenario's rates", flag=False, default="1"),
         option("first-port", None, "port of the first back end", flag=False, default="7300"),
         option("seed", None, "seed of the arrivals", flag=False, default="1"),
--- a/src/yokesill/cli/rollouts.py
+++ b/src/yokesill/cli/rollouts.py
@@ -26,7 +26,7 @@
     """Lists roll-outs; ``--node`` is the address where the node serves readiness and metrics."""
 
     name = "rollouts"
-    description = "List the roll-outs that a gateway node knows"
+    description = "List the roll-outs on a gateway node"
     options = list(NODE_OPTIONS)
 
     def handle(self) -> int:
@@ -39,7 +39,9 @@
         if isinstance(reply, Failure):
             return self.fail_unreachable(client, reply)
         if not reply.ok:
-            return self.fail(ExitCode.FAILED, f"{client.node} follows no roll-outs (status {reply.status})")
+            return self.fail(
+                ExitCode.FAILED, f"{client.node} does not serve roll-outs (status {reply.status})"
+            )
         if self.wants_json:
             self.print_json(reply.body)
             return int(ExitCode.OK)
--- a/src/yokesill/cli/status.py
+++ b/src/yokesill/cli/status.py
@@ -12,7 +12,7 @@
     """Shows the cluster as seen by one node, or stops that node."""
 
     name = "status"
-    description = "Show members and what is in force"
+    description = "Show members and the revisions in force"
     options = [*NODE_OPTIONS, option("stop", None, "begin a planned stop of the node instead")]
 
     def handle(self) -> int:
--- a/src/yokesill/cli/validate.py
+++ b/src/yokesill/cli/validate.py
@@ -18,7 +18,7 @@
     """Checks a file of documents without a node."""
 
     name = "validate"
-    description = "Check documents offline; with --request, show which rule answers"
+    description = "Check documents offline; with --request, show which rule applies"
     arguments = [argument("file", "file of documents")]
     options = [
         option("request", None, "JSON file of facts: request_class, deadline_ms, ...", flag=False),
--- a/src/yokesill/emulator/faults.py
+++ b/src/yokesill/emulator/faults.py
@@ -1,4 +1,4 @@
-"""What a stand-in can be told to do wrong."""
+"""Faults that can be injected into a stand-in."""
 
 from pydantic import BaseModel, ConfigDict, Field
 
@@ -17,7 +17,7 @@
     frozen: bool = False
     dead: bool = False
     leaving: bool = False
-    # Planted defects, which the checkers must catch.
+    # Seeded defects that the checkers must detect.
     answer_other_version: bool = False
     answer_other_attempt: bool = False
     answer_truncated: bool = False
--- a/src/yokesill/emulator/record_server.py
+++ b/src/yokesill/emulator/record_server.py
@@ -1,7 +1,8 @@
-"""A stand-in of the servers that gateway nodes ask: a plain ASGI application that answers with records.
+"""Stand-in for the servers behind gateway nodes: a plain ASGI application that answers with records.
 
-Any path is answered with ``RECORDS`` records of 16 printable bytes, each a line with its rank and its
-service, and with the headers by which a node knows a whole answer to its very request.
+Each request, whatever its path, is answered with ``RECORDS`` records of 16 printable bytes. A record is a
+line with its rank and service. Headers let the node verify that the answer is complete and belongs to its
+request.
 """
 
 import random
@@ -17,12 +18,12 @@
 Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
 OK, MISDIRECTED = 200, 421
-RECORDS, RECORD_BYTES, HIGHEST_RANK = 40, 16, 9999
-SERVICE_TIME_S = (0.004, 0.012)
+RECORDS, RECORD_BYTES, MAX_RANK = 40, 16, 9999
+SERVICE_TIME_RANGE_S = (0.004, 0.012)
 
 
 class RecordServer:
-    """One server; ``slow_s`` is added to each answer's time, ``ran`` are the requests it ran."""
+    """One server; ``slow_s`` is added to each response time, ``ran`` lists the ids of executed requests."""
 
     def __init__(self, instance: str, service: str, source: random.Random) -> None:
         self.instance = instance
@@ -45,11 +46,11 @@
             return
         self.ran.append(request_id.decode("latin-1"))
         signature = f"{self.instance}.{len(self.ran)}".encode()
-        await anyio.sleep(self.slow_s + self._random.uniform(*SERVICE_TIME_S))
+        await anyio.sleep(self.slow_s + self._random.uniform(*SERVICE_TIME_RANGE_S))
         await _answer(send, OK, [*echo, (self._names.signature, signature)], self._records())
 
     def _records(self) -> bytes:
-        ranks = (self._random.randrange(HIGHEST_RANK + 1) for _ in range(RECORDS))
+        ranks = (self._random.randrange(MAX_RANK + 1) for _ in range(RECORDS))
         lines = (f"{rank:04d} {self.service}"[: RECORD_BYTES - 1] for rank in ranks)
         return b"".join(line.ljust(RECORD_BYTES - 1).encode() + b"\n" for line in lines)
 
--- a/src/yokesill/emulator/records.py
+++ b/src/yokesill/emulator/records.py
@@ -1,4 +1,4 @@
-"""The records that stand-in servers hold: made up, but the same for everybody."""
+"""Synthetic records of the stand-in servers, derived from their names and so equal in all processes."""
 
 import bisect
 from functools import cache
--- a/src/yokesill/emulator/running.py
+++ b/src/yokesill/emulator/running.py
@@ -1,4 +1,4 @@
-"""Runs stand-ins in the caller's event loop."""
+"""Starts stand-ins in the caller's event loop."""
 
 import random
 
@@ -18,7 +18,7 @@
 
 
 async def start_server(app: object, host: str, port: int, task_group: anyio.abc.TaskGroup) -> EmbeddedServer:
-    """Start serving ``app`` and return once it listens."""
+    """Start a server for ``app``; returns once it listens."""
     server = create_server(app, host, port)
     task_group.start_soon(server.serve)
     while not server.started:
@@ -39,7 +39,7 @@
 async def start_backends(
     scenario: Scenario, models: dict[str, ServerModel], task_group: anyio.abc.TaskGroup
 ) -> list[EmbeddedServer]:
-    """Serve every model at its address."""
+    """Start a server for each model at its address."""
     servers = []
     for address, model in models.items():
         host, _, port = address.rpartition(":")
@@ -50,7 +50,7 @@
 
 
 async def start_record_servers(servers: dict[str, RecordServer], task_group: anyio.abc.TaskGroup) -> None:
-    """Serve each server of gateway nodes at its address."""
+    """Start the record servers at their addresses."""
     for address, app in servers.items():
         host, _, port = address.rpartition(":")
         await start_server(app, host, int(port), task_group)
@@ -59,7 +59,7 @@
 async def start_store(
     model: StoreModel, host: str, port: int, task_group: anyio.abc.TaskGroup
 ) -> EmbeddedServer:
-    """Serve the store's stand-in."""
+    """Start the store's stand-in."""
     return await start_server(create_store_app(model), host, port, task_group)
 
 
@@ -71,11 +71,11 @@
     for at, event, faults in sorted(steps, key=lambda step: step[0]):
         await anyio.sleep(max(0.0, started + at - anyio.current_time()))
         for each in placed:
-            if _concerns(event, each):
+            if _matches(event, each):
                 models[each.profile.address].set_faults(faults.model_copy())
 
 
-def _concerns(event: FaultEvent, placed: PlacedServer) -> bool:
+def _matches(event: FaultEvent, placed: PlacedServer) -> bool:
     wanted = (
         (event.service, placed.profile.service),
         (event.shard, placed.shard_index),
--- a/src/yokesill/emulator/scenario.py
+++ b/src/yokesill/emulator/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: which stand-ins run, and the configuration documents that fit them."""
+"""Scenario files: the stand-ins to run, and the configuration documents that match them."""
 
 from pathlib import Path
 from typing import Any
@@ -14,13 +14,13 @@
 
 
 class Part(BaseModel):
-    """Base of all parts: unknown keys are refused."""
+    """Base of all parts: immutable, rejects unknown keys."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
 
 class Load(Part):
-    """One class's share of the load, in queries a second."""
+    """Load of one request class; ``rate`` in queries per second."""
 
     request_class: str = Field(alias="class")
     rate: float = Field(gt=0)
@@ -46,7 +46,10 @@
 
 
 class FaultEvent(Part):
-    """A fault set at ``at`` seconds on the ``replica``-th server of each named shard, until ``until``."""
+    """Faults set at ``at`` seconds on the matching servers and cleared at ``until``, if given.
+
+    A server matches on ``service``, ``replica`` and ``shard``; ``None`` matches all.
+    """
 
     at: float = Field(ge=0)
     until: float | None = None
@@ -69,7 +72,7 @@
 
 
 class PlacedServer(BaseModel):
-    """A server of the scenario with its place."""
+    """A server of the scenario with its shard and replica index."""
 
     profile: ServerProfile
     shard_index: int
@@ -88,7 +91,7 @@
 
 
 def place_servers(scenario: Scenario, host: str, first_port: int) -> list[PlacedServer]:
-    """Give every server an address and a zone; a shard's replicas stand in different zones."""
+    """Give every server an address and a zone; a shard's replicas are spread over the zones."""
     placed: list[PlacedServer] = []
     port = first_port
     for service in scenario.services:
@@ -117,7 +120,7 @@
 
 
 def documents_of(scenario: Scenario, placed: list[PlacedServer]) -> dict[str, dict[str, Any]]:
-    """Return the configuration documents by key, in the order in which they are to be applied."""
+    """Return the configuration documents by key, in the order in which they must be applied."""
     root = f"namespaces/{scenario.namespace}"
     documents: dict[str, dict[str, Any]] = {root: {"kind": "namespace", "description": scenario.name}}
     for service in scenario.services:
@@ -134,10 +137,12 @@
             "extra_load_budget": service.extra_load_budget,
         }
         for index in range(service.shards):
-            mine = [p for p in placed if p.profile.service == service.name and p.shard_index == index]
+            shard_servers = [
+                p for p in placed if p.profile.service == service.name and p.shard_index == index
+            ]
             replicas = [
                 {"address": p.profile.address, "zone": p.profile.zone, "connections": p.connections}
-                for p in mine
+                for p in shard_servers
             ]
             documents[f"{key}/replicas/1/s{index}"] = {"kind": "replicaset", "replicas": replicas}
     return documents
--- a/src/yokesill/emulator/server_http.py
+++ b/src/yokesill/emulator/server_http.py
@@ -1,4 +1,4 @@
-"""A back-end stand-in over HTTP, as a plain ASGI application: ``/query``, ``/health``, ``/control``."""
+"""Serves a back-end stand-in over HTTP as a plain ASGI application: ``/query``, ``/health``, ``/control``."""
 
 import json
 from collections.abc import Awaitable, Callable, MutableMapping
@@ -27,7 +27,7 @@
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Serve one request."""
         body = await _read(receive)
-        await self._pay_for_new_connection(scope)
+        await self._delay_new_connection(scope)
         reply: ModelReply | None = None
 
         async def watch_caller() -> None:
@@ -42,9 +42,9 @@
         if reply is None:
             return
         if reply.lost:
-            # The reply is cut short: the caller sees a broken connection after the effect.
+            # The reply is truncated: the caller sees a broken connection although the attempt ran.
             await _start(send, HTTP_OK, 1_000_000)
-            raise ConnectionAbortedError("a lost reply, as told")
+            raise ConnectionAbortedError("reply lost: injected fault lose_reply_probability")
         await _respond(send, reply)
 
     async def _serve(self, path: str, body: bytes) -> ModelReply:
@@ -70,7 +70,7 @@
             return ModelReply(HTTP_BAD_REQUEST, {"detail": str(error)})
         return ModelReply(HTTP_OK, {"ok": True})
 
-    async def _pay_for_new_connection(self, scope: Scope) -> None:
+    async def _delay_new_connection(self, scope: Scope) -> None:
         client = tuple(scope.get("client") or ("", 0))
         if client not in self._seen:
             self._seen.add((str(client[0]), int(client[1])))
--- a/src/yokesill/emulator/server_model.py
+++ b/src/yokesill/emulator/server_model.py
@@ -1,4 +1,4 @@
-"""One back-end server: slots, a queue, service times, index versions, load reports and faults."""
+"""Model of one back-end server: slots, a queue, service times, index versions, load reports and faults."""
 
 import itertools
 import random
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Execution:
-    """One line of a server's log: an attempt that ran; ``leaving_for`` in seconds, if it was leaving."""
+    """An attempt that ran; ``leaving_for`` is how long the server had been leaving (seconds)."""
 
     attempt_id: str
     query_id: str
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelReply:
-    """A reply; a ``lost`` one must not reach the caller although the attempt ran."""
+    """A reply; if ``lost``, it must not reach the caller although the attempt ran."""
 
     status: int
     body: dict[str, Any]
@@ -42,7 +42,7 @@
 
 @dataclass(slots=True)
 class ServerProfile:
-    """What a server is by nature; times in seconds."""
+    """Fixed properties of a server; times in seconds."""
 
     address: str
     service: str
@@ -56,7 +56,7 @@
 
 @dataclass(slots=True)
 class ServerModel:
-    """A server's state; ``execute`` and ``health`` are what its wire offers."""
+    """State of a server; ``execute`` and ``health`` are the calls it serves."""
 
     profile: ServerProfile
     random_source: random.Random
@@ -75,14 +75,17 @@
     _reported: tuple[float, int, int] = (float("-inf"), 0, 0)
 
     def restart(self, incarnation: str) -> None:
-        """Come back empty-handed: cold, with a new incarnation and no faults."""
+        """Restart cold, with a new incarnation and no faults."""
         self.incarnation = incarnation
         self.faults = ServerFaults()
         self.started_at = anyio.current_time()
         self.leaving_since = None
 
     def set_faults(self, faults: ServerFaults) -> None:
-        """Change the faults; a drain starts its clock, a thaw wakes what waits."""
+        """Replace the faults.
+
+        ``leaving`` starts the time of the drain. Requests that a frozen server received run when it thaws.
+        """
         if faults.leaving and self.leaving_since is None:
             self.leaving_since = anyio.current_time()
         self.faults = faults
@@ -95,11 +98,11 @@
             self._log(request)
 
     async def execute(self, request: Mapping[str, Any]) -> ModelReply:
-        """Serve one attempt."""
-        await self._read_when_thawed(request)
-        declined = self._declined(request)
-        if declined is not None:
-            return self._reply(request, HTTP_UNAVAILABLE, {"reason": declined})
+        """Serve one attempt: run it, or decline it with a reason."""
+        await self._wait_until_thawed(request)
+        decline_reason = self._decline_reason(request)
+        if decline_reason is not None:
+            return self._reply(request, HTTP_UNAVAILABLE, {"reason": decline_reason})
         if (request["epoch"], request["version"]) not in self.holdings:
             return self._reply(request, HTTP_CONFLICT, {"reason": "snapshot_unavailable"})
         if self._slots is None:
@@ -118,13 +121,13 @@
 
     async def health(self) -> ModelReply:
         """Answer a health check."""
-        await self._while_frozen()
+        await self._wait_while_frozen()
         return ModelReply(HTTP_OK, self._status())
 
     async def _run(self, request: Mapping[str, Any]) -> ModelReply:
         self._log(request)
         await anyio.sleep(self._draw_service_time())
-        await self._while_frozen()
+        await self._wait_while_frozen()
         version = request["version"] + (1 if self.faults.answer_other_version else 0)
         entries = self._entries(request, version)
         if self.faults.double_entries:
@@ -139,15 +142,15 @@
         lost = self.random_source.random() < self.faults.lose_reply_probability
         return self._reply(request, HTTP_OK, body, lost)
 
-    def _declined(self, request: Mapping[str, Any]) -> str | None:
+    def _decline_reason(self, request: Mapping[str, Any]) -> str | None:
         if self.faults.leaving and not self.faults.ignore_drain:
             return "leaving"
         shed = self.random_source.random() < self.faults.shed_probability
-        too_full = self.queued >= self.profile.queue_bound
-        too_late = (
+        queue_full = self.queued >= self.profile.queue_bound
+        misses_deadline = (
             self.queued * self.profile.service_time / self.profile.slots * 1000 > request["deadline_ms"]
         )
-        return "shed" if shed or too_full or too_late else None
+        return "shed" if shed or queue_full or misses_deadline else None
 
     def _log(self, request: Mapping[str, Any]) -> None:
         now = anyio.current_time()
@@ -180,16 +183,16 @@
             seconds *= self.profile.cold_penalty
         return seconds
 
-    async def _read_when_thawed(self, request: Mapping[str, Any]) -> None:
-        """A frozen server cannot notice that its caller left: it will read and run the request."""
+    async def _wait_until_thawed(self, request: Mapping[str, Any]) -> None:
+        """Wait for the thaw; a frozen server does not notice a disconnect, so it runs the request later."""
         try:
-            await self._while_frozen()
+            await self._wait_while_frozen()
         except BaseException:
             if self.faults.frozen:
                 self._unread.append(request)
             raise
 
-    async def _while_frozen(self) -> None:
+    async def _wait_while_frozen(self) -> None:
         while self.faults.frozen or self.faults.dead:
             self._thawed = anyio.Event()
             await self._thawed.wait()
@@ -201,7 +204,7 @@
         return ModelReply(status, {"attempt_id": attempt_id, **self._status(), **body}, lost)
 
     def _status(self) -> dict[str, Any]:
-        """What every reply tells besides; the load lags and may be a lie."""
+        """Return the status part of each reply; the load lags and is scaled by ``load_lie``."""
         now = anyio.current_time()
         if now - self._reported[0] > LOAD_LAG_S:
             self._reported = (now, self.active, self.queued)
--- a/src/yokesill/emulator/store_http.py
+++ b/src/yokesill/emulator/store_http.py
@@ -1,4 +1,4 @@
-"""The platform's stand-in over HTTP; see ``store.http_store`` for its wire."""
+"""Serves the platform's stand-in over HTTP; ``store.http_store`` documents the protocol."""
 
 from collections.abc import Awaitable, Callable
 from dataclasses import asdict
@@ -54,19 +54,19 @@
 
     return Starlette(
         routes=[
-            Route("/objects", _faulty(list_objects)),
-            Route("/objects/{key:path}", _faulty(get_object), methods=["GET"]),
-            Route("/objects/{key:path}", _faulty(put_object), methods=["PUT"]),
-            Route("/history/{key:path}", _faulty(history)),
-            Route("/watch", _faulty(watch)),
-            Route("/machines", _faulty(machines)),
+            Route("/objects", _with_faults(list_objects)),
+            Route("/objects/{key:path}", _with_faults(get_object), methods=["GET"]),
+            Route("/objects/{key:path}", _with_faults(put_object), methods=["PUT"]),
+            Route("/history/{key:path}", _with_faults(history)),
+            Route("/watch", _with_faults(watch)),
+            Route("/machines", _with_faults(machines)),
             Route("/control", control, methods=["POST"]),
         ]
     )
 
 
-def _faulty(handler: Handler) -> Handler:
-    """Turn the model's faults into what a caller of a broken store sees."""
+def _with_faults(handler: Handler) -> Handler:
+    """Translate the model's faults into HTTP errors."""
 
     async def handle(request: Request) -> Response:
         try:
--- a/src/yokesill/emulator/store_model.py
+++ b/src/yokesill/emulator/store_model.py
@@ -1,4 +1,4 @@
-"""The platform's object API, as a model: versions, compare-and-swap, watches, history and faults."""
+"""Model of the platform's object API: versions, compare-and-swap, watches, history and faults."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -9,20 +9,20 @@
 from yokesill.resources.objects import StoredObject
 from yokesill.store.base import Conflict, Listing, Machine
 
-HISTORY_KEPT = 50
+MAX_HISTORY = 50
 
 
 class StoreDownError(Exception):
-    """The store refuses: nothing has happened."""
+    """The store is down; the call had no effect."""
 
 
 class AnswerLostError(Exception):
-    """The answer is lost on its way; the effect may have taken place."""
+    """The answer was lost; the call may have taken effect."""
 
 
 @dataclass(slots=True)
 class StoreModel:
-    """All objects with the last revisions of each; every change gets the next revision."""
+    """All objects with the last ``MAX_HISTORY`` revisions of each; every change gets the next revision."""
 
     faults: StoreFaults = field(default_factory=StoreFaults)
     machines: dict[str, Machine] = field(default_factory=dict)
@@ -32,7 +32,7 @@
     _changed: anyio.Event | None = None
 
     def set_faults(self, faults: StoreFaults) -> None:
-        """Change the faults; stale reads are stale as of now."""
+        """Replace the faults; stale reads return the state at the time of this call."""
         if faults.stale_reads and not self.faults.stale_reads:
             self._stale = {key: kept[-1] for key, kept in self._history.items()}
         self.faults = faults
@@ -40,7 +40,7 @@
 
     async def get(self, key: str) -> StoredObject | None:
         """Return the current object."""
-        await self._enter()
+        await self._apply_call_faults()
         if self.faults.stale_reads:
             return self._stale.get(key)
         return self._current(key)
@@ -48,8 +48,8 @@
     async def put(
         self, key: str, base_revision: int, change_id: str, value: dict[str, Any] | None
     ) -> StoredObject | Conflict:
-        """Replace ``base_revision`` of an object."""
-        await self._enter()
+        """Replace an object if ``base_revision`` is its current revision."""
+        await self._apply_call_faults()
         if self.faults.lose_requests:
             self.faults.lose_requests -= 1
             raise AnswerLostError
@@ -63,17 +63,17 @@
 
     async def history(self, key: str) -> list[StoredObject]:
         """Return the kept revisions of an object, the oldest first."""
-        await self._enter()
+        await self._apply_call_faults()
         return list(self._history.get(key, []))
 
     async def list_objects(self) -> Listing:
         """Return every object."""
-        await self._enter()
+        await self._apply_call_faults()
         return Listing(self.revision, [kept[-1] for kept in self._history.values()])
 
     async def watch(self, after_revision: int, wait: float) -> list[StoredObject]:
         """Return changes after a revision, waiting up to ``wait`` seconds for the first."""
-        await self._enter()
+        await self._apply_call_faults()
         with anyio.move_on_after(wait):
             while self.revision <= after_revision and not self.faults.break_watches and not self.faults.down:
                 if self._changed is None:
@@ -85,10 +85,10 @@
 
     async def list_machines(self) -> list[Machine]:
         """Return the machine list."""
-        await self._enter()
+        await self._apply_call_faults()
         return list(self.machines.values())
 
-    async def _enter(self) -> None:
+    async def _apply_call_faults(self) -> None:
         if self.faults.delay_ms:
             await anyio.sleep(self.faults.delay_ms / 1000)
         if self.faults.down:
@@ -108,12 +108,12 @@
         stored = StoredObject(key, self.revision, change_id, value)
         kept = self._history.setdefault(key, [])
         kept.append(stored)
-        del kept[:-HISTORY_KEPT]
+        del kept[:-MAX_HISTORY]
         self._notify()
         return stored
 
     def close(self) -> None:
-        """End every watch: the stand-in stops."""
+        """End all watches, so that the stand-in can stop."""
         self.faults = StoreFaults(down=True)
         self._notify()
 
--- a/src/yokesill/loadgen/__init__.py
+++ b/src/yokesill/loadgen/__init__.py
@@ -1,1 +1,1 @@
-"""Open-loop load, checkers of the promises, and reports; over HTTP or in virtual time."""
+"""Open-loop load, checkers of the guarantees, and reports; over HTTP or in virtual time."""
--- a/src/yokesill/loadgen/checkers.py
+++ b/src/yokesill/loadgen/checkers.py
@@ -1,4 +1,4 @@
-"""Checkers of the promises: what callers got against what the back ends logged that they ran."""
+"""Checks the guarantees: compares the outcomes at callers with the executions logged by back ends."""
 
 from collections import Counter
 from collections.abc import Iterable, Sequence
@@ -14,7 +14,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken promise; ``promise`` is its short name."""
+    """One violated guarantee; ``promise`` is its short name."""
 
     promise: str
     query_id: str
@@ -24,7 +24,7 @@
 def check_outcomes(
     outcomes: Iterable[Outcome], executions: Iterable[Execution], namespace: str, records: dict[str, int]
 ) -> list[Violation]:
-    """Return every violation; ``records`` holds how many records each service has."""
+    """Return all violations; ``records`` is the number of records by service."""
     outcomes = list(outcomes)
     runs = list(executions)
     return [
@@ -55,7 +55,7 @@
 
 
 def _check_entries(each: Outcome, namespace: str, records: dict[str, int]) -> Iterable[Violation]:
-    """Compare a wide answer with what it should hold, given the coverage that it reports."""
+    """Compare the entries of a wide answer with those expected for its reported coverage."""
     width = sum(end - start for start, end in each.missing)
     if abs(each.coverage - (1 - width / KEY_SPACE)) > 1e-9:
         yield Violation("true_coverage", each.query_id, f"{each.coverage} with {width} missing")
--- a/src/yokesill/loadgen/http_load.py
+++ b/src/yokesill/loadgen/http_load.py
@@ -1,4 +1,4 @@
-"""Sends a plan of arrivals to nodes over HTTP, open-loop, and collects what came back."""
+"""Sends planned arrivals to nodes over HTTP, open-loop, and collects the outcomes."""
 
 import json
 from collections.abc import Callable
@@ -13,13 +13,13 @@
 from yokesill.loadgen.outcomes import Outcome, fill_from_reply
 from yokesill.loadgen.plan import Arrival
 
-CONNECTIONS_A_NODE = 512
+CONNECTIONS_PER_NODE = 512
 REPLY_GRACE_S = 2.0
 
 
 @dataclass(slots=True)
 class HttpLoad:
-    """One run of load on some nodes; a node that refuses connections is left out for a while."""
+    """One load run on some nodes; a node that refuses connections is skipped for a while."""
 
     nodes: list[str]
     namespace: str
@@ -30,7 +30,7 @@
     killed: Callable[[str], bool] = lambda _node: False
 
     async def run(self, arrivals: list[Arrival], progress: Callable[[int, int], None]) -> None:
-        """Send every arrival at its time and wait for all the ends."""
+        """Send each arrival at its time and wait for all outcomes."""
         started = anyio.current_time()
         async with anyio.create_task_group() as task_group:
             for number, arrival in enumerate(arrivals):
@@ -47,16 +47,16 @@
             node = self.nodes[(number + attempt) % len(self.nodes)]
             if self.refused_until.get(node, 0.0) > anyio.current_time():
                 continue
-            if await self._ask(node, arrival, outcome):
+            if await self._try_node(node, arrival, outcome):
                 break
         else:
             outcome.verdict, outcome.reason = "not_run", "no_node"
         outcome.latency = anyio.current_time() - started - arrival.at
         self.outcomes.append(outcome)
 
-    async def _ask(self, node: str, arrival: Arrival, outcome: Outcome) -> bool:
-        """Send to one node; return ``False`` when nothing was sent, so that another may be asked."""
-        connections = self._set_of(node)
+    async def _try_node(self, node: str, arrival: Arrival, outcome: Outcome) -> bool:
+        """Send to one node; return ``False`` if nothing ran, so that another node can be tried."""
+        connections = self._connections_of(node)
         connection = await connections.take()
         if connection is None:
             return False
@@ -85,17 +85,17 @@
         except (httpcore.NetworkError, httpcore.ProtocolError, TimeoutError) as error:
             await connections.drop(connection)
             outcome.verdict, outcome.reason = "may_have_run", type(error).__name__
-            # The callers of a node that was killed are cut off; those of a stopped one must not be.
+            # A killed node cuts its callers off; a planned stop must not.
             outcome.cut = not self.killed(node)
             return True
         await connections.give_back(connection)
         fill_from_reply(outcome, status, json.loads(content))
-        # A node that drains has told that nothing ran: ask another one.
+        # ``not_ready`` from a draining node means that nothing ran: try another node.
         return outcome.reason != "not_ready"
 
-    def _set_of(self, node: str) -> ConnectionSet:
+    def _connections_of(self, node: str) -> ConnectionSet:
         if node not in self.sets:
             host, port = split_address(node)
             origin = httpcore.Origin(b"http", host.encode(), port)
-            self.sets[node] = ConnectionSet(origin, CONNECTIONS_A_NODE)
+            self.sets[node] = ConnectionSet(origin, CONNECTIONS_PER_NODE)
         return self.sets[node]
--- a/src/yokesill/loadgen/outcomes.py
+++ b/src/yokesill/loadgen/outcomes.py
@@ -1,4 +1,4 @@
-"""What callers got, as plain records that checkers and summaries read."""
+"""Outcomes of queries at their callers, read by the checkers and summaries."""
 
 from dataclasses import dataclass, field
 from typing import Any
@@ -6,7 +6,7 @@
 
 @dataclass(slots=True)
 class Outcome:
-    """One query's end; ``sent_at`` is the intended time and ``latency`` counts from it (seconds).
+    """Outcome of one query; ``sent_at`` is the intended time and ``latency`` counts from it (seconds).
 
     ``verdict`` is ``ran`` for an answer; ``cut`` means that the connection ended without a reply.
     """
@@ -30,7 +30,7 @@
 
 
 def fill_from_reply(outcome: Outcome, status: int, body: dict[str, Any]) -> None:
-    """Take an HTTP reply in."""
+    """Fill the outcome from an HTTP reply."""
     outcome.query_id = body.get("request_id", "")
     outcome.verdict = body.get("verdict", "unknown")
     outcome.reason = ""
--- a/src/yokesill/loadgen/page.py
+++ b/src/yokesill/loadgen/page.py
@@ -1,4 +1,4 @@
-"""A report as one self-contained page, pictures embedded."""
+"""Renders a report as one self-contained HTML page with embedded charts."""
 
 import base64
 import html
@@ -23,7 +23,7 @@
     return (
         f"<!doctype html><meta charset=utf-8><title>yokesill load report</title><style>{STYLE}</style>"
         f"<h1>Load report</h1><p>Revision {html.escape(str(results.get('revision', 'unknown')))}</p>"
-        f"<table><tr>{head}</tr>{rows}</table>{_picture(runs)}{_timelines(runs)}"
+        f"<table><tr>{head}</tr>{rows}</table>{_percentile_chart(runs)}{_timelines(runs)}"
     )
 
 
@@ -41,8 +41,8 @@
     return "<tr>" + "".join(f"<td>{cell}</td>" for cell in cells) + "</tr>"
 
 
-def _picture(runs: list[dict[str, Any]]) -> str:
-    """Draw the percentiles of every run side by side."""
+def _percentile_chart(runs: list[dict[str, Any]]) -> str:
+    """Draw the latency percentiles of all runs in one chart."""
     figure = Figure(figsize=(10, 0.5 * len(runs) + 1.5))
     axes = figure.subplots()
     names = [run["name"] for run in runs]
@@ -57,7 +57,7 @@
 
 
 def _timelines(runs: list[dict[str, Any]]) -> str:
-    """Draw, for each run that has one, latency over time with its faults."""
+    """Draw latency over time and the faults of each run that has a timeline."""
     return "".join(_timeline(run) for run in runs if run.get("timeline"))
 
 
@@ -66,9 +66,9 @@
     axes = figure.subplots()
     points = run["timeline"]
     axes.scatter([each[0] for each in points], [each[1] for each in points], s=2)
-    for at, what in run.get("faults", []):
+    for at, fault in run.get("faults", []):
         axes.axvline(at, color="red", linewidth=0.8)
-        axes.text(at, axes.get_ylim()[1], what, rotation=90, va="top", fontsize=7)
+        axes.text(at, axes.get_ylim()[1], fault, rotation=90, va="top", fontsize=7)
     axes.set_xlabel("s")
     axes.set_ylabel("ms")
     figure.tight_layout()
--- a/src/yokesill/loadgen/plan.py
+++ b/src/yokesill/loadgen/plan.py
@@ -1,4 +1,4 @@
-"""Arrivals: seeded, open-loop, so that slow answers do not slow the load down."""
+"""Plans seeded open-loop arrivals; slow answers do not reduce the load."""
 
 import random
 from dataclasses import dataclass
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A query that is to be sent ``at`` seconds after the start, whatever became of the others."""
+    """A query to send ``at`` seconds after the start, regardless of the outcome of others."""
 
     at: float
     service: str
@@ -18,7 +18,7 @@
 
 
 def plan_arrivals(scenario: Scenario, seconds: float, factor: float, seed: int) -> list[Arrival]:
-    """Return Poisson arrivals of every class, in order; rates are multiplied by ``factor``."""
+    """Return the Poisson arrivals of all classes in order of time; rates are multiplied by ``factor``."""
     source = random.Random(seed)
     arrivals: list[Arrival] = []
     for service in scenario.services:
--- a/src/yokesill/loadgen/summary.py
+++ b/src/yokesill/loadgen/summary.py
@@ -1,4 +1,4 @@
-"""Figures of a run: latency, coverage, extra load and violations, for a class and in all."""
+"""Summary of a run: latency, coverage, extra load and violations, per class and in total."""
 
 from collections import Counter
 from collections.abc import Sequence
@@ -9,13 +9,13 @@
 from yokesill.loadgen.checkers import Violation
 from yokesill.loadgen.outcomes import Outcome
 
-HIGHEST_MICROSECONDS = 3_600_000_000
+MAX_LATENCY_US = 3_600_000_000
 PERCENTILES = (50.0, 90.0, 99.0, 99.9)
 
 
 @dataclass(slots=True)
 class ClassSummary:
-    """One class's figures; latencies in milliseconds, over answers only."""
+    """Summary of one class; latencies in milliseconds, of answers only."""
 
     sent: int = 0
     answered: int = 0
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class RunSummary:
-    """A run's figures; ``extra_load`` is attempts for each needed sub-request, less one."""
+    """Summary of a run; ``extra_load`` is attempts per needed sub-request, minus one."""
 
     name: str
     seconds: float
@@ -47,7 +47,7 @@
     needed: int,
     violations: Sequence[Violation],
 ) -> RunSummary:
-    """Reduce a run to its figures; ``attempts`` ran or were sent, ``needed`` sub-requests were asked."""
+    """Summarise a run of ``attempts`` executed or sent attempts for ``needed`` sub-requests."""
     classes = sorted({(each.service, each.request_class) for each in outcomes})
     by_class = {
         f"{service}/{name_}": _class_summary(
@@ -72,7 +72,7 @@
     """Return the latencies' percentiles in milliseconds."""
     if not latencies:
         return {}
-    histogram = HdrHistogram(1, HIGHEST_MICROSECONDS, 3)
+    histogram = HdrHistogram(1, MAX_LATENCY_US, 3)
     for latency in latencies:
         histogram.record_value(max(1, int(latency * 1e6)))
     return {f"p{each:g}": histogram.get_value_at_percentile(each) / 1000 for each in PERCENTILES}
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -44,7 +44,7 @@
 
 
 def test_demo_server_that_left_gets_no_request(output: str) -> None:
-    leaving = re.search(r"(\S+) leaves: a newer configuration is without it", output)
+    leaving = re.search(r"(\S+) leaves: the new configuration no longer lists it", output)
     story = re.search(r"\nThe story of (\S+), as", output)
     assert leaving is not None and story is not None
     assert leaving[1] not in output[leaving.end() : story.start()]
