--- a/bench/gateway_subrequest.py
+++ b/bench/gateway_subrequest.py
@@ -1,8 +1,8 @@
-"""The processor time of one sub-request of a gateway node, as the fan-out grows.
+"""Measures the CPU time per sub-request of a gateway node by fan-out.
 
-Stand-in servers answer at once from a process of their own, which this launcher starts, so that the
-figures are the node's alone: router, driver, connections, wire. Writes
-``bench/results/gateway_subrequest.json``; ``--profile`` prints where the time goes instead.
+This script starts stand-in servers, which answer at once, in a separate process, so that only the node's own
+CPU time is measured: router, driver, connections, wire. Writes
+``bench/results/gateway_subrequest.json``; ``--profile`` prints a profile instead.
 """
 
 import asyncio
@@ -36,14 +36,14 @@
 
 
 class Row(TypedDict):
-    """One fan-out and its cost in microseconds a sub-request."""
+    """One fan-out and its CPU time per sub-request in microseconds."""
 
     fan_out: int
     subrequest_us: float
 
 
 async def serve_parts(ports: int) -> None:
-    """Answer every request on each port with one part of 60 records."""
+    """Listen on ``ports`` ports and answer each request with one part of 60 records."""
 
     class Part(asyncio.Protocol):
         def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -64,7 +64,7 @@
 
 
 async def measure(fan_out: int) -> float:
-    """Return microseconds of this process's processor time for one sub-request."""
+    """Return the CPU time of this process per sub-request, in microseconds."""
     services = tuple(f"s{number}" for number in range(fan_out))
     route = Route("wide", "h", "/w/", True, 5.0, 4.0, 2, 1, Gather(services, 50, 1.0))
     router = GatewayRouter(GatewayOptions(zone="z1"), random.Random(1), anyio.current_time())
@@ -86,7 +86,7 @@
 
 
 async def ask(driver: GatewayDriver, count: int, prefix: str) -> None:
-    """Run ``count`` wide queries one after the other."""
+    """Run ``count`` wide queries sequentially."""
     for number in range(count):
         key = f"{prefix}-{number}"
         headers = ((b"host", b"h"), (b"request-id", key.encode()), (b"accept", b"*/*"))
@@ -99,7 +99,7 @@
 
 
 def profile(fan_out: int) -> None:
-    """Print the functions that take most of the time."""
+    """Profile one run and print the functions with the most own time."""
     profiler = cProfile.Profile()
     profiler.enable()
     anyio.run(measure, fan_out)
@@ -108,7 +108,7 @@
 
 
 def main() -> int:
-    """Measure every fan-out."""
+    """Measure all fan-outs and write the results."""
     if sys.argv[1:] == ["serve"]:
         asyncio.run(serve_parts(max(FAN_OUTS)))
         return 0
@@ -123,7 +123,7 @@
         for fan_out in FAN_OUTS:
             cost = statistics.median(anyio.run(measure, fan_out) for _ in range(ROUNDS))
             rows.append({"fan_out": fan_out, "subrequest_us": round(cost, 1)})
-            print(f"{fan_out:>8} {cost:9.0f} us a sub-request", flush=True)
+            print(f"{fan_out:>8} {cost:9.0f} us per sub-request", flush=True)
     finally:
         servers.terminate()
         servers.wait()
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,10 +1,10 @@
-"""What callers get while shards lose most of their capacity: many nodes, shared servers, virtual time.
+"""Simulates callers' outcomes while shards lose most of their capacity: many nodes, shared servers.
 
-Several gateway routers share servers with slots, a bounded queue and no load reports. For some
-seconds two of three servers of some shards (or all of them) turn slow or dark. Callers come at a
-share of what is left, and each tries once more after a failure. Everything is drawn from a seed and
-takes seconds to play. The servers follow the emulator's model (slots, queue, rejection when full,
-slow, dark), written as events, since thousands of queries are played.
+Several gateway routers share servers with slots, a bounded queue and no load reports. For some seconds
+two of three servers of some shards (or all of them) become slow or unresponsive. The load is a share of
+the remaining capacity, and each caller retries once after a refusal. Runs in virtual time, is
+reproducible from its seed and takes seconds. The servers follow the emulator's model (slots, queue,
+rejection when full, slow, unresponsive), implemented as events, since thousands of queries are simulated.
 
     python bench/overload.py --seeds 1,2,3
     python bench/overload.py --off paces,leaves_out
@@ -37,15 +37,15 @@
 from yokesill.gateway.router import GatewayRouter
 from yokesill.verdict import Failure, Reason, Verdict
 
-NODES, SHARDS, SERVERS_A_SHARD, SLOTS, QUEUE, CONNECTIONS = 9, 10, 3, 3, 18, 31
-WAY_S, TURN_S = 0.001, 0.5
-WORK_SPREAD = 0.35
+NODES, SHARDS, SERVERS_PER_SHARD, SLOTS, QUEUE, CONNECTIONS = 9, 10, 3, 3, 18, 31
+ONE_WAY_DELAY_S, MAX_CONNECTION_WAIT_S = 0.001, 0.5
+SERVICE_TIME_SIGMA = 0.35
 BUDGET = BudgetLimits(ratio=0.2, allowance=58.0, window_s=10.0)
-TROUBLE_FROM_S, TROUBLE_FOR_S, CALM_S = 5.0, 5.0, 5.0
+FAULT_START_S, FAULT_DURATION_S, RECOVERY_S = 5.0, 5.0, 5.0
 
 
 class CallerClass(NamedTuple):
-    """One class of callers; ``work_s`` is what one part takes a sound server."""
+    """One class of callers; ``work_s`` is the service time of one part on a healthy server."""
 
     name: str
     route: Route
@@ -72,38 +72,42 @@
 
 
 class Scenario(NamedTuple):
-    """How many shards lose how many servers, how, and how many callers come (a second).
+    """The affected shards and servers per shard, their fault, and the rate of callers.
 
-    ``dark`` of the servers that each shard loses say nothing at all; the others are slow. ``counted`` is
-    how many nodes there are, of which ``NODES`` have callers; servers that ``tell_load`` report queues.
+    ``unresponsive`` of the affected servers of a shard do not reply at all; the others are slow. ``NODES`` of
+    the ``node_count`` nodes have callers. With ``reports_load``, the servers report their load.
     """
 
     name: str
     shards: int
     servers: int
     slow_factor: float
-    callers_a_second: float
-    dark: int = 0
-    counted: int = NODES
-    tell_load: bool = False
+    callers_per_second: float
+    unresponsive: int = 0
+    node_count: int = NODES
+    reports_load: bool = False
 
 
 SCENARIOS = (
     Scenario("calm", 0, 0, 1.0, 112.0),
     Scenario("two of three slow, 0.7", 4, 2, 8.0, 112.0),
-    Scenario("two of three dark, 0.7", 4, 2, 8.0, 125.0, dark=2),
+    Scenario("two of three dark, 0.7", 4, 2, 8.0, 125.0, unresponsive=2),
     Scenario("two of three slow, 1.2", 4, 2, 8.0, 190.0),
     Scenario("two shards all slow, 0.7", 2, 3, 8.0, 80.0),
     Scenario("two shards all slow, 1.2", 2, 3, 8.0, 130.0),
-    Scenario("two shards all slow, 0.7, of 195 nodes", 2, 3, 8.0, 80.0, counted=195),
-    Scenario("two shards all slow, 0.7, of 195 nodes, told", 2, 3, 8.0, 80.0, counted=195, tell_load=True),
-    Scenario("two shards all slow, 1.2, of 195 nodes, told", 2, 3, 8.0, 130.0, counted=195, tell_load=True),
-    Scenario("two shards all slow or dark", 2, 3, 8.0, 112.0, dark=1),
+    Scenario("two shards all slow, 0.7, of 195 nodes", 2, 3, 8.0, 80.0, node_count=195),
+    Scenario(
+        "two shards all slow, 0.7, of 195 nodes, told", 2, 3, 8.0, 80.0, node_count=195, reports_load=True
+    ),
+    Scenario(
+        "two shards all slow, 1.2, of 195 nodes, told", 2, 3, 8.0, 130.0, node_count=195, reports_load=True
+    ),
+    Scenario("two shards all slow or dark", 2, 3, 8.0, 112.0, unresponsive=1),
 )
 
 
-class World:
-    """Virtual time: what is to happen, in order."""
+class VirtualTimeLoop:
+    """Event loop in virtual time."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -115,7 +119,7 @@
         heapq.heappush(self._heap, (max(when, self.now), next(self._numbers), what))
 
     def run(self) -> None:
-        """Let everything happen."""
+        """Run all events in order of time."""
         while self._heap:
             self.now, _, what = heapq.heappop(self._heap)
             what()
@@ -123,7 +127,7 @@
 
 @dataclass(slots=True)
 class Arrival:
-    """An attempt at a server; ``done`` is told how it ended."""
+    """An attempt at a server; ``done`` is called with whether it ran."""
 
     work_s: float
     done: Callable[[bool], None]
@@ -132,9 +136,9 @@
 
 @dataclass(slots=True)
 class Server:
-    """Slots, a queue, and how slow it is now; infinitely slow is dark."""
+    """Slots, a queue and the current slow-down; an infinite factor means unresponsive."""
 
-    world: World
+    world: VirtualTimeLoop
     slow_factor: float = 1.0
     running: int = 0
     busy_s: float = 0.0
@@ -142,7 +146,7 @@
     unread: list[Arrival] = field(default_factory=list)
 
     def arrive(self, arrival: Arrival) -> None:
-        """Take an attempt: run it, queue it, or reject it when full."""
+        """Run an attempt, queue it, or reject it if the queue is full."""
         if self.slow_factor == float("inf"):
             self.unread.append(arrival)
         elif self.running < SLOTS:
@@ -168,7 +172,7 @@
                 self._start(waiting)
 
     def set_slow(self, factor: float) -> None:
-        """Change the speed; a server that was dark reads what was sent meanwhile."""
+        """Change the slow-down; a server that was unresponsive first reads the attempts sent meanwhile."""
         self.slow_factor = factor
         unread, self.unread = self.unread, []
         for arrival in unread:
@@ -178,14 +182,14 @@
 
 @dataclass(slots=True)
 class Link:
-    """One node's connections to one server; whoever finds all in use waits its turn."""
+    """Connections of one node to one server; an attempt that finds all in use waits for one."""
 
     busy: int = 0
     waiting: deque[Callable[[], bool]] = field(default_factory=deque)
 
 
 class Node:
-    """One router and its way to servers."""
+    """One router and its connections to the servers."""
 
     def __init__(self, play: "Play", name: str, options: GatewayOptions) -> None:
         self._play = play
@@ -196,7 +200,7 @@
         self._finals: dict[str, Callable[[ev.FinalAnswer], None]] = {}
 
     def feed(self, event: ev.Event) -> None:
-        """Give the router an event and carry its actions out."""
+        """Pass an event to the router and execute its actions."""
         for action in self._router.on_event(event, self._world.now):
             match action:
                 case ev.SendAttempt(attempt):
@@ -212,7 +216,7 @@
                     self._play.counts[action.name] += 1
 
     def ask(self, request: GatewayRequest, done: Callable[[ev.FinalAnswer], None]) -> None:
-        """Take a caller's request."""
+        """Send a caller's request to the router."""
         self._finals[request.key] = done
         self.feed(ev.RequestArrived(request))
 
@@ -232,7 +236,7 @@
                 return True
             return False
 
-        def too_long() -> None:
+        def give_up() -> None:
             nonlocal waits
             if waits:
                 waits = False
@@ -240,7 +244,7 @@
                 self.feed(ev.AttemptFailed(attempt.number, failure))
 
         link.waiting.append(turn)
-        self._world.at(min(self._world.now + TURN_S, attempt.deadline_at_s), too_long)
+        self._world.at(min(self._world.now + MAX_CONNECTION_WAIT_S, attempt.deadline_at_s), give_up)
 
     def _exchange(self, attempt: Attempt, link: Link) -> None:
         play, sent_at = self._play, self._world.now
@@ -261,11 +265,11 @@
             if ran:
                 reply = ServerReply(200, (), b"", b"s", play.load_of(attempt))
                 answer = ev.AttemptAnswered(attempt.number, reply, sent_at_s=sent_at)
-                self._world.at(self._world.now + WAY_S, lambda: end(answer))
+                self._world.at(self._world.now + ONE_WAY_DELAY_S, lambda: end(answer))
             else:
                 play.counts["rejected"] += 1
                 shed = ev.AttemptFailed(attempt.number, Failure(Reason.SHED, Verdict.NOT_RUN))
-                self._world.at(self._world.now + WAY_S, lambda: end(shed))
+                self._world.at(self._world.now + ONE_WAY_DELAY_S, lambda: end(shed))
 
         arrival = Arrival(play.draw_work(attempt), done)
 
@@ -282,7 +286,7 @@
         self._cancel[attempt.number] = cancel
         play.count_arrival(attempt)
         server = play.servers[attempt.server.instance]
-        self._world.at(self._world.now + WAY_S, lambda: server.arrive(arrival))
+        self._world.at(self._world.now + ONE_WAY_DELAY_S, lambda: server.arrive(arrival))
         self._world.at(attempt.deadline_at_s, expire)
 
 
@@ -295,10 +299,10 @@
 
 
 class Play:
-    """One scenario played once."""
+    """One run of a scenario with one seed."""
 
     def __init__(self, scenario: Scenario, seed: int, options: GatewayOptions) -> None:
-        self.world = World()
+        self.world = VirtualTimeLoop()
         self.random = random.Random(seed)
         self.counts: Counter[str] = Counter()
         self.outcomes: dict[str, Counter[str]] = {each.name: Counter() for each in CLASSES}
@@ -310,7 +314,7 @@
         records = [
             ServerRecord(f"s{shard}-{number}", f"s{shard}", "10.0.0.1", 80 + number, "z", SLOTS)
             for shard in range(SHARDS)
-            for number in range(SERVERS_A_SHARD)
+            for number in range(SERVERS_PER_SHARD)
         ] + [ServerRecord(f"desk-{number}", "desk", "10.0.0.1", 80 + number, "z", 2) for number in range(15)]
         for record in records:
             self.servers[record.instance] = Server(self.world)
@@ -318,62 +322,64 @@
         services = {name: ServiceLimits(CONNECTIONS) for route in routes for name in route.services}
         self.nodes = [Node(self, f"n{number}", options) for number in range(NODES)]
         for node in self.nodes:
-            node.feed(ev.NodeCountUpdated(scenario.counted))
+            node.feed(ev.NodeCountUpdated(scenario.node_count))
             node.feed(ev.ConfigurationReceived(Configuration(1, routes, services)))
             for record in records:
                 node.feed(ev.ServerListed(record))
 
     def draw_work(self, attempt: Attempt) -> float:
-        """Return how long an attempt would take a sound server, in seconds."""
+        """Draw the service time of an attempt on a healthy server, in seconds."""
         name = attempt.request.host
         work_s = next(each.work_s for each in CLASSES if each.name == name)
-        return work_s * self.random.lognormvariate(-(WORK_SPREAD**2) / 2, WORK_SPREAD)
+        return work_s * self.random.lognormvariate(-(SERVICE_TIME_SIGMA**2) / 2, SERVICE_TIME_SIGMA)
 
     def load_of(self, attempt: Attempt) -> Load | None:
-        """Return what an attempt's server tells of itself, if it does."""
+        """Return the load that the attempt's server reports, if it reports any."""
         server = self.servers[attempt.server.instance]
-        return Load(server.running, len(server.queue), SLOTS) if self._scenario.tell_load else None
+        return Load(server.running, len(server.queue), SLOTS) if self._scenario.reports_load else None
 
     def count_arrival(self, attempt: Attempt) -> None:
-        """Count what reaches a server beyond a request's first attempt at its service."""
+        """Count extra attempts: those after a request's first attempt at a service."""
         key = (attempt.request.key, attempt.server.service)
         self._extra["extra"] += key in self._seen
         self._seen[key] += 1
 
     def run(self) -> dict[str, float]:
-        """Play it; return the figures."""
+        """Run the scenario; return its figures."""
         scenario = self._scenario
-        hit = [f"s{shard}-{n}" for shard in range(scenario.shards) for n in range(scenario.servers)]
-        for instance in hit:
+        affected = [f"s{shard}-{n}" for shard in range(scenario.shards) for n in range(scenario.servers)]
+        for instance in affected:
             server = self.servers[instance]
-            dark = int(instance.rpartition("-")[2]) < scenario.dark
-            factor = float("inf") if dark else scenario.slow_factor
-            self.world.at(TROUBLE_FROM_S, lambda server=server, factor=factor: server.set_slow(factor))
-            over = TROUBLE_FROM_S + TROUBLE_FOR_S
+            unresponsive = int(instance.rpartition("-")[2]) < scenario.unresponsive
+            factor = float("inf") if unresponsive else scenario.slow_factor
+            self.world.at(FAULT_START_S, lambda server=server, factor=factor: server.set_slow(factor))
+            over = FAULT_START_S + FAULT_DURATION_S
             self.world.at(over, lambda server=server: server.set_slow(1.0))
-        hit = [instance for instance in hit if int(instance.rpartition("-")[2]) >= scenario.dark]
+        affected = [
+            instance for instance in affected if int(instance.rpartition("-")[2]) >= scenario.unresponsive
+        ]
         busy: dict[str, float] = {}
-        self.world.at(TROUBLE_FROM_S, lambda: busy.update(self._busy(hit, -1.0)))
+        self.world.at(FAULT_START_S, lambda: busy.update(self._busy(affected, -1.0)))
         self.world.at(
-            TROUBLE_FROM_S + TROUBLE_FOR_S,
-            lambda: busy.update(hit=sum(self._busy(hit).values()) + sum(busy.values())),
+            FAULT_START_S + FAULT_DURATION_S,
+            lambda: busy.update(hit=sum(self._busy(affected).values()) + sum(busy.values())),
         )
         at = 0.0
-        while at < TROUBLE_FROM_S + TROUBLE_FOR_S + CALM_S:
-            at += self.random.expovariate(scenario.callers_a_second)
+        while at < FAULT_START_S + FAULT_DURATION_S + RECOVERY_S:
+            at += self.random.expovariate(scenario.callers_per_second)
             kind = self.random.choices(CLASSES, [each.share for each in CLASSES])[0]
             self.world.at(at, lambda kind=kind: self._call(kind, self.world.now, 1))
         self.world.run()
-        return self._figures(busy.get("hit", 0.0) / max(1, len(hit) * SLOTS * TROUBLE_FOR_S))
+        return self._figures(busy.get("hit", 0.0) / max(1, len(affected) * SLOTS * FAULT_DURATION_S))
 
-    def _busy(self, hit: list[str], sign: float = 1.0) -> dict[str, float]:
-        return {instance: sign * self.servers[instance].busy_s for instance in hit}
+    def _busy(self, affected: list[str], sign: float = 1.0) -> dict[str, float]:
+        return {instance: sign * self.servers[instance].busy_s for instance in affected}
 
     def _call(self, kind: CallerClass, first_at: float, tries_left: int) -> None:
         now = self.world.now
-        patience = kind.route.timeout_s - (now - first_at)
+        remaining_s = kind.route.timeout_s - (now - first_at)
         key = f"k{next(self._keys)}"
-        request = GatewayRequest(key, key, b"GET", kind.name, "/", b"/", (), b"", now, patience, False)
+        request = GatewayRequest(key, key, b"GET", kind.name, "/", b"/", (), b"", now, remaining_s, False)
 
         def done(final: ev.FinalAnswer) -> None:
             took = self.world.now - first_at
@@ -391,7 +397,7 @@
         self.random.choice(self.nodes).ask(request, done)
 
     def _count(self, kind: CallerClass, first_at: float, outcome: str, credit: float) -> None:
-        if TROUBLE_FROM_S <= first_at < TROUBLE_FROM_S + TROUBLE_FOR_S:
+        if FAULT_START_S <= first_at < FAULT_START_S + FAULT_DURATION_S:
             self.outcomes[kind.name][outcome] += 1
             self.outcomes[kind.name]["credit"] += credit if outcome == "in time" else 0.1 * credit  # type: ignore[assignment]
 
@@ -417,11 +423,11 @@
 
 
 def main() -> None:
-    """Play all scenarios with every seed and print the means."""
+    """Run the selected scenarios with each seed and print the means."""
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("--seeds", default="1,2,3")
-    parser.add_argument("--off", default="", help="mechanisms to switch off, with commas")
-    parser.add_argument("--only", default="", help="scenarios whose name holds this")
+    parser.add_argument("--off", default="", help="mechanisms to switch off, comma-separated")
+    parser.add_argument("--only", default="", help="only scenarios whose name contains this")
     parser.add_argument("--write", default="", help="write bench/results/NAME.json")
     given = parser.parse_args()
     options = options_without([name for name in given.off.split(",") if name])
--- a/bench/quarantine_cost.py
+++ b/bench/quarantine_cost.py
@@ -1,4 +1,4 @@
-"""What keeping requests from servers costs a node: memory a record, messages a finding, time a request.
+"""Measures the cost of the quarantine for a node: bytes per record, messages per finding, time per request.
 
 ``python bench/quarantine_cost.py [--save]`` measures at the design size: 770 nodes in 7 zones.
 """
@@ -23,21 +23,21 @@
 
 
 def record_bytes() -> float:
-    """Return what one record of three lost servers takes, in bytes, with as many as are kept."""
-    judge = CrashDetector()
+    """Return the bytes per record of three lost servers, with the maximum number of records."""
+    detector = CrashDetector()
     names = [f"{number:024x}" for number in range(MAX_RECORDS)]
     losses = [Loss(f"i-{number:010x}", f"shard-{number:03d}") for number in range(3)]
     tracemalloc.start()
     for name in names:
         for loss in losses:
-            judge.record_loss(name, loss, 0.0)
-    taken, _ = tracemalloc.get_traced_memory()
+            detector.record_loss(name, loss, 0.0)
+    allocated, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return taken / MAX_RECORDS
+    return allocated / MAX_RECORDS
 
 
-def sent(status: QuarantineStatus | None) -> tuple[int, int]:
-    """Return datagrams and bytes that one node sends: of a finding, or of the losses of one wide request."""
+def messages_of(status: QuarantineStatus | None) -> tuple[int, int]:
+    """Return the datagrams and bytes that a node sends for a finding, or for the losses of a wide request."""
     peers = [Peer(f"node-{n}", f"10.0.{n % 256}.{n // 256}:7003", f"zone-{n % ZONES}") for n in range(NODES)]
     exchange = QuarantineExchange(peers[0], random.Random(1))
     exchange.set_peers(peers)
@@ -52,30 +52,30 @@
 
 
 def fingerprint_us() -> float:
-    """Return how long a fingerprint takes, in microseconds; the median of some rounds."""
+    """Return the CPU time of a fingerprint in microseconds, the median of ``ROUNDS`` rounds."""
     request = GatewayRequest(
         "k", "id", b"GET", "a.example", "/x", b"/search/crew-7?page=2", (), b"", 0.0, 1.0
     )
     rounds = []
     for _ in range(ROUNDS):
-        began = time.process_time()
+        started = time.process_time()
         for _ in range(CALLS):
             fingerprint(request)
-        rounds.append((time.process_time() - began) / CALLS * 1e6)
+        rounds.append((time.process_time() - started) / CALLS * 1e6)
     return statistics.median(rounds)
 
 
 def main() -> None:
-    """Measure and print."""
+    """Measure and print; with ``--save``, write the results."""
     figures = {
         "nodes": NODES,
         "zones": ZONES,
         "shards": SHARDS,
         "record_bytes": round(record_bytes()),
         "most_records": MAX_RECORDS,
-        "quarantine_datagrams_and_bytes": sent(QuarantineStatus.QUARANTINED),
-        "suspicion_datagrams_and_bytes": sent(QuarantineStatus.SUSPECTED),
-        "losses_datagrams_and_bytes": sent(None),
+        "quarantine_datagrams_and_bytes": messages_of(QuarantineStatus.QUARANTINED),
+        "suspicion_datagrams_and_bytes": messages_of(QuarantineStatus.SUSPECTED),
+        "losses_datagrams_and_bytes": messages_of(None),
         "fingerprint_us": round(fingerprint_us(), 2),
     }
     print(figures)
--- a/bench/results_file.py
+++ b/bench/results_file.py
@@ -1,4 +1,4 @@
-"""Where the bench writes its results, each with the revision that gave them."""
+"""Writes the results of the benchmarks and finds the revision that they were measured at."""
 
 import json
 import subprocess
@@ -7,12 +7,12 @@
 
 
 def folder() -> Path:
-    """Return the folder of results, which is committed."""
+    """Return the folder of the committed results."""
     return Path(__file__).parent / "results"
 
 
 def revision() -> str:
-    """Return the revision of the sources."""
+    """Return the Git revision of the sources."""
     command = ["git", "describe", "--always", "--dirty"]
     return subprocess.run(command, capture_output=True, text=True, check=False).stdout.strip()
 
--- a/bench/standins.py
+++ b/bench/standins.py
@@ -1,8 +1,8 @@
-"""Stand-ins of the platform's store and of servers, over loopback, for benches of whole processes.
+"""Stand-ins for the platform's store and for servers, over loopback, for benchmarks of whole processes.
 
-The store answers lists in one page, long polls with nothing new and writes with success. Every
-server answers at once with one part of 60 records. All in one event loop of the bench's process, so
-that none of it counts as the node's time.
+The store answers lists in one page, long polls with no changes and writes with success. Each server
+answers at once with one part of 60 records. All run in one event loop of the benchmark's process, so that
+they do not count towards the node's CPU time.
 """
 
 import asyncio
@@ -18,9 +18,9 @@
 
 
 class Configuration:
-    """What the store holds: two routes that are asked, ``routes`` that are not, and their servers.
+    """Content of the store: two routes that get requests, ``routes`` that get none, and their servers.
 
-    ``REPLICAS`` servers a service listen at ``ports``; ``gathering`` of the services are shards.
+    ``REPLICAS`` servers per service listen on ``ports``; ``gathering`` of the services are shards.
     """
 
     def __init__(self, routes: int, ports: Sequence[int], gathering: int = GATHERED) -> None:
@@ -68,8 +68,8 @@
         return {"meta": {"name": name, "revision": 1, "made": 1}, "spec": spec, "status": None}
 
 
-class _Lines(asyncio.Protocol):
-    """Reads requests with heads only, or with a length; answers each by ``answer``."""
+class _HttpProtocol(asyncio.Protocol):
+    """Reads HTTP requests, with a body only if they have a content length; ``answer`` replies to each."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -87,29 +87,29 @@
             self.answer(head)
 
     def answer(self, head: bytes) -> None:
-        """Answer the request with this head."""
+        """Reply to the request with this head."""
         raise NotImplementedError
 
 
-class Part(_Lines):
-    """A server: one part of 60 records, at once."""
+class Part(_HttpProtocol):
+    """A server that answers at once with one part of 60 records."""
 
     def answer(self, head: bytes) -> None:
-        """Answer one request."""
+        """Reply to one request."""
         request_id = _header(head, b"x-yokesill-request-id")
         head = b"HTTP/1.1 200 OK\r\nx-yokesill-request-id: " + request_id
         head += b"\r\nx-yokesill-server-stamp: " + request_id + b".%d" % id(self)
         self.transport.write(head + b"\r\ncontent-length: %d\r\n\r\n" % len(BODY) + BODY)
 
 
-class Store(_Lines):
-    """The metadata store, with what ``configuration`` holds."""
+class Store(_HttpProtocol):
+    """The metadata store, filled with ``configuration``."""
 
     def __init__(self, configuration: Configuration) -> None:
         self._objects = configuration.objects
 
     def answer(self, head: bytes) -> None:
-        """Answer one call."""
+        """Reply to one call."""
         method, target, _ = head.split(b"\r\n", 1)[0].decode().split(" ")
         parts = urlsplit(target)
         query = parse_qs(parts.query)
@@ -137,7 +137,7 @@
 
 
 async def serve(configuration: Configuration, store_port: int) -> None:
-    """Listen for the store and for every server."""
+    """Start listening as the store and as all servers."""
     loop = asyncio.get_running_loop()
     await loop.create_server(lambda: Store(configuration), STORE, store_port)
     for port in configuration.ports:
--- a/bench/startup.py
+++ b/bench/startup.py
@@ -1,13 +1,13 @@
-"""From a node's start to its first answers, and what it then holds: a real process over loopback.
-
-A copy of the sources and of the declared packages, compiled as the deploy file's build does it, runs
-``python3 -S deploy/serve.py`` against stand-ins of the store and of 675 servers, with 1,400 routes
-(``--routes``). Callers connect at once, as after a loss of power, and wait in the socket's queue.
-Processor time in ms (``/proc/PID/schedstat``), medians; the rows are read after each other and add
-up. Memory in MB: ``resident`` and its ``peak``, and ``private``, which no other process shares.
-``--label NAME`` keeps the figures under that name in ``bench/results/startup.json``; ``--lean`` asks
-the node no wide requests. A machine's speed drifts: ``--against DIRECTORY`` measures another checkout
-in turns with this one, and keeps its figures under ``NAME, against``.
+"""Measures a node from its start to its first answers, and its memory: a real process over loopback.
+
+A copy of the sources and of the declared packages, compiled as in the build of the deploy file, runs
+``python3 -S deploy/serve.py`` against stand-ins for the store and for 675 servers, with 1,400 routes
+(``--routes``). Callers connect at once, as after a power failure, and wait in the socket's backlog.
+CPU time in ms (``/proc/PID/schedstat``), medians; the rows are successive readings and cumulative.
+Memory in MB: ``resident`` and its ``peak``, and ``private``, which is shared with no other process.
+``--label NAME`` saves the figures under that name in ``bench/results/startup.json``; ``--lean`` sends no
+wide requests. Since a machine's speed drifts, ``--against DIRECTORY`` measures another checkout
+alternately with this one, and saves its figures under ``NAME, against``.
 """
 
 import argparse
@@ -63,16 +63,16 @@
     "imports": (
         "import yokesill.platform.start\n"
         "try:\n    import yokesill.lazy_imports as lazy\n"
-        # Checkouts before the rename call it ``leave_out``.
+        # Older checkouts call it ``leave_out``.
         "    (getattr(lazy, 'install', None) or lazy.leave_out)()\n"
-        "except ImportError:\n    pass  # A checkout that loads everything.\n"
+        "except ImportError:\n    pass  # A checkout without lazy imports.\n"
         "import yokesill.platform.main"
     ),
 }
 
 
 def build(place: Path, root: Path = ROOT) -> dict[str, str]:
-    """Copy and compile what a node of the checkout ``root`` runs; return its environment."""
+    """Copy and compile the files of a node of the checkout ``root``; return the node's environment."""
     for name in ("src", "deploy"):
         shutil.copytree(root / name, place / name, ignore=shutil.ignore_patterns("__pycache__"))
     packages = place / "target" / "deps"
@@ -92,22 +92,22 @@
 
 
 def step_ms(place: Path, environment: dict[str, str], code: str) -> float:
-    """Return the processor time of an interpreter that runs ``code``, in ms."""
+    """Return the CPU time of an interpreter that runs ``code``, in ms."""
     process = subprocess.Popen([sys.executable, "-S", "-c", code], cwd=place, env=environment)
-    _, status, used = os.wait4(process.pid, 0)
+    _, status, usage = os.wait4(process.pid, 0)
     process.returncode = status
     assert status == 0, code
-    return (used.ru_utime + used.ru_stime) * 1000
+    return (usage.ru_utime + usage.ru_stime) * 1000
 
 
-def used_ms(pid: int) -> float:
-    """Return a running process's processor time in ms."""
+def cpu_time_ms(pid: int) -> float:
+    """Return the CPU time of a running process, in ms."""
     tasks = Path(f"/proc/{pid}/task").iterdir()
     return sum(int((task / "schedstat").read_text().split()[0]) for task in tasks) / 1e6
 
 
 def memory_mb(pid: int) -> dict[str, float]:
-    """Return what a process holds, in MB."""
+    """Return the memory of a process, in MB."""
     text = Path(f"/proc/{pid}/status").read_text()
     sizes = {name: int(size) / 1024 for name, size in re.findall(r"(\w+):\s+(\d+) kB", text)}
     return {"resident": sizes["VmRSS"], "peak": sizes["VmHWM"], "private": sizes["RssAnon"]}
@@ -131,12 +131,12 @@
 
 
 def start(command: list[str], place: Path, environment: dict[str, str]) -> subprocess.Popen[bytes]:
-    """Start a process and read what it prints."""
+    """Start a process with its standard output in a pipe."""
     return subprocess.Popen(command, cwd=place, env=environment, stdout=subprocess.PIPE)
 
 
 async def run_node(place: Path, environment: dict[str, str], lean: bool) -> dict[str, float]:
-    """Start a node, ask it, stop it; return its figures."""
+    """Start a node, send it requests and kill it; return its figures."""
     command = [sys.executable, "-S", "deploy/serve.py", f"{NODE}:{CALLERS}"]
     started = time.monotonic()
     process = start(command, place, environment)
@@ -147,16 +147,16 @@
     row: dict[str, float] = {}
 
     def mark(name: str) -> None:
-        row[f"{name} ms"] = used_ms(process.pid)
+        row[f"{name} ms"] = cpu_time_ms(process.pid)
         row[f"{name} wall ms"] = (time.monotonic() - started) * 1000
 
     first = asyncio.ensure_future(ask("/one/x", 0))
     try:
         async for line in reader:
-            told = json.loads(line)
-            if told["event"] == "started":
+            entry = json.loads(line)
+            if entry["event"] == "started":
                 mark("listening")
-            if told["event"] == "state":
+            if entry["event"] == "state":
                 mark("ready")
                 break
         rest = asyncio.ensure_future(reader.read())
@@ -179,7 +179,7 @@
 
 
 async def measure(roots: list[Path], runs: int, lean: bool, routes: int) -> list[dict[str, float]]:
-    """Return the medians of all figures of each checkout; they run in turns."""
+    """Return the medians of all figures per checkout; the checkouts run alternately."""
     servers = standins.SERVICES * standins.REPLICAS
     configuration = standins.Configuration(routes, range(FIRST_PORT, FIRST_PORT + servers))
     await standins.serve(configuration, STORE_PORT)
@@ -197,25 +197,25 @@
 
 
 def main() -> int:
-    """Measure, print, and keep the figures under their label."""
+    """Measure and print the figures; save them under their label."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--label", default="")
     parser.add_argument("--runs", type=int, default=RUNS)
-    parser.add_argument("--routes", type=int, default=ROUTES, help="routes beside the two that are asked")
+    parser.add_argument("--routes", type=int, default=ROUTES, help="routes besides the two that get requests")
     parser.add_argument("--lean", action="store_true")
-    parser.add_argument("--against", type=Path, help="another checkout, measured in turns with this one")
+    parser.add_argument("--against", type=Path, help="another checkout, measured alternately with this one")
     given = parser.parse_args()
     roots = [ROOT, given.against] if given.against else [ROOT]
     medians = asyncio.run(measure(roots, given.runs, given.lean, given.routes))
     for name in medians[0]:
         print(f"{name:28}" + "".join(f" {each[name]:9.1f}" for each in medians))
     if given.label:
-        keep(given.label, given.runs, medians)
+        save_figures(given.label, given.runs, medians)
     return 0
 
 
-def keep(label: str, runs: int, medians: list[dict[str, float]]) -> None:
-    """Keep figures in the file of results."""
+def save_figures(label: str, runs: int, medians: list[dict[str, float]]) -> None:
+    """Save the figures in the results file."""
     path = folder() / "startup.json"
     results = json.loads(path.read_text()) if path.exists() else {}
     for name, figures in zip((label, f"{label}, against"), medians, strict=False):
--- a/bench/what_binds.py
+++ b/bench/what_binds.py
@@ -1,9 +1,9 @@
-"""Tells what made requests late or left them unanswered: when, at which services, for what reason.
+"""Reports why requests were late or failed: by time, service and cause.
 
-Reads nodes' logs (JSON lines; whatever stands before the brace is passed over, a leading number is the
-time in seconds) and prints a line for every two seconds, the services that were missing most, and how
-well a node's first wide requests went against its later ones. Only what is under way is kept, so that
-the logs of hundreds of nodes fit.
+Reads the logs of nodes (JSON lines; of the text before the brace, the first word is the time in seconds and
+the second the node) and prints a row per two seconds, the services missing most often, and the results of a
+node's first wide requests next to those of later ones. Only requests in flight are kept in memory, so that
+the logs of hundreds of nodes can be read.
 
     python bench/what_binds.py LOG... [--report REPORT.json] [--width 2]
 
@@ -19,7 +19,7 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-# Which reason of an attempt's end stands for which cause; the first that fits is taken.
+# Causes by the failure reasons of attempts; the first match counts.
 CAUSES = (
     ("full servers", frozenset({"shed"})),
     ("no connection", frozenset({"connect_failed", "connection_refused", "overloaded"})),
@@ -30,12 +30,12 @@
 
 
 NOT_FOUND = 404
-# A request that asks so many services is a wide one; so many before it and a node is not new to them.
-WIDE, EXPERIENCED = 8, 4
+# A request to at least 8 services is wide; a node that has ended 4 wide requests counts as experienced.
+MIN_WIDE_SERVICES, MIN_EXPERIENCE = 8, 4
 
 
 class Line(NamedTuple):
-    """One line of a log: when (s), what it says, and whose it is, where that stands before the brace."""
+    """One log line: its time (s), its fields, and the node, if named before the brace."""
 
     at_s: float
     fields: dict[str, Any]
@@ -43,14 +43,14 @@
 
 
 class Window(NamedTuple):
-    """What ended within some seconds."""
+    """Requests that ended within one window: counts by result and by cause."""
 
     ended: Counter[str]
     causes: Counter[str]
 
 
 def read(text: Iterable[str]) -> Iterator[Line]:
-    """Read a log's lines; what is no JSON line is passed over."""
+    """Parse the lines of a log; other than JSON lines are skipped."""
     for raw in text:
         prefix, brace, rest = raw.partition("{")
         try:
@@ -63,7 +63,7 @@
 
 
 class Experience(NamedTuple):
-    """How the wide requests went that came to nodes with as many before: in ms and share covered."""
+    """Results of wide requests at nodes with the same number of earlier ones: ms, share covered, in time."""
 
     milliseconds: list[float]
     covered: list[float]
@@ -71,7 +71,7 @@
 
 
 def cause_of(ended: dict[str, Any], others: list[dict[str, Any]]) -> str:
-    """Return why a request was late or failed, by its own line and those before that name it."""
+    """Return why a request was late or failed, from its last line and its earlier ones."""
     if ended.get("outcome") == "not_ready":
         return "node just started"
     if ended.get("waited_ms", 0.0) > 0.0:
@@ -87,8 +87,8 @@
     return "slow answers"
 
 
-def endings(lines: Iterable[Line]) -> Iterator[tuple[Line, list[dict[str, Any]]]]:
-    """Return each request's end, and the lines before it that name the request."""
+def ended_requests(lines: Iterable[Line]) -> Iterator[tuple[Line, list[dict[str, Any]]]]:
+    """Yield the last line of each request with the earlier lines of the same request."""
     by_request: dict[str, list[dict[str, Any]]] = defaultdict(list)
     for line in lines:
         request = line.fields.get("request")
@@ -100,11 +100,11 @@
             yield line, by_request.pop(request, [])
 
 
-def windows(lines: Iterable[Line], width_s: float) -> tuple[dict[float, Window], Counter[str]]:
-    """Return what ended in each window, and how often each service was missing."""
+def count_by_window(lines: Iterable[Line], width_s: float) -> tuple[dict[float, Window], Counter[str]]:
+    """Count the results per window, and how often each service was missing."""
     found: dict[float, Window] = {}
     missing: Counter[str] = Counter()
-    for (at_s, fields, _), others in endings(lines):
+    for (at_s, fields, _), others in ended_requests(lines):
         window = found.setdefault(at_s // width_s * width_s, Window(Counter(), Counter()))
         failed = fields.get("status", 0) >= 400
         kind = "failed" if failed else "late" if fields.get("late") else "in time"
@@ -115,15 +115,15 @@
     return found, missing
 
 
-def experience(lines: Iterable[Line]) -> dict[int, Experience]:
-    """Return how wide requests went, by how many the node had ended before (up to ``EXPERIENCED``)."""
+def group_by_experience(lines: Iterable[Line]) -> dict[int, Experience]:
+    """Group the results of wide requests by the number that the node had ended before, up to a limit."""
     before: Counter[str] = Counter()
     found: dict[int, Experience] = {}
     for line in lines:
         fields = line.fields
-        if fields.get("event") != "request_ended" or fields.get("asked", 0) < WIDE:
+        if fields.get("event") != "request_ended" or fields.get("asked", 0) < MIN_WIDE_SERVICES:
             continue
-        count = min(EXPERIENCED, before[line.node])
+        count = min(MIN_EXPERIENCE, before[line.node])
         before[line.node] += 1
         seen = found.setdefault(count, Experience([], [], []))
         seen.milliseconds.append(fields["ms"])
@@ -133,7 +133,7 @@
 
 
 def experience_rows(found: dict[int, Experience]) -> list[str]:
-    """Return the table of ``experience``."""
+    """Return the rows of the table by experience."""
     rows = [f"{'before':>8} {'wide':>6} {'in time':>8} {'middle ms':>10} {'covered':>8}"]
     for count, seen in sorted(found.items()):
         share, covered = statistics.mean(seen.in_time), statistics.mean(seen.covered)
@@ -143,15 +143,15 @@
 
 
 def report_lines(report: dict[str, Any]) -> list[str]:
-    """Return what the bench says of requests that were never served, and of what happened when."""
+    """Return the rows on unserved requests and on events from the bench's report."""
     never = [f"never served, last try {how!r}: {count}" for how, count, _ in report["unserved_by"]]
     events = [f"{each['at_s']:8.2f} to {each['to_s']:8.2f} s  {each['kind']}" for each in report["events"]]
     return [*never, *events]
 
 
 def table(lines: Iterable[Line], width_s: float) -> list[str]:
-    """Return the table's lines."""
-    found, missing = windows(lines, width_s)
+    """Return the rows of the table by window."""
+    found, missing = count_by_window(lines, width_s)
     rows = [f"{'from s':>8} {'in time':>8} {'late':>6} {'failed':>7}  causes"]
     for start_s, window in sorted(found.items()):
         counts = window.ended
@@ -162,7 +162,7 @@
 
 
 def read_files(names: Iterable[str]) -> Iterator[Line]:
-    """Read logs one line after the other."""
+    """Read log files line by line."""
     for name in names:
         with Path(name).open(errors="replace") as log:
             yield from read(log)
@@ -173,10 +173,10 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawTextHelpFormatter)
     parser.add_argument("logs", nargs="+")
     parser.add_argument("--report", help="the bench's report of the same run")
-    parser.add_argument("--width", type=float, default=2.0, help="seconds a line")
+    parser.add_argument("--width", type=float, default=2.0, help="seconds per row")
     given = parser.parse_args()
     print("\n".join(table(read_files(given.logs), given.width)))
-    print("\n".join(experience_rows(experience(read_files(given.logs)))))
+    print("\n".join(experience_rows(group_by_experience(read_files(given.logs)))))
     if given.report:
         print("\n".join(report_lines(json.loads(Path(given.report).read_text()))))
 
--- a/tests/test_what_binds.py
+++ b/tests/test_what_binds.py
@@ -1,6 +1,6 @@
-"""The table of what binds, on a recorded excerpt of our own logs."""
+"""Tests of ``bench/what_binds.py`` on an excerpt of node logs."""
 
-from what_binds import experience, experience_rows, read, table, windows
+from what_binds import count_by_window, experience_rows, group_by_experience, read, table
 
 EXCERPT = """
 starting the day
@@ -16,8 +16,8 @@
 """.splitlines()
 
 
-def test_each_late_or_failed_request_has_its_cause_and_its_window() -> None:
-    found, missing = windows(list(read(EXCERPT)), 2.0)
+def test_late_and_failed_requests_are_counted_by_window_and_cause() -> None:
+    found, missing = count_by_window(list(read(EXCERPT)), 2.0)
     assert dict(found[4.0].ended) == {"in time": 1, "failed": 1, "late": 2}
     assert dict(found[4.0].causes) == {
         "failed: full servers": 1,
@@ -28,19 +28,19 @@
     assert dict(missing) == {"s1": 2, "s2": 1}
 
 
-def test_the_table_has_a_line_for_each_window() -> None:
+def test_table_has_one_row_per_window() -> None:
     rows = table(list(read(EXCERPT)), 2.0)
     assert [row.split()[0] for row in rows[1:3]] == ["4", "6"]
     assert rows[-1].endswith("s1 2, s2 1")
 
 
-def test_lines_without_a_time_of_their_own_are_taken_by_their_timestamp() -> None:
+def test_line_without_a_leading_time_is_placed_by_its_timestamp() -> None:
     line = '{"request": "r1", "status": 200, "event": "request_ended", "timestamp": "2026-01-01T00:00:05Z"}'
-    (start_s,) = windows(list(read([line])), 10.0)[0]
+    (start_s,) = count_by_window(list(read([line])), 10.0)[0]
     assert start_s % 10 == 0
 
 
-def test_a_nodes_first_wide_request_stands_apart_from_its_later_ones() -> None:
+def test_first_wide_request_of_a_node_is_grouped_apart_from_later_ones() -> None:
     wide = '{"request": "r", "status": 200, "ms": %s, "covered": %s, "asked": 10, "event": "request_ended"}'
     lines = [
         "1.0 n1 " + wide % (120, 8),
@@ -48,7 +48,7 @@
         "3.0 n1 " + wide % (70, 10),
         '4.0 n1 {"request": "x", "status": 200, "ms": 9, "covered": 1, "asked": 1, "event": "request_ended"}',
     ]
-    found = experience(read(lines))
+    found = group_by_experience(read(lines))
     assert found[0].milliseconds == [120, 100]
     assert found[1].milliseconds == [70]
     assert [row.split() for row in experience_rows(found)[1:]] == [
