--- a/spec/check.py
+++ b/spec/check.py
@@ -1,4 +1,4 @@
-"""Checks every model with spin, both ways: as it is, and with each seeded defect, which must be found."""
+"""Checks each model with spin, without defects and with each seeded defect, which must be detected."""
 
 import re
 import shutil
@@ -61,7 +61,7 @@
 
 
 def execute(command: list[str], folder: str) -> str:
-    """Run a command in ``folder`` and return its output; exit when it cannot be run."""
+    """Run a command in ``folder`` and return its output; exit if it fails, except for ``pan``."""
     done = subprocess.run(command, cwd=folder, capture_output=True, text=True, timeout=LIMIT, check=False)
     if done.returncode != 0 and command[0] != "./pan":
         sys.exit(f"{' '.join(command)} failed:\n{done.stdout}{done.stderr}")
@@ -69,7 +69,7 @@
 
 
 def check(run: Run) -> tuple[int, int, bool]:
-    """Return how many errors and states a check found, and whether it searched everything."""
+    """Return the numbers of errors and states, and whether the search was complete."""
     with tempfile.TemporaryDirectory() as folder:
         defines = [f"-D{name}" for name in run.defines]
         execute(["spin", *defines, "-a", str(SPEC / f"{run.model}.pml")], folder)
@@ -86,7 +86,7 @@
 
 
 def main() -> int:
-    """Run every check; return 1 when one did not come out as it must."""
+    """Run all checks; return 1 if any has an unexpected result."""
     missing = [tool for tool in TOOLS if shutil.which(tool) is None]
     if missing:
         sys.exit(f"model checking needs {' and '.join(missing)}: apt-get install -y spin gcc libc6-dev")
--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -1,10 +1,10 @@
-/* Configuration: two operators race on one object by compare-and-swap. An answer may be lost after
- * its effect, a request may come late, gossip reorders and duplicates, a node restarts empty, and the
- * store may be down for good after the changes.
+/* Configuration: two operators race on one object by compare-and-swap. An answer may be lost after the
+ * write took effect, a request may be delayed, gossip reorders and duplicates, a node restarts with empty
+ * state, and the store may go down permanently after the changes.
  *
- * Checked: an accepted change has taken effect and a rejected one never does; two accepted changes
- * never claim one revision; no node's revision goes back, a restart through the barrier included;
- * an accepted change is in the end in force on every node (ltl in_force, with weak fairness).
+ * Checked: an accepted change has taken effect and a rejected one never does; two accepted changes never
+ * have the same revision; no node's revision decreases, also not across a restart through the barrier;
+ * an accepted change is eventually in force on every node (ltl in_force, with weak fairness).
  * Seeded defects: BUG_CAS, BUG_NO_FENCE, BUG_NO_HISTORY, BUG_MERGE, BUG_NO_BARRIER, BUG_NO_PUSH,
  * BUG_NO_SYNC.
  */
@@ -15,16 +15,16 @@
 #define REJECTED 2
 
 byte store_revision = 0;       /* 0: the object does not exist yet */
-byte store_change = 255;       /* who wrote the current revision; 200 + n is a fence of n */
-bool applied[OPERATORS];       /* the history: which change ever took effect */
-byte applied_as[OPERATORS];    /* at which revision */
+byte store_change = 255;       /* operator that wrote the current revision; 200 + n: fence of operator n */
+bool applied[OPERATORS];       /* the history: changes that ever took effect */
+byte applied_as[OPERATORS];    /* the revision of each applied change */
 byte outcome[OPERATORS];
-bool in_flight[OPERATORS];     /* a lost request that may still come late */
+bool in_flight[OPERATORS];     /* a lost request that may still be delivered */
 byte late_base[OPERATORS];
 
-byte revision[NODES];          /* what each node has in force */
+byte revision[NODES];          /* the revision in force on each node */
 bool serving[NODES] = true;
-byte pushed = 0;               /* highest accepted revision that is on a second node */
+byte pushed = 0;               /* highest accepted revision; a second node has it */
 byte restarts = 1;
 bool store_up = true;
 bool beat;
@@ -64,7 +64,7 @@
   outcome[who] = ACCEPTED;
   merge(who, applied_as[who]);
 #ifndef BUG_NO_PUSH
-  merge(2, applied_as[who]);   /* a peer in another zone has it before the operator is told */
+  merge(2, applied_as[who]);   /* a peer in another zone has it before the operator gets the answer */
 #endif
   if
   :: applied_as[who] > pushed -> pushed = applied_as[who]
@@ -80,9 +80,9 @@
 proctype Operator(byte who) {
   byte base;
   bool lost;
-  base = revision[who];        /* the base is what the operator's node shows, maybe stale */
+  base = revision[who];        /* the revision on the operator's node, possibly stale */
   if
-  :: atomic {                  /* the write arrives and its answer too */
+  :: atomic {                  /* the write and its answer both arrive */
        if
        :: SWAPS(base) -> apply_change(who, base); accept(who)
        :: else -> reject(who)
@@ -90,7 +90,7 @@
      };
      lost = false
   :: atomic { true -> apply_change(who, base); lost = true }      /* the answer is lost */
-  :: atomic { in_flight[who] = true; late_base[who] = base; lost = true }  /* the request is late */
+  :: atomic { in_flight[who] = true; late_base[who] = base; lost = true }  /* the request is delayed */
   fi;
   if
   :: !lost
@@ -117,11 +117,11 @@
   fi
 }
 
-proctype Wire(byte who) {      /* delivers a late request at any time, or never */
+proctype Wire(byte who) {      /* delivers a delayed request at any time, or never */
   end: atomic { in_flight[who] -> in_flight[who] = false; apply_change(who, late_base[who]) }
 }
 
-proctype Gossip() {            /* any node's current or older state reaches any node, any number of times */
+proctype Gossip() {            /* delivers any current or older state to any node, any number of times */
   byte from, to, value;
   end: do
   :: atomic {
@@ -136,7 +136,7 @@
   od
 }
 
-proctype Sync(byte node) {     /* digest comparison: pulls what a peer or the store has */
+proctype Sync(byte node) {     /* digest comparison: pulls newer state from a peer or the store */
 #ifndef BUG_NO_SYNC
   end: do
   :: atomic { store_up && revision[node] < store_revision -> revision[node] = store_revision }
@@ -145,7 +145,7 @@
   od
 #else
   end: do
-  :: atomic { beat = !beat }   /* goes on for ever, but brings nothing */
+  :: atomic { beat = !beat }   /* runs for ever without any effect */
   od
 #endif
 }
@@ -157,14 +157,14 @@
   fi;
   byte node;
   select(node : 0 .. NODES - 1);
-  byte needed;                 /* what was in force here and accepted: it must be there again */
+  byte needed;                 /* accepted revision in force before the restart; must be in force after it */
   atomic { restarts > 0 ->
     restarts--;
     needed = (revision[node] < pushed -> revision[node] : pushed);
     serving[node] = false;
     revision[node] = 0 };
 #ifndef BUG_NO_BARRIER
-  atomic {                     /* the barrier: peers of several zones, and the store when it is up */
+  atomic {                     /* the barrier: reads peers of several zones, and the store if it is up */
     merge(node, revision[(node + 1) % NODES]);
     merge(node, revision[(node + 2) % NODES]);
     if
--- a/spec/dispatch.pml
+++ b/spec/dispatch.pml
@@ -1,9 +1,9 @@
-/* Dispatch: one request to one shard with two replicas. A server may decline, run and answer, run
- * with the answer lost, or freeze with the request in hand and run it later; the deadline may come
- * at any time.
+/* Dispatch: one request to one shard with two replicas. A server may decline, run and answer, run and
+ * lose the answer, or freeze while it holds the request and run it later; the deadline may expire at any
+ * time.
  *
- * Checked: a request that must not be repeated runs at most once; "not run" means that it did not
- * run and never will; exactly one final answer.
+ * Checked: a non-repeatable request runs at most once; the verdict "not run" means that the request has not
+ * run and never will; there is exactly one final answer.
  * Seeded defects: BUG_RETRY_IN_DOUBT, BUG_HEDGE_ONCE, BUG_LIVE_NOT_RUN, BUG_LATE_ANSWER.
  */
 #define NOT_RUN 0
@@ -13,16 +13,16 @@
 mtype = { idle, sent, declined, answered, lost, dropped };
 
 mtype attempt[2] = idle;
-bool pending[2];               /* a server still holds the request and may run it */
+bool pending[2];               /* the server still holds the request and may run it */
 byte runs = 0;
 bool repeatable;
-byte verdict = NOT_RUN;        /* join over the attempts that ended */
+byte verdict = NOT_RUN;        /* maximum over the attempts that ended */
 bool finished = false;
 byte finals = 0;
 byte final_verdict = 255;
 bool final_is_answer = false;
 
-/* the node has sent it and has not read how it ended */
+/* the node has sent the attempt and has not read its result */
 #define UNREAD(number) (attempt[number] != idle && attempt[number] != dropped)
 
 inline send(number) { attempt[number] = sent; pending[number] = true }
@@ -41,7 +41,7 @@
        if
        :: attempt[number] == sent -> attempt[number] = answered
        :: attempt[number] == sent -> attempt[number] = lost
-       :: else                 /* cancelled meanwhile: nobody hears of it */
+       :: else                 /* cancelled meanwhile: the result is discarded */
        fi }
   od
 }
--- a/spec/keys.pml
+++ b/spec/keys.pml
@@ -1,8 +1,8 @@
-/* Idempotency keys: three nodes ranked 0, 1, 2 for one key; one membership change (a node is lost,
- * restarts empty, or joins late) may come at any time; the request and a repeat are sent to
- * whoever is the owner then.
+/* Idempotency keys: three nodes ranked 0, 1, 2 for one key; one membership change (a node is
+ * lost, restarts with empty state, or joins late) may occur at any time; the request and its repeat are each
+ * sent to the owner at that time.
  *
- * Checked: a request that must not be repeated runs at most once.
+ * Checked: a non-repeatable request runs at most once.
  * Seeded defects: BUG_NO_RESERVE, BUG_NO_RECORD.
  */
 #define NODES 3
@@ -25,17 +25,17 @@
 proctype Request() {
   byte owner, backup;
   bool go = false;
-  atomic {                     /* the owner looks at its own record and makes one */
+  atomic {                     /* the owner checks for a record of its own and creates one */
     pick(owner, backup);
     if
-    :: record[owner] != NONE -> go = false       /* joins or replays the first */
+    :: record[owner] != NONE -> go = false       /* joins or replays the first request */
     :: else -> record[owner] = RUNNING; go = true
     fi
   };
   if
   :: go ->
 #ifndef BUG_NO_RESERVE
-     atomic {                  /* reserve at the backup that was picked; refuse if it is lost */
+     atomic {                  /* reserve at the chosen backup; refuse if that is lost */
        if
        :: !alive[backup] -> go = false; record[owner] = NONE
        :: alive[backup] && record[backup] != NONE -> go = false
@@ -65,7 +65,7 @@
   select(node : 0 .. NODES - 1);
   if
   :: atomic { changes > 0 && alive[node] -> changes--; alive[node] = false; record[node] = NONE }
-  :: atomic { changes > 0 && alive[node] -> changes--; record[node] = NONE }   /* restarted at once, empty */
+  :: atomic { changes > 0 && alive[node] -> changes--; record[node] = NONE }   /* immediate restart, empty state */
   :: skip
   fi
 }
@@ -74,8 +74,8 @@
   bool joins_late = false;
   atomic {
     if
-    :: skip                    /* all three from the start, and one of them changes */
-    :: joins_late = true; alive[0] = false; changes = 0   /* or the highest rank joins meanwhile */
+    :: skip                    /* all three from the start, one of which may change */
+    :: joins_late = true; alive[0] = false; changes = 0   /* or the highest rank joins later */
     fi;
     run Change()
   };
@@ -84,5 +84,5 @@
   :: joins_late -> alive[0] = true
   :: else
   fi;
-  run Request()                /* the repeat: at any time, also while the first still runs */
+  run Request()                /* the repeat, at any time, possibly while the first still runs */
 }
--- a/spec/rollouts.pml
+++ b/spec/rollouts.pml
@@ -1,15 +1,15 @@
-/* Roll-outs: two deciders move a service from the old version to the new one by records in a registry,
- * words to a node that sends requests, and the node's reports. Any word or report may be lost or come late,
- * any decider may be paused and go on with what it knew, a version may be found bad at any time, an
- * answer of the registry may be lost, and a write without an answer may take effect later. The node
- * may fall silent, after which nobody waits for it; it reads the record before it goes on.
+/* Roll-outs: two deciders move a service from the old version to the new one through records in a
+ * registry, messages to a node that sends requests, and the node's reports. Any message or report may be
+ * lost or delayed, a decider may be paused and resume with stale state, a version may be found bad at any
+ * time, an answer of the registry may be lost, and a write without an answer may take effect later. The node
+ * may become unresponsive, and the deciders then stop waiting for it; it reads the record before it resumes.
  *
- * Assumed of time: COMPLETED is tried only after the watch under full load. By then each decider that has
- * not been paused knows of SWITCHING, and a ROLLED_BACK told at the canary's share has been heard.
+ * Timing assumption: COMPLETED is tried only after the observation under full load. By then each decider
+ * that was not paused knows of SWITCHING, and a ROLLED_BACK sent at the canary's share has been received.
  *
- * Checked: one final state, never both, and none is told before it stands; when COMPLETED is recorded
- * nothing is under way at an old server and nothing is sent there after, by a node that is heard;
- * a node that heard ROLLED_BACK sends nothing to the new version after that is recorded.
+ * Checked: there is one final state, never both, and none is announced before it is recorded; when COMPLETED
+ * is recorded, a responsive node has no request in flight at an old server and sends none there afterwards;
+ * a node that received ROLLED_BACK sends nothing to the new version once that is recorded.
  * Seeded defects: BUG_CONDITION, BUG_BARRIER, BUG_TELL_FIRST, BUG_WOKEN, BUG_STICKY.
  */
 #define NOTHING 0
@@ -45,15 +45,15 @@
 byte record = CANARY;
 byte revision = 1;
 bit told[5];
-bit told_first = 0;        /* ROLLED_BACK was told before it was recorded */
+bit told_first = 0;        /* ROLLED_BACK was announced before it was recorded */
 
 byte known[2] = CANARY;
-byte known_at[2] = 1;      /* the revision that a decider's writes name */
+byte known_at[2] = 1;      /* the base revision of a decider's writes */
 bit halted[2];
 bit paused[2];
-bit woken[2];              /* has not read the record since it was paused */
-bit may_use_old[2] = 1;    /* what the node last reported */
-byte sent[2];              /* a write under way */
+bit woken[2];              /* has not read the record since its pause */
+bit may_use_old[2] = 1;    /* the node's last report */
+byte sent[2];              /* a write in flight */
 byte sent_at[2];
 byte late;                 /* a write without an answer that may still take effect */
 byte late_at;
@@ -61,7 +61,7 @@
 byte obeys = CANARY;
 bit heard_back = 0;
 bit ever_heard_back = 0;
-bit under_way = 1;         /* a request at an old server */
+bit under_way = 1;         /* a request in flight at an old server */
 bit silent = 0;
 
 inline write(state, at) {
@@ -92,7 +92,7 @@
        sent[me] = SWITCHING; sent_at[me] = known_at[me] }
   :: atomic { MAY_COMPLETE(me) && !MAY_NOT_KNOW(OTHER) ->
        sent[me] = COMPLETED; sent_at[me] = known_at[me] }
-  /* how they end: with an answer, without one, or not yet */
+  /* results of writes: with an answer, without one, or delayed */
   :: atomic { sent[me] -> write(sent[me], sent_at[me]); sent[me] = NOTHING; sent_at[me] = 0;
        if
        :: !paused[me] -> read(me)
@@ -101,12 +101,12 @@
   :: atomic { sent[me] && !late ->
        late = sent[me]; late_at = sent_at[me]; sent[me] = NOTHING; sent_at[me] = 0 }
   :: atomic { late -> write(late, late_at); late = NOTHING; late_at = 0 }
-  /* hears */
+  /* receives */
   :: atomic { !paused[me] && known_at[me] != revision -> read(me) }
   :: atomic { !paused[me] && told[SWITCHING] && known[me] < SWITCHING -> known[me] = SWITCHING }
   :: atomic { !paused[me] && told[COMPLETED] && known[me] < COMPLETED -> known[me] = COMPLETED }
   :: atomic { !paused[me] && told[ROLLED_BACK] && known[me] < COMPLETED -> halted[me] = 1 }
-  /* tells */
+  /* announces */
   :: atomic { !paused[me] && !told[known[me]] ->
        assert(known[me] < COMPLETED || record == known[me]); told[known[me]] = 1 }
   :: atomic { !paused[me] && halted[me] && !told[ROLLED_BACK] && BEFORE_SWITCH(me) && AWAKE(me) ->
@@ -128,7 +128,7 @@
 proctype Node() {
   byte each;
   do
-  /* hears words, late and repeated ones too, and the record */
+  /* receives messages, also delayed and repeated ones, and reads the record */
   :: atomic { !silent && told[ROLLED_BACK] -> heard_back = 1; ever_heard_back = 1 }
   :: atomic { !silent -> select(each : CANARY .. COMPLETED);
        if
@@ -153,7 +153,7 @@
   /* reports */
   :: atomic { !silent && !paused[0] -> report(0) }
   :: atomic { !silent && !paused[1] -> report(1) }
-  /* falls silent, and comes back: what it had under way is lost, and it reads the record first */
+  /* becomes unresponsive, and resumes: requests in flight are lost, and it reads the record first */
   :: atomic { !silent -> silent = 1; may_use_old[0] = 0; may_use_old[1] = 0 }
   :: atomic { silent -> silent = 0; under_way = 0; may_use_old[0] = 1; may_use_old[1] = 1;
        if
--- a/spec/snapshot.pml
+++ b/spec/snapshot.pml
@@ -1,15 +1,15 @@
 /* Snapshot: a query over two shards of two replicas each while servers move from version 1 to 2.
  *
- * Checked: every merged part is of the pinned version; an answer holds one part of each shard.
- * Seeded defects: BUG_KEEP_PARTS (a re-plan keeps old parts), BUG_NO_ECHO (a server's label is not
- * compared with the pin).
+ * Checked: each merged part has the pinned version; an answer has one part of each shard.
+ * Seeded defects: BUG_KEEP_PARTS (a new plan keeps old parts), BUG_NO_ECHO (the version in a reply is not
+ * compared with the pinned version).
  */
 #define SHARDS 2
 
 bool holds[8];                 /* (shard * 2 + replica) * 2 + (version - 1) */
 byte part[SHARDS];             /* version of the merged part; 0: none */
-byte asked[SHARDS];            /* version asked for; 0: nothing is on its way */
-byte replies[SHARDS];          /* version of a reply on its way; 0: none, 9: unavailable */
+byte asked[SHARDS];            /* requested version; 0: no request in flight */
+byte replies[SHARDS];          /* version of the reply in flight; 0: none, 9: unavailable */
 byte pin = 1;
 bool replanned = false;
 bool done = false;
@@ -21,14 +21,14 @@
   atomic { holds[me] = false }
 }
 
-proctype Network(byte shard) { /* one of the shard's servers answers, or one of a broken kind does */
+proctype Network(byte shard) { /* one of the shard's servers answers, correctly or with the wrong version */
   end: do
   :: atomic { asked[shard] != 0 && replies[shard] == 0 ->
        if
        :: holds[shard * 4 + asked[shard] - 1] -> replies[shard] = asked[shard]
        :: holds[shard * 4 + 2 + asked[shard] - 1] -> replies[shard] = asked[shard]
        :: !holds[shard * 4 + asked[shard] - 1] -> replies[shard] = 9
-       :: replies[shard] = 3 - asked[shard]      /* answers another version than it was asked for */
+       :: replies[shard] = 3 - asked[shard]      /* another version than requested */
        fi;
        asked[shard] = 0 }
   od
--- a/spec/watchers.pml
+++ b/spec/watchers.pml
@@ -1,17 +1,17 @@
-/* Watchers: two nodes read the registry and report to a third, which asks the registry itself when it
- * has nothing to rely on. Time goes in steps. In each step a watcher may be well, cut from the registry
- * without noticing, or silent (frozen or dead); any report may be lost, and fetching what a report
- * left out may fail. A watcher that was silent goes on with what it knew.
+/* Watchers: two nodes read the registry and report to a third, the follower, which reads the registry
+ * itself when it has no usable report. Time advances in steps. In each step a watcher may be healthy, cut off
+ * from the registry without noticing, or unresponsive (frozen or dead); any report may be lost, and fetching
+ * the changes that a report omits may fail. A watcher that was unresponsive resumes with its old state.
  *
- * Checked: the follower's position never goes back, and it knows each change BOUND steps after it at the
- * latest, as long as it reaches the registry (a follower that doesn't is out of touch).
+ * Checked: the follower's position never decreases, and it has each change within BOUND steps, as long as
+ * it reaches the registry (a follower that doesn't is out of touch).
  * Seeded defects: BUG_AGE, BUG_PATIENCE, BUG_LEVEL, BUG_OLDER.
  */
 #define WATCHERS 2
 #define REVISIONS 3
-#define AGE_LIMIT 2      /* steps after which a watcher's word is old */
-#define PATIENCE 2       /* steps without a report to rely on */
-#define BOUND 5          /* AGE_LIMIT + PATIENCE, and a step for asking */
+#define AGE_LIMIT 2      /* steps after which a watcher's state is stale */
+#define PATIENCE 2       /* steps without a usable report before the follower reads the registry */
+#define BOUND 5          /* AGE_LIMIT + PATIENCE + one step to read the registry */
 #define WELL 0
 #define CUT 1
 #define SILENT 2
--- a/src/yokesill/cli/demo.py
+++ b/src/yokesill/cli/demo.py
@@ -177,7 +177,7 @@
         self.line(
             f"{slow} becomes slow: each answer takes {ADDED_DELAY_S * 1000:.0f} ms longer. Nodes first hedge"
         )
-        self.line("its part to the shard's other server, then stop using the slow one.")
+        self.line("its part to the shard's other server, then avoid the slow one.")
         before = len(deployment.servers[slow].ran)
         asked = [await deployment.ask(f"/search/slow-{number}") for number in range(SLOW_SEARCH_COUNT)]
         self.print_table(TABLE_HEADERS, [each.row() for each in asked])
