--- a/src/yokesill/cli/demo.py
+++ b/src/yokesill/cli/demo.py
@@ -196,7 +196,7 @@
         return asked
 
     def _print_request_log(self, asked: ObservedReply, log: TextIO) -> None:
-        self.line(f"\nThe story of {asked.request}, as `yokesill explain {asked.request} LOG...` tells it:")
+        self.line(f"\nLog lines of {asked.request}, as printed by `yokesill explain {asked.request} LOG...`:")
         log.seek(0)
         for line in lines_about(read_lines("demo", log), asked.request):
             self.line(str(line))
--- a/src/yokesill/cli/explain.py
+++ b/src/yokesill/cli/explain.py
@@ -83,7 +83,7 @@
     """Prints the log lines that explain one request, in order of time."""
 
     name = "explain"
-    description = "Print one request's story from nodes' logs"
+    description = "Print the log lines of one request from nodes' logs"
     arguments = [
         argument("request", "the request's id"),
         argument("files", "log files of the nodes", multiple=True),
--- a/src/yokesill/emulator/scenario.py
+++ b/src/yokesill/emulator/scenario.py
@@ -81,7 +81,7 @@
 
 
 def load_scenario(path: Path) -> Scenario | list[DocumentError]:
-    """Read a scenario file; return every error with its place."""
+    """Read a scenario file; return all errors with their locations."""
     try:
         return Scenario.model_validate(yaml.safe_load(path.read_text()))
     except (OSError, yaml.YAMLError) as error:
--- a/src/yokesill/emulator/store_model.py
+++ b/src/yokesill/emulator/store_model.py
@@ -67,7 +67,7 @@
         return list(self._history.get(key, []))
 
     async def list_objects(self) -> Listing:
-        """Return every object."""
+        """Return all objects."""
         await self._apply_call_faults()
         return Listing(self.revision, [kept[-1] for kept in self._history.values()])
 
--- a/tests/test_demo.py
+++ b/tests/test_demo.py
@@ -45,15 +45,15 @@
 
 def test_demo_server_that_left_gets_no_request(output: str) -> None:
     leaving = re.search(r"(\S+) leaves: the new configuration no longer lists it", output)
-    story = re.search(r"\nThe story of (\S+), as", output)
-    assert leaving is not None and story is not None
-    assert leaving[1] not in output[leaving.end() : story.start()]
+    log_lines = re.search(r"\nLog lines of (\S+), as", output)
+    assert leaving is not None and log_lines is not None
+    assert leaving[1] not in output[leaving.end() : log_lines.start()]
     # The printed log lines belong to a search sent before the server left, which may have hedged to it.
-    assert f"| {story[1]} " in output[: leaving.start()]
+    assert f"| {log_lines[1]} " in output[: leaving.start()]
 
 
 def test_demo_ends_with_the_log_lines_of_a_request(output: str) -> None:
-    assert "request_ended" in output.rpartition("The story of ")[2]
+    assert "request_ended" in output.rpartition("Log lines of ")[2]
 
 
 def test_example_gateway_with_emulated_servers_returns_records(tmp_path: Path) -> None:
