--- a/src/yokesill/cli/get.py
+++ b/src/yokesill/cli/get.py
@@ -1,4 +1,4 @@
-"""``yokesill get``: show documents, their history, or what became of a change."""
+"""``yokesill get``: show documents, their history, or the outcome of a change."""
 
 import yaml
 from cleo.helpers import argument, option
@@ -17,11 +17,11 @@
     options = [
         *NODE_OPTIONS,
         option("history", None, "show the document's kept revisions"),
-        option("change", None, "show what became of this change id", flag=False),
+        option("change", None, "show the outcome of the change with this id", flag=False),
     ]
 
     def handle(self) -> int:
-        """Ask a node and print."""
+        """Query a node and print the reply."""
         return self.run_async(self._get)
 
     async def _get(self) -> int:
--- a/src/yokesill/cli/rollouts.py
+++ b/src/yokesill/cli/rollouts.py
@@ -1,4 +1,4 @@
-"""``yokesill rollouts``: the roll-outs that a gateway node knows, with stage, share, counts and time left."""
+"""``yokesill rollouts``: the roll-outs on a gateway node, with stage, share, counts and time left."""
 
 from typing import Any
 
@@ -23,14 +23,14 @@
 
 
 class RolloutsCommand(BaseCommand):
-    """Lists roll-outs; the node is named by the address of its readiness and figures."""
+    """Lists roll-outs; ``--node`` is the address where the node serves readiness and metrics."""
 
     name = "rollouts"
-    description = "List the roll-outs that a gateway node knows"
+    description = "List the roll-outs on a gateway node"
     options = list(NODE_OPTIONS)
 
     def handle(self) -> int:
-        """Ask a node and print."""
+        """Query a node and print its roll-outs."""
         return self.run_async(self._list)
 
     async def _list(self) -> int:
@@ -39,7 +39,9 @@
         if isinstance(reply, Failure):
             return self.fail_unreachable(client, reply)
         if not reply.ok:
-            return self.fail(ExitCode.FAILED, f"{client.node} follows no roll-outs (status {reply.status})")
+            return self.fail(
+                ExitCode.FAILED, f"{client.node} does not serve roll-outs (status {reply.status})"
+            )
         if self.wants_json:
             self.print_json(reply.body)
             return int(ExitCode.OK)
