--- a/src/yokesill/cli/demo.py
+++ b/src/yokesill/cli/demo.py
@@ -83,7 +83,7 @@
         self.gateway_file = self.gateway_file.model_copy(update=changes)
         for number, node in enumerate(self._nodes):
             node.reload(_file_of_node(self.gateway_file, number))
-        await anyio.sleep(self._nodes[0].process.settings.gathering_time_s + READY_POLL_S)
+        await anyio.sleep(self._nodes[0].process.settings.coalescing_delay_s + READY_POLL_S)
 
     async def ask(self, path: str, method: str = "GET") -> ObservedReply:
         """Send a request to the next node, round-robin."""
--- a/src/yokesill/loadgen/http_load.py
+++ b/src/yokesill/loadgen/http_load.py
@@ -7,7 +7,7 @@
 import anyio
 import httpcore
 
-from yokesill.backends.connections import ConnectionSet
+from yokesill.backends.connections import ConnectionPool
 from yokesill.backends.http_backend import exchange
 from yokesill.comm.network import split_address
 from yokesill.loadgen.outcomes import Outcome, fill_from_reply
@@ -26,7 +26,7 @@
     token: str
     outcomes: list[Outcome] = field(default_factory=list)
     refused_until: dict[str, float] = field(default_factory=dict)
-    sets: dict[str, ConnectionSet] = field(default_factory=dict)
+    sets: dict[str, ConnectionPool] = field(default_factory=dict)
     killed: Callable[[str], bool] = lambda _node: False
 
     async def run(self, arrivals: list[Arrival], progress: Callable[[int, int], None]) -> None:
@@ -57,7 +57,7 @@
     async def _try_node(self, node: str, arrival: Arrival, outcome: Outcome) -> bool:
         """Send to one node; return ``False`` if nothing ran, so that another node can be tried."""
         connections = self._connections_of(node)
-        connection = await connections.take()
+        connection = await connections.acquire()
         if connection is None:
             return False
         path = f"/v1/namespaces/{self.namespace}/services/{arrival.service}/query"
@@ -88,14 +88,14 @@
             # A killed node cuts its callers off; a planned stop must not.
             outcome.cut = not self.killed(node)
             return True
-        await connections.give_back(connection)
+        await connections.release(connection)
         fill_from_reply(outcome, status, json.loads(content))
         # ``not_ready`` from a draining node means that nothing ran: try another node.
         return outcome.reason != "not_ready"
 
-    def _connections_of(self, node: str) -> ConnectionSet:
+    def _connections_of(self, node: str) -> ConnectionPool:
         if node not in self.sets:
             host, port = split_address(node)
             origin = httpcore.Origin(b"http", host.encode(), port)
-            self.sets[node] = ConnectionSet(origin, CONNECTIONS_PER_NODE)
+            self.sets[node] = ConnectionPool(origin, CONNECTIONS_PER_NODE)
         return self.sets[node]
--- a/tests/test_gateway_command.py
+++ b/tests/test_gateway_command.py
@@ -60,16 +60,16 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(gateway.process.run)
             await asyncio.sleep(0.2)
-            await node.until(node.ready)
-            assert (await node.ask("/file/x")).startswith(b"HTTP/1.1 200")
+            await node.wait_until(node.ready)
+            assert (await node.get("/file/x")).startswith(b"HTTP/1.1 200")
             changed = text.replace("version = 1", "version = 2").replace("/file/", "/files/")
             gateway.reload(GatewayFile.model_validate(tomllib.loads(changed)))
 
             async def reloaded() -> bool:
-                return (await node.ask("/files/x")).startswith(b"HTTP/1.1 200")
+                return (await node.get("/files/x")).startswith(b"HTTP/1.1 200")
 
-            await node.until(reloaded)
-            assert (await node.ask("/file/x")).startswith(b"HTTP/1.1 404")
+            await node.wait_until(reloaded)
+            assert (await node.get("/file/x")).startswith(b"HTTP/1.1 404")
             tasks.cancel_scope.cancel()
         server.close()
 
