--- a/src/yokesill/registry/following.py
+++ b/src/yokesill/registry/following.py
@@ -65,8 +65,10 @@
     supervisor
         Restarts each feed independently of the others.
 
-    Notes ----- ``on_restored`` is called when the registry was restored from an older copy and may have lost
-    what this node wrote recently.
+    Notes
+    -----
+    ``on_restored`` is called when the registry was restored from an older copy and may have lost what this
+    node wrote recently.
     """
 
     def __init__(
